--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -1,4 +1,6 @@
-// Package counter calls the shared quota counter over a few pipelined connections.
+// Package counter is the client of the shared quota counter, an HTTP service that adds amounts to named totals. It
+// pipelines its calls over a fixed number of connections. The goroutine of the event loop owns a Client and calls its
+// Sink. The package never repeats a call and takes no decision on a quota.
 package counter
 
 import (
@@ -16,306 +18,317 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Sink is told how calls end.
+// Sink receives the results of calls: one for each call, for each name in the order of its calls.
 type Sink interface {
 	Counted(admission.CounterAnswered)
 }
 
-// Client holds the connections. A name always goes by the same one, so that its answers keep the order
-// of its calls; there are many, so that a slow part of the counter holds up few calls of another.
+// Client sends calls to the counter. All calls of one name use the same connection, so that responses keep the order of
+// calls. There are many connections, so that a slow part of the counter delays few calls of its other parts.
 type Client struct {
-	loop  *loop.Loop
-	lim   limits.Limits
-	log   *slog.Logger
-	addr  string
-	sink  Sink
-	conns []*conn
-	// retired are connections that still owe answers and take no new calls: to where the counter was before, or beyond
-	// the number that there is to be.
-	retired []*conn
-	turns   map[string][]*call // calls not told, by name
-	heard   time.Duration      // the last answer on any connection
-	debugs  bool               // the log takes debug lines
-	lost    bool               // told to the operator...
-	told    time.Duration      // ...at this time
+	loop   *loop.Loop
+	bounds limits.Limits
+	log    *slog.Logger
+	addr   string
+	sink   Sink
+	conns  []*conn // a connection is chosen by the hash of the counter's name
+	// retired holds connections that take no new calls and still have some unanswered: connections to a previous address,
+	// and those above the number after Resize.
+	retired      []*conn
+	unreported   map[string][]*addCall // by counter name, in the order of calls
+	lastResponse time.Duration         // time of the last response on any connection
+	debugEnabled bool
+	lossReported bool          // a loss was logged, and no call has succeeded since
+	lossLoggedAt time.Duration // 0: never
 
-	released func() // told when no connection is left, nil unless they are being given up
+	onDrained func() // called once no connection is open; nil unless Drain is in progress
 }
 
-// New returns a client. SetSink must follow before the first call.
-func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, addr string) *Client {
-	c := &Client{loop: l, lim: lim, log: log, addr: addr, turns: map[string][]*call{},
-		debugs: core.Debugs(log)}
-	c.conns = make([]*conn, lim.CounterConns)
-	c.fresh()
-	l.After(sweepEvery, c.sweep)
+// New returns a client of the counter at addr, a TCP address. It connects on the first call. SetSink must be called before
+// that.
+func New(l *loop.Loop, bounds limits.Limits, log *slog.Logger, addr string) *Client {
+	c := &Client{loop: l, bounds: bounds, log: log, addr: addr, unreported: map[string][]*addCall{},
+		debugEnabled: core.Debugs(log)}
+	c.conns = make([]*conn, bounds.CounterConns)
+	c.replaceConns()
+	l.After(sweepInterval, c.sweep)
 	return c
 }
 
-func (c *Client) fresh() {
+// replaceConns sets up as many new connections as there were, at least one. They connect on their first calls.
+func (c *Client) replaceConns() {
 	c.conns = make([]*conn, max(len(c.conns), 1))
 	for i := range c.conns {
-		c.conns[i] = &conn{c: c}
+		c.conns[i] = &conn{client: c}
 	}
 }
 
-// SetAddr makes new calls go to another address. Those that are out end where they were made.
+// SetAddr sends new calls to another address. Calls in flight complete on their old connections.
 func (c *Client) SetAddr(addr string) {
 	if addr == c.addr {
 		return
 	}
 	c.addr = addr
-	for _, k := range c.conns {
-		c.retire(k)
+	for _, cn := range c.conns {
+		c.retire(cn)
 	}
-	c.fresh()
+	c.replaceConns()
 }
 
-// retire takes a connection out of use: it ends with the calls that are out on it, after CounterMove at the latest. The
-// timer is the connection's own, so that however many moves follow each other, none ends what another has retired.
-func (c *Client) retire(k *conn) {
-	if len(k.calls) == 0 {
-		k.close()
+// retire closes a connection once its calls in flight are answered, at the latest after CounterMove. Each connection has
+// its own timer, so that the deadline of one move does not end connections that another move has retired.
+func (c *Client) retire(cn *conn) {
+	if len(cn.calls) == 0 {
+		cn.close()
 		return
 	}
-	c.retired = append(c.retired, k)
-	k.expiry = c.loop.After(c.lim.CounterMove, func() { k.fail("the counter has moved") })
+	c.retired = append(c.retired, cn)
+	cn.retireTimer = c.loop.After(c.bounds.CounterMove, func() { cn.fail("connection retired, its calls were not answered in time") })
 }
 
-// SetSink names who is told of answers.
+// SetSink sets the receiver of results.
 func (c *Client) SetSink(s Sink) { c.sink = s }
 
-// logEvery: a counter that spoils answer after answer is told of so often.
-const logEvery = 10 * time.Second
+// lossLogInterval is the minimum time between two warnings of a lost connection.
+const lossLogInterval = 10 * time.Second
 
-// sweepEvery is how often idle and silent connections are looked for, releaseEvery those that owe nothing.
 const (
-	sweepEvery   = 500 * time.Millisecond
-	releaseEvery = 2 * time.Millisecond
+	sweepInterval = 500 * time.Millisecond // between checks for idle and silent connections
+	drainInterval = 2 * time.Millisecond   // between attempts to close connections during Drain
 )
 
+// sweep closes idle, silent and stuck connections. Retired ones have a deadline of their own.
 func (c *Client) sweep() {
-	c.loop.After(sweepEvery, c.sweep)
+	c.loop.After(sweepInterval, c.sweep)
 	now := c.loop.Now()
-	for _, k := range c.conns { // the retired ones have an end set
+	for _, cn := range c.conns {
 		switch {
-		case k.src == nil:
-		case len(k.calls) == 0 && now-k.heard > c.lim.CounterIdle:
-			k.close() // before the counter does: a call that crosses its close may have been added
-		case len(k.calls) > 0 && now-max(k.heard, k.calls[0].at) > c.lim.CounterSilence:
-			k.fail("silent")
+		case cn.source == nil:
+		case len(cn.calls) == 0 && now-cn.lastResponse > c.bounds.CounterIdle:
+			// Closed before the counter closes it: a call sent while the counter closes may or may not have been added.
+			cn.close()
+		case len(cn.calls) > 0 && now-max(cn.lastResponse, cn.calls[0].startedAt) > c.bounds.CounterSilence:
+			cn.fail("silent")
 		default:
-			k.unstick()
+			cn.closeIfStuck()
 		}
 	}
 }
 
-// Add makes one call.
-func (c *Client) Add(name string, by float64, keep time.Duration) {
+// Add asks the counter to add an amount, which may be negative, to the named total and to keep that total for expiry, sent
+// in milliseconds, rounded up. The result goes to the Sink, possibly before Add returns. The outcome TimedOut means that
+// the amount may have been added; with Unreachable, Full and Errored it was not.
+func (c *Client) Add(name string, amount float64, expiry time.Duration) {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
-	c.conns[h.Sum32()%uint32(len(c.conns))].add(name, by, keep)
+	c.conns[h.Sum32()%uint32(len(c.conns))].add(name, amount, expiry)
 }
 
-// answered notes how a call has ended, and tells what is next of its name. The decision module takes the
-// answers of a name to be in the order of its calls; a call that ends at once (too many wait), or at a new
-// address, must not be taken for one that is still out.
-func (c *Client) answered(k *call, o admission.Outcome, total float64) {
-	if k.ended {
+// finish records the result of a call and reports the results that are next in their name's order. A call can finish
+// before earlier ones of its name: when it is refused because too many are unanswered, or when it went to a new address.
+// Its result waits for theirs, since the decision module matches results to calls by their order.
+func (c *Client) finish(call *addCall, outcome admission.Outcome, total float64) {
+	if call.isDone {
 		return
 	}
-	k.ended = true
-	k.timer.Stop()
-	if o == admission.OK && c.lost {
-		c.lost = false
+	call.isDone = true
+	call.timer.Stop()
+	if outcome == admission.OK && c.lossReported {
+		c.lossReported = false
 		c.log.Info("counter answers again")
 	}
-	k.news = admission.CounterAnswered{Name: k.name, Total: total, Took: c.loop.Now() - k.at, Outcome: o}
-	q := c.turns[k.name]
-	for len(q) > 0 && q[0].ended {
-		c.sink.Counted(q[0].news)
-		q = q[1:]
+	call.result = admission.CounterAnswered{Name: call.name, Total: total, Took: c.loop.Now() - call.startedAt, Outcome: outcome}
+	queue := c.unreported[call.name]
+	for len(queue) > 0 && queue[0].isDone {
+		c.sink.Counted(queue[0].result)
+		queue = queue[1:]
 	}
-	if len(q) == 0 {
-		delete(c.turns, k.name)
+	if len(queue) == 0 {
+		delete(c.unreported, call.name)
 		return
 	}
-	c.turns[k.name] = q
+	c.unreported[call.name] = queue
 }
 
-// call is one call not yet answered by the counter. One that has run out of time is told at once, and
-// its place is kept, since its answer still comes before the next one's.
-type call struct {
-	name  string
-	at    time.Duration
-	end   int // bytes of the connection's stream after which it is wholly written
-	ended bool
-	news  admission.CounterAnswered // how, once it has
-	timer *loop.Timer
+// addCall is one call of Add. After a timeout its result is reported, but it stays in its connection's queue, because the
+// counter's response to it still precedes the response to the next call.
+type addCall struct {
+	name      string
+	startedAt time.Duration
+	endOffset int // bytes of the connection's output up to the end of this request
+	isDone    bool
+	result    admission.CounterAnswered // valid once isDone
+	timer     *loop.Timer               // runs out after CounterLimit
 }
 
+// conn is one connection to the counter. It is opened on its first call, and again on the first call after it was closed.
 type conn struct {
-	c             *Client
-	src           *loop.Source
-	parser        *http1.ResponseParser
-	up            bool
-	out           []byte
-	queued, wrote int // bytes over the connection's life
-	calls         []*call
-	heard         time.Duration
-	dialing       *loop.Timer
-	expiry        *loop.Timer // once it is retired
-	backoff       time.Duration
-	notBefore     time.Duration
+	client                    *Client
+	source                    *loop.Source // nil while closed
+	parser                    *http1.ResponseParser
+	isConnected               bool
+	unsent                    []byte
+	queuedBytes, writtenBytes int        // since the connection was opened
+	calls                     []*addCall // without a response, in the order of their requests
+	lastResponse              time.Duration
+	dialTimer                 *loop.Timer
+	retireTimer               *loop.Timer // nil unless retired
+	backoff                   time.Duration
+	nextDialAt                time.Duration
 }
 
-func (k *conn) add(name string, by float64, keep time.Duration) {
-	now := k.c.loop.Now()
-	q := &call{name: name, at: now}
-	k.c.turns[name] = append(k.c.turns[name], q)
-	// A silent counter is not written to without bound: what can't be written was not added.
-	if len(k.calls) >= k.c.lim.CounterPending || !k.open() {
-		k.c.answered(q, admission.Unreachable, 0)
+// add queues the request of a call, or finishes it as Unreachable without sending it.
+func (cn *conn) add(name string, amount float64, expiry time.Duration) {
+	now := cn.client.loop.Now()
+	call := &addCall{name: name, startedAt: now}
+	cn.client.unreported[name] = append(cn.client.unreported[name], call)
+	// Bounds the requests queued for a counter that does not respond. A request that is not queued is not added.
+	if len(cn.calls) >= cn.client.bounds.CounterPending || !cn.ensureOpen() {
+		cn.client.finish(call, admission.Unreachable, 0)
 		return
 	}
 	target := append(make([]byte, 0, 96), "/counters/"...)
 	target = append(target, name...)
 	target = append(target, "?by="...)
-	target = strconv.AppendFloat(target, by, 'f', -1, 64)
+	target = strconv.AppendFloat(target, amount, 'f', -1, 64)
 	target = append(target, "&expire_ms="...)
-	target = strconv.AppendInt(target, max(1, int64((keep+time.Millisecond-1)/time.Millisecond)), 10)
-	before := len(k.out)
-	k.out = http1.AppendRequest(k.out, "POST", string(target), "counter", nil, nil)
-	k.queued += len(k.out) - before
-	q.end = k.queued
-	k.calls = append(k.calls, q)
-	q.timer = k.c.loop.After(k.c.lim.CounterLimit, func() {
-		k.c.answered(q, admission.TimedOut, 0)
-		k.unstick()
+	target = strconv.AppendInt(target, max(1, int64((expiry+time.Millisecond-1)/time.Millisecond)), 10)
+	before := len(cn.unsent)
+	cn.unsent = http1.AppendRequest(cn.unsent, "POST", string(target), "counter", nil, nil)
+	cn.queuedBytes += len(cn.unsent) - before
+	call.endOffset = cn.queuedBytes
+	cn.calls = append(cn.calls, call)
+	call.timer = cn.client.loop.After(cn.client.bounds.CounterLimit, func() {
+		cn.client.finish(call, admission.TimedOut, 0)
+		cn.closeIfStuck()
 	})
-	if k.up && before == 0 {
-		k.flush()
+	if cn.isConnected && before == 0 {
+		cn.flush()
 	}
 }
 
-// unstick gives the connection up if it owes answers and has said nothing for CounterStuck while another
-// connection to the counter was answered meanwhile: the counter works, and this one waits on an answer that
-// can't be read to its end, such as a body shorter than its length. Every call behind that would run out of
-// time in turn, and so many lost in a row tell the module that the counter is gone. A counter that is slow
-// or silent as a whole is heard on none; those wait for CounterSilence.
-func (k *conn) unstick() {
-	if k.src == nil || len(k.calls) == 0 {
+// closeIfStuck fails a connection that has had calls unanswered and no response for CounterStuck while another connection
+// got a response. The counter then works, and this connection waits for the rest of a response that never comes, such as
+// one with a body shorter than its Content-Length. Each call behind it would time out in turn, and the decision module
+// takes many timeouts in a row for an outage of the counter. When the counter as a whole is slow or silent, no connection
+// gets a response, and all are kept for CounterSilence.
+func (cn *conn) closeIfStuck() {
+	if cn.source == nil || len(cn.calls) == 0 {
 		return
 	}
-	since := max(k.heard, k.calls[0].at)
-	if k.c.loop.Now()-since > k.c.lim.CounterStuck && k.c.heard > since {
-		k.fail("stuck behind an answer that can't be read")
+	since := max(cn.lastResponse, cn.calls[0].startedAt)
+	if cn.client.loop.Now()-since > cn.client.bounds.CounterStuck && cn.client.lastResponse > since {
+		cn.fail("no response here while other connections get responses")
 	}
 }
 
-// open begins to connect unless it is connected, or has failed a moment ago.
-func (k *conn) open() bool {
-	now := k.c.loop.Now()
-	if k.src != nil {
+// ensureOpen starts to connect if the connection is closed. It returns false during the backoff after a failure, and if
+// the dial fails at once.
+func (cn *conn) ensureOpen() bool {
+	now := cn.client.loop.Now()
+	if cn.source != nil {
 		return true
 	}
-	if now < k.notBefore {
+	if now < cn.nextDialAt {
 		return false
 	}
-	fd, err := loop.Dial(k.c.addr)
+	fd, err := loop.Dial(cn.client.addr)
 	if err == nil {
-		if k.src, err = k.c.loop.Watch(fd, loop.Out|loop.Hangup, k); err != nil {
+		if cn.source, err = cn.client.loop.Watch(fd, loop.Out|loop.Hangup, cn); err != nil {
 			loop.CloseFD(fd)
 		}
 	}
 	if err != nil {
-		k.lost(err.Error())
+		cn.recordFailure(err.Error())
 		return false
 	}
-	k.parser = http1.NewResponseParser(k.c.lim.HeadBytes, k.c.lim.KeepBytes, 0)
-	k.up, k.out, k.queued, k.wrote, k.heard = false, k.out[:0], 0, 0, now
-	k.dialing = k.c.loop.After(k.c.lim.DialLimit, func() { k.fail("no connection in time") })
+	cn.parser = http1.NewResponseParser(cn.client.bounds.HeadBytes, cn.client.bounds.KeepBytes, 0)
+	cn.isConnected, cn.unsent, cn.queuedBytes, cn.writtenBytes, cn.lastResponse = false, cn.unsent[:0], 0, 0, now
+	cn.dialTimer = cn.client.loop.After(cn.client.bounds.DialLimit, func() { cn.fail("connect timeout") })
 	return true
 }
 
-// Ready goes on with what the connection was about.
-func (k *conn) Ready(events uint32) {
-	if !k.up {
-		if err := loop.Dialled(k.src.FD()); err != nil {
-			k.fail(err.Error())
+// Ready handles the connection's events: the end of the dial, readable data, room to write.
+func (cn *conn) Ready(events uint32) {
+	if !cn.isConnected {
+		if err := loop.Dialled(cn.source.FD()); err != nil {
+			cn.fail(err.Error())
 			return
 		}
-		k.up, k.backoff = true, 0
-		k.dialing.Stop()
-		k.flush()
+		cn.isConnected, cn.backoff = true, 0
+		cn.dialTimer.Stop()
+		cn.flush()
 		return
 	}
 	if events&(loop.In|loop.Hangup) != 0 {
-		k.read()
+		cn.read()
 	}
-	if events&loop.Out != 0 && k.src != nil && len(k.out) > 0 {
-		k.flush()
+	if events&loop.Out != 0 && cn.source != nil && len(cn.unsent) > 0 {
+		cn.flush()
 	}
 }
 
-func (k *conn) flush() {
-	n, err := loop.Write(k.src.FD(), k.out)
-	k.wrote += n
-	k.out = k.out[:copy(k.out, k.out[n:])]
+// flush writes queued requests as far as the socket takes them.
+func (cn *conn) flush() {
+	n, err := loop.Write(cn.source.FD(), cn.unsent)
+	cn.writtenBytes += n
+	cn.unsent = cn.unsent[:copy(cn.unsent, cn.unsent[n:])]
 	if err != nil {
-		k.fail(err.Error())
+		cn.fail(err.Error())
 		return
 	}
-	if len(k.out) > 0 {
-		k.src.Want(loop.In | loop.Out | loop.Hangup)
+	if len(cn.unsent) > 0 {
+		cn.source.Want(loop.In | loop.Out | loop.Hangup)
 		return
 	}
-	k.src.Want(loop.In | loop.Hangup)
+	cn.source.Want(loop.In | loop.Hangup)
 }
 
-func (k *conn) read() {
-	buf := k.c.loop.Buf()
-	n, err := loop.Read(k.src.FD(), buf)
+// read reads once from the socket and finishes the calls whose responses are complete.
+func (cn *conn) read() {
+	buf := cn.client.loop.Buf()
+	n, err := loop.Read(cn.source.FD(), buf)
 	if err == loop.ErrAgain {
 		return
 	}
 	if err != nil {
-		if len(k.calls) == 0 { // it may close an idle connection
-			k.close()
+		if len(cn.calls) == 0 { // the counter may close an idle connection: not a failure
+			cn.close()
 			return
 		}
-		k.fail(err.Error())
+		cn.fail(err.Error())
 		return
 	}
-	k.parser.Feed(buf[:n])
+	cn.parser.Feed(buf[:n])
 	for {
-		resp, err := k.parser.Next()
+		response, err := cn.parser.Next()
 		if err != nil {
-			k.fail(err.Error())
+			cn.fail(err.Error())
 			return
 		}
-		if resp == nil {
+		if response == nil {
 			return
 		}
-		if len(k.calls) == 0 {
-			k.fail("an answer nobody asked for")
+		if len(cn.calls) == 0 {
+			cn.fail("unsolicited response")
 			return
 		}
-		q := k.calls[0]
-		k.calls = k.calls[1:]
-		k.heard, k.c.heard = k.c.loop.Now(), k.c.loop.Now()
-		o, total := result(resp)
-		k.c.answered(q, o, total)
-		// After an answer that makes no sense, what follows can't be told apart from the rest of it.
-		if resp.Close || o == admission.TimedOut {
-			k.fail("the counter's answer ends the connection")
+		call := cn.calls[0]
+		cn.calls = cn.calls[1:]
+		cn.lastResponse, cn.client.lastResponse = cn.client.loop.Now(), cn.client.loop.Now()
+		outcome, total := parseResponse(response)
+		cn.client.finish(call, outcome, total)
+		// Bytes that follow a malformed response may belong to it.
+		if response.Close || outcome == admission.TimedOut {
+			cn.fail("response is malformed or closes the connection")
 			return
 		}
 	}
 }
 
-// result reads an answer. One that makes no sense may have been added.
-func result(r *http1.Response) (admission.Outcome, float64) {
+// parseResponse returns the outcome of a call, and the new total if that is OK. A malformed response counts as TimedOut,
+// since the amount may have been added.
+func parseResponse(r *http1.Response) (admission.Outcome, float64) {
 	switch r.Status {
 	case 200:
 		total, err := strconv.ParseFloat(string(r.Body), 64)
@@ -331,41 +344,44 @@
 	return admission.TimedOut, 0
 }
 
-// fail ends the connection and its calls. One that was not wholly written was not added; any other may
-// have been, or may yet be, as with one that ran out of time.
-func (k *conn) fail(why string) {
-	if k.c.debugs {
-		k.c.log.Debug("counter connection closed", "cause", why, "calls", len(k.calls), "up", k.up)
+// fail closes the connection and finishes its calls: as Unreachable if the request was not wholly written, so that the
+// amount was not added; else as TimedOut, since the amount may have been added or may still be.
+func (cn *conn) fail(cause string) {
+	if cn.client.debugEnabled {
+		cn.client.log.Debug("counter connection closed", "cause", cause, "calls", len(cn.calls), "up", cn.isConnected)
 	}
-	calls, wrote := k.calls, k.wrote
-	k.close()
-	if len(calls) > 0 || !k.up {
-		k.lost(why)
+	calls, writtenBytes := cn.calls, cn.writtenBytes
+	cn.close()
+	if len(calls) > 0 || !cn.isConnected {
+		cn.recordFailure(cause)
 	}
-	for _, q := range calls {
-		if q.end > wrote {
-			k.c.answered(q, admission.Unreachable, 0)
+	for _, call := range calls {
+		if call.endOffset > writtenBytes {
+			cn.client.finish(call, admission.Unreachable, 0)
 		} else {
-			k.c.answered(q, admission.TimedOut, 0)
+			cn.client.finish(call, admission.TimedOut, 0)
 		}
 	}
 }
 
-func (k *conn) lost(why string) {
-	k.backoff = min(max(2*k.backoff, k.c.lim.BackoffFirst), k.c.lim.BackoffMost)
-	k.notBefore = k.c.loop.Now() + k.backoff
-	if now := k.c.loop.Now(); !k.c.lost && (k.c.told == 0 || now-k.c.told > logEvery) {
-		k.c.lost, k.c.told = true, now
-		k.c.log.Warn("counter connection lost", "cause", why)
+// recordFailure doubles the backoff, from BackoffFirst up to BackoffMost, and logs the loss at most once per
+// lossLogInterval.
+func (cn *conn) recordFailure(cause string) {
+	cn.backoff = min(max(2*cn.backoff, cn.client.bounds.BackoffFirst), cn.client.bounds.BackoffMost)
+	cn.nextDialAt = cn.client.loop.Now() + cn.backoff
+	if now := cn.client.loop.Now(); !cn.client.lossReported && (cn.client.lossLoggedAt == 0 || now-cn.client.lossLoggedAt > lossLogInterval) {
+		cn.client.lossReported, cn.client.lossLoggedAt = true, now
+		cn.client.log.Warn("counter connection lost", "cause", cause)
 	}
 }
 
-func (k *conn) close() {
-	k.dialing.Stop()
-	k.expiry.Stop()
-	k.src.Close()
-	k.src, k.calls, k.out = nil, nil, nil
-	if i := slices.Index(k.c.retired, k); i >= 0 {
-		k.c.retired = slices.Delete(k.c.retired, i, i+1)
+// close closes the connection and drops its calls without a result. A retired connection leaves the list.
+func (cn *conn) close() {
+	cn.dialTimer.Stop()
+	cn.retireTimer.Stop()
+	cn.source.Close()
+	cn.source, cn.calls, cn.unsent = nil, nil, nil
+	if i := slices.Index(cn.client.retired, cn); i >= 0 {
+		cn.client.retired = slices.Delete(cn.client.retired, i, i+1)
 	}
 }
--- a/internal/net/counter/counter_test.go
+++ b/internal/net/counter/counter_test.go
@@ -20,37 +20,38 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// desk takes the answers of calls and ends the loop when told to.
-type desk struct {
-	l    *loop.Loop
-	got  []admission.CounterAnswered
-	each func()
+// recordingSink records results in order, and calls onTurn at the end of each turn of the loop.
+type recordingSink struct {
+	loop    *loop.Loop
+	results []admission.CounterAnswered
+	onTurn  func()
 }
 
-func (d *desk) Counted(ev admission.CounterAnswered) { d.got = append(d.got, ev) }
+func (s *recordingSink) Counted(ev admission.CounterAnswered) { s.results = append(s.results, ev) }
 
-func (d *desk) Turn(time.Duration) time.Duration {
-	d.each()
+func (s *recordingSink) Turn(time.Duration) time.Duration {
+	s.onTurn()
 	return 0
 }
 
-func setUp(t *testing.T, serve func(net.Conn)) (*desk, *Client) {
+// newTestClient returns a client with one connection, to a server that handles each connection with serve.
+func newTestClient(t *testing.T, serve func(net.Conn)) (*recordingSink, *Client) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{HeadBytes: 1 << 10, KeepBytes: 1 << 10, DialLimit: 5 * time.Second, CounterConns: 1,
+	bounds := limits.Limits{HeadBytes: 1 << 10, KeepBytes: 1 << 10, DialLimit: 5 * time.Second, CounterConns: 1,
 		CounterPending: 2, CounterLimit: 30 * time.Millisecond, CounterIdle: time.Minute, CounterSilence: time.Minute, CounterMove: time.Minute,
 		BackoffFirst: time.Millisecond, BackoffMost: time.Millisecond}
-	d := &desk{l: l}
-	c := New(l, lim, slog.New(slog.DiscardHandler), nettest.Serve(t, serve))
-	c.SetSink(d)
-	return d, c
+	sink := &recordingSink{loop: l}
+	c := New(l, bounds, slog.New(slog.DiscardHandler), nettest.Serve(t, serve))
+	c.SetSink(sink)
+	return sink, c
 }
 
-// A call that has run out of time keeps its place: its answer, when it comes, is not taken for the next
-// call's. And what a silent counter is owed is bounded: a further call is not written, so not added.
-func TestLateAnswersAreReadInTheirPlace(t *testing.T) {
+// The response to a call that timed out must not be taken for the response to the next one. A call beyond CounterPending
+// unanswered ones is not sent.
+func TestLateResponseIsMatchedToItsCall(t *testing.T) {
 	release := make(chan struct{})
-	d, c := setUp(t, func(conn net.Conn) {
+	sink, c := newTestClient(t, func(conn net.Conn) {
 		defer conn.Close()
 		<-release
 		for _, total := range []string{"1", "2.5"} {
@@ -60,72 +61,74 @@
 	})
 	c.Add("n", 1, time.Second)
 	step := 0
-	d.each = func() {
+	sink.onTurn = func() {
 		switch {
-		case step == 0 && len(d.got) == 1: // the first has run out of time
+		case step == 0 && len(sink.results) == 1: // the first call timed out
 			step = 1
 			c.Add("n", 1.5, time.Second)
-			c.Add("n", 1, time.Second) // one too many
+			c.Add("n", 1, time.Second) // above CounterPending
 			close(release)
-		case step == 1 && len(d.got) == 3:
-			d.l.Stop()
+		case step == 1 && len(sink.results) == 3:
+			sink.loop.Stop()
 		}
 	}
-	require.NoError(t, d.l.Run(d))
-	require.Equal(t, []admission.Outcome{admission.TimedOut, admission.OK, admission.Unreachable}, outcomes(d.got))
-	require.Equal(t, 2.5, d.got[1].Total, "the second call's own total")
+	require.NoError(t, sink.loop.Run(sink))
+	require.Equal(t, []admission.Outcome{admission.TimedOut, admission.OK, admission.Unreachable}, outcomes(sink.results))
+	require.Equal(t, 2.5, sink.results[1].Total, "the second call gets its own total")
 }
 
-// A connection that breaks after a call was written: it may have been added, so it must not be given back.
-func TestACallThatWasCutOffMayHaveBeenAdded(t *testing.T) {
-	heard := make(chan string, 1)
-	d, c := setUp(t, func(conn net.Conn) {
+// A call whose connection breaks after the request was written may have been added: its outcome must not be Unreachable,
+// upon which the caller would add the amount again.
+func TestResetAfterWriteTimesOut(t *testing.T) {
+	requests := make(chan string, 1)
+	sink, c := newTestClient(t, func(conn net.Conn) {
 		b := make([]byte, 256)
 		n, _ := conn.Read(b)
-		heard <- string(b[:n])
+		requests <- string(b[:n])
 		conn.Close()
 	})
 	c.Add("q1.a", -2.5, 1500*time.Microsecond)
-	d.each = func() {
-		if len(d.got) > 0 {
-			d.l.Stop()
+	sink.onTurn = func() {
+		if len(sink.results) > 0 {
+			sink.loop.Stop()
 		}
 	}
-	require.NoError(t, d.l.Run(d))
-	require.Equal(t, admission.TimedOut, d.got[0].Outcome)
-	call := <-heard
-	require.True(t, strings.HasPrefix(call, "POST /counters/q1.a?by=-2.5&expire_ms=2 HTTP/1.1\r\n"), call)
+	require.NoError(t, sink.loop.Run(sink))
+	require.Equal(t, admission.TimedOut, sink.results[0].Outcome)
+	request := <-requests
+	require.True(t, strings.HasPrefix(request, "POST /counters/q1.a?by=-2.5&expire_ms=2 HTTP/1.1\r\n"), request)
 }
 
-func outcomes(got []admission.CounterAnswered) (o []admission.Outcome) {
-	for _, ev := range got {
-		o = append(o, ev.Outcome)
+func outcomes(results []admission.CounterAnswered) (list []admission.Outcome) {
+	for _, result := range results {
+		list = append(list, result.Outcome)
 	}
-	return o
+	return list
 }
 
-// A call that ends at once, since too many wait, must not overtake those of its name that are still out:
-// the decision module takes answers in the order of calls.
-func TestAnswersOfANameComeInTheOrderOfItsCalls(t *testing.T) {
-	d, c := setUp(t, func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) })
+// The result of a call that is refused at once, since too many are unanswered, must not be reported before those of earlier
+// calls of its name: the decision module matches results to calls by their order.
+func TestResultsOfANameKeepCallOrder(t *testing.T) {
+	sink, c := newTestClient(t, func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) })
 	for i := range 3 {
 		c.Add("n", float64(i), time.Second)
 	}
-	require.Empty(t, d.got)
-	d.each = func() {
-		if len(d.got) == 3 {
-			d.l.Stop()
+	require.Empty(t, sink.results)
+	sink.onTurn = func() {
+		if len(sink.results) == 3 {
+			sink.loop.Stop()
 		}
 	}
-	require.NoError(t, d.l.Run(d))
-	require.Equal(t, []admission.Outcome{admission.TimedOut, admission.TimedOut, admission.Unreachable}, outcomes(d.got))
+	require.NoError(t, sink.loop.Run(sink))
+	require.Equal(t, []admission.Outcome{admission.TimedOut, admission.TimedOut, admission.Unreachable}, outcomes(sink.results))
 }
 
-// An answer without a number: the amount was added, and nothing behind it on the connection can be trusted.
-func TestAnAnswerWithoutANumberEndsItsConnection(t *testing.T) {
+// After a response whose body is not a number the amount may have been added, and what follows on the connection must not be
+// read as a response. Repeated losses are logged at most once per lossLogInterval.
+func TestMalformedTotalClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
 	var log strings.Builder
-	d, c := setUp(t, func(conn net.Conn) {
+	sink, c := newTestClient(t, func(conn net.Conn) {
 		b := make([]byte, 256)
 		_, _ = conn.Read(b)
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nx!yHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n9")
@@ -134,31 +137,31 @@
 	})
 	c.Add("n", 1, time.Second)
 	c.Add("n", 1, time.Second)
-	d.each = func() {
-		if len(d.got) == 2 {
-			d.l.Stop()
+	sink.onTurn = func() {
+		if len(sink.results) == 2 {
+			sink.loop.Stop()
 		}
 	}
-	require.NoError(t, d.l.Run(d))
-	require.Equal(t, []admission.Outcome{admission.TimedOut, admission.TimedOut}, outcomes(d.got))
+	require.NoError(t, sink.loop.Run(sink))
+	require.Equal(t, []admission.Outcome{admission.TimedOut, admission.TimedOut}, outcomes(sink.results))
 	<-closed
 	c.log = slog.New(slog.NewTextHandler(&log, nil))
-	for range 5 { // lost and back again and again: told of now and then
-		c.lost = false
-		c.conns[0].lost("spoilt")
+	for range 5 {
+		c.lossReported = false
+		c.conns[0].recordFailure("malformed response")
 	}
-	require.Empty(t, log.String(), "it was told a moment ago")
+	require.Empty(t, log.String(), "logged again within lossLogInterval")
 }
 
-// After a move new calls go to the new address; the one that is out still gets its answer at the old, and
-// is told first, since it was made first.
-func TestMove(t *testing.T) {
+// After SetAddr new calls go to the new address. The call in flight completes at the old one, and its result is reported
+// first, though the response to the later call comes earlier.
+func TestSetAddrKeepsCallsInFlight(t *testing.T) {
 	release := make(chan struct{})
-	d, c := setUp(t, func(conn net.Conn) {
+	sink, c := newTestClient(t, func(conn net.Conn) {
 		<-release
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1")
 	})
-	c.lim.CounterLimit = time.Minute
+	c.bounds.CounterLimit = time.Minute
 	c.Add("n", 1, time.Second)
 	c.SetAddr(nettest.Serve(t, func(conn net.Conn) {
 		b := make([]byte, 256)
@@ -167,26 +170,26 @@
 	}))
 	c.Add("n", 1, time.Second)
 	released := false
-	d.each = func() {
-		if q := c.turns["n"]; len(q) == 2 && q[1].ended && !released {
-			require.Empty(t, d.got)
+	sink.onTurn = func() {
+		if queue := c.unreported["n"]; len(queue) == 2 && queue[1].isDone && !released {
+			require.Empty(t, sink.results)
 			released = true
 			close(release)
 		}
-		if len(d.got) == 2 {
-			d.l.Stop()
+		if len(sink.results) == 2 {
+			sink.loop.Stop()
 		}
 	}
-	require.NoError(t, d.l.Run(d))
-	require.Equal(t, []float64{1, 2}, []float64{d.got[0].Total, d.got[1].Total})
+	require.NoError(t, sink.loop.Run(sink))
+	require.Equal(t, []float64{1, 2}, []float64{sink.results[0].Total, sink.results[1].Total})
 }
 
-// A connection that waits on an answer shorter than its length is given up once another connection is
-// answered meanwhile: the counter works, and else every call behind would run out of time, one by one,
-// until the connection's silence is long. Here the names slow and fine go by connections 0 and 1.
-func TestAConnectionStuckBehindAnAnswerIsGivenUp(t *testing.T) {
-	var spoilt atomic.Bool
-	d, c := setUp(t, func(conn net.Conn) {
+// A response shorter than its Content-Length blocks its connection. It must be closed once another connection gets a
+// response, which shows that the counter works: else each call behind it would time out in turn until CounterSilence has
+// passed. The names slow and fine hash to connections 0 and 1.
+func TestStuckConnectionIsClosed(t *testing.T) {
+	var truncated atomic.Bool
+	sink, c := newTestClient(t, func(conn net.Conn) {
 		defer conn.Close()
 		r := bufio.NewReader(conn)
 		for {
@@ -196,7 +199,7 @@
 			}
 			for head, _ := r.ReadString('\n'); head != "\r\n" && head != ""; head, _ = r.ReadString('\n') {
 			}
-			if strings.Contains(line, "/counters/slow") && spoilt.CompareAndSwap(false, true) {
+			if strings.Contains(line, "/counters/slow") && truncated.CompareAndSwap(false, true) {
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n1")
 				_, _ = io.Copy(io.Discard, conn)
 				return
@@ -204,42 +207,42 @@
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7")
 		}
 	})
-	c.lim.CounterPending, c.lim.CounterStuck = 8, 120*time.Millisecond
+	c.bounds.CounterPending, c.bounds.CounterStuck = 8, 120*time.Millisecond
 	c.conns = make([]*conn, 2)
-	c.fresh()
-	var ask func()
-	ask = func() {
+	c.replaceConns()
+	var addBoth func()
+	addBoth = func() {
 		c.Add("slow", 1, time.Second)
 		c.Add("fine", 1, time.Second)
-		d.l.After(20*time.Millisecond, ask)
+		sink.loop.After(20*time.Millisecond, addBoth)
 	}
-	d.l.After(0, ask)
-	began := d.l.Now()
+	sink.loop.After(0, addBoth)
+	start := sink.loop.Now()
 	answered := func() bool {
-		for _, ev := range d.got {
-			if ev.Name == "slow" && ev.Outcome == admission.OK {
+		for _, result := range sink.results {
+			if result.Name == "slow" && result.Outcome == admission.OK {
 				return true
 			}
 		}
 		return false
 	}
-	nettest.Until(t, d.l, answered)
-	require.True(t, answered(), "the stuck connection was kept")
-	require.True(t, spoilt.Load())
-	require.Less(t, d.l.Now()-began, c.lim.CounterSilence, "given up before its silence ran out")
+	nettest.Until(t, sink.loop, answered)
+	require.True(t, answered(), "the stuck connection was not closed")
+	require.True(t, truncated.Load())
+	require.Less(t, sink.loop.Now()-start, c.bounds.CounterSilence, "closed only after CounterSilence")
 }
 
-// Moves and changes of the number of connections in quick succession, each with calls out: every connection that is left
-// ends in its own time, with the calls that are out on it, and nothing is left of any.
-func TestConnectionsThatAreLeftInQuickSuccession(t *testing.T) {
+// Changes of address and of the number of connections in quick succession, each with a call in flight: every retired
+// connection must expire by its own timer and finish its calls, and none may stay in the list of retired ones.
+func TestRetiredConnectionsExpireIndependently(t *testing.T) {
 	hold := make(chan struct{})
 	t.Cleanup(func() { close(hold) })
 	silent := func(conn net.Conn) {
 		defer conn.Close()
 		<-hold
 	}
-	d, c := setUp(t, silent)
-	c.lim.CounterMove = 60 * time.Millisecond
+	sink, c := newTestClient(t, silent)
+	c.bounds.CounterMove = 60 * time.Millisecond
 	const moves = 6
 	moved := 0
 	var move func()
@@ -251,16 +254,16 @@
 			c.SetAddr(nettest.Serve(t, silent))
 		}
 		if moved < moves {
-			d.l.After(15*time.Millisecond, move)
+			sink.loop.After(15*time.Millisecond, move)
 		}
 	}
-	d.l.After(0, move)
-	d.each = func() {
-		if moved == moves && len(d.got) == moves && len(c.retired) == 0 {
-			d.l.Stop()
+	sink.loop.After(0, move)
+	sink.onTurn = func() {
+		if moved == moves && len(sink.results) == moves && len(c.retired) == 0 {
+			sink.loop.Stop()
 		}
 	}
-	d.l.After(5*time.Second, func() { t.Error("something is left"); d.l.Stop() })
-	require.NoError(t, d.l.Run(d))
-	require.Equal(t, slices.Repeat([]admission.Outcome{admission.TimedOut}, moves), outcomes(d.got))
+	sink.loop.After(5*time.Second, func() { t.Error("results are missing or retired connections remain"); sink.loop.Stop() })
+	require.NoError(t, sink.loop.Run(sink))
+	require.Equal(t, slices.Repeat([]admission.Outcome{admission.TimedOut}, moves), outcomes(sink.results))
 }
--- a/internal/net/counter/handover.go
+++ b/internal/net/counter/handover.go
@@ -2,53 +2,54 @@
 
 import "slices"
 
-// Drain closes every connection as soon as it owes no answer, and tells when none is left: the counter
-// holds only so many from one address, and another process of this ingress wants them. No call may be added
-// from then on, until Regain.
+// Drain closes each connection once it has no unanswered call, and calls done when all are closed. It is used during an
+// upgrade: the counter limits the connections from one address, and the new process of this ingress needs them. No call may
+// be added between Drain and Resume.
 func (c *Client) Drain(done func()) {
-	c.released = done
-	c.release()
+	c.onDrained = done
+	c.closeIdle()
 }
 
-// Resume takes calls again.
-func (c *Client) Resume() { c.released = nil }
+// Resume ends Drain, so that calls can be added again. If the connections are not all closed yet, done is not called.
+func (c *Client) Resume() { c.onDrained = nil }
 
-func (c *Client) release() {
-	if c.released == nil {
+// closeIdle closes the connections without unanswered calls and repeats itself until none is open or Resume is called.
+func (c *Client) closeIdle() {
+	if c.onDrained == nil {
 		return
 	}
-	left := 0
-	for _, k := range slices.Concat(c.conns, c.retired) { // a copy: what is closed leaves the list
+	open := 0
+	for _, cn := range slices.Concat(c.conns, c.retired) { // a copy, since close removes connections from retired
 		switch {
-		case k.src == nil:
-		case len(k.calls) == 0:
-			k.close()
+		case cn.source == nil:
+		case len(cn.calls) == 0:
+			cn.close()
 		default:
-			left++
+			open++
 		}
 	}
-	if left == 0 {
-		done := c.released
-		c.released = nil
+	if open == 0 {
+		done := c.onDrained
+		c.onDrained = nil
 		c.loop.After(0, done)
 		return
 	}
-	c.loop.After(releaseEvery, c.release)
+	c.loop.After(drainInterval, c.closeIdle)
 }
 
-// Resize changes the number of connections that new calls are spread over. As with a move, what is out ends
-// where it was made, and answers of a name keep the order of its calls.
+// Resize changes the number of connections that new calls are distributed over. Calls in flight complete on their old
+// connections, and results of a name keep the order of its calls.
 func (c *Client) Resize(n int) {
 	if n == len(c.conns) {
 		return
 	}
-	was := c.conns
+	previous := c.conns
 	c.conns = make([]*conn, n)
-	copied := copy(c.conns, was)
+	copied := copy(c.conns, previous)
 	for i := copied; i < n; i++ {
-		c.conns[i] = &conn{c: c}
+		c.conns[i] = &conn{client: c}
 	}
-	for _, k := range was[copied:] {
-		c.retire(k)
+	for _, cn := range previous[copied:] {
+		c.retire(cn)
 	}
 }
