--- a/internal/net/discovery/boot_test.go
+++ b/internal/net/discovery/boot_test.go
@@ -25,17 +25,17 @@
 				started += step
 			}
 			e := Entry{Started: started, ServerEntry: admission.ServerEntry{Name: "h", Boot: started}}
-			boot := w.boot(e)
+			boot := w.bootTime(e)
 			require.LessOrEqual(t, boot, now, "step %v", step)
 			require.GreaterOrEqual(t, boot, now-age-10*time.Millisecond, "step %v, the host's clock follows: %v", step, follows)
 			e.Boot = boot
 			w.known["h"] = e
 			l.SetOffset(0)
 			e.Boot = e.Started
-			require.Equal(t, boot, w.boot(e), "the same start as before")
+			require.Equal(t, boot, w.bootTime(e), "the same start as before")
 		}
 	}
 	l, err := loop.New()
 	require.NoError(t, err)
-	require.Zero(t, (&Watcher{loop: l}).boot(Entry{}), "long ago")
+	require.Zero(t, (&Watcher{loop: l}).bootTime(Entry{}), "long ago")
 }
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -37,7 +37,7 @@
 	Entries []Entry
 }
 
-var states = map[string]admission.ServerState{
+var stateNames = map[string]admission.ServerState{
 	"Ready": admission.Up, "Terminating": admission.Draining, "Gone": admission.Gone,
 }
 
@@ -45,7 +45,7 @@
 func ReadList(r settings.Reader) (List, error) {
 	list := List{Version: uint64(max(0, r.Int("version"))), Full: r.Bool("full")}
 	for _, e := range r.List("servers") {
-		state, ok := states[e.Text("state")]
+		state, ok := stateNames[e.Text("state")]
 		if !ok {
 			state = admission.Draining
 		}
@@ -74,74 +74,74 @@
 // Watcher follows discovery by one watch, opened anew whenever it ends or falls silent. While another is
 // being opened the present one is kept: it is given up once the other has told its first list.
 type Watcher struct {
-	loop  *loop.Loop
-	lim   limits.Limits
-	log   *slog.Logger
-	addr  string
-	sink  Sink
-	hosts Hosts
-	json  fastjson.Parser
-	rng   *rand.Rand // spreads what all ingresses of a fleet would do at one instant
-
-	known   map[string]Entry
-	drained map[string]bool // by the operators, whatever discovery says
-	version uint64
-	whole   bool // the next watch must begin with the whole list
-	told    bool // by discovery itself, since the start
-	failed  bool // a watch has, since the start
-	from    time.Duration
-	cur     *watch // the one whose news counts, nil when it is lost
-	next    *watch // being opened
-	again   *loop.Timer
-	backoff time.Duration
-	mute    int // watches in a row that were accepted and on which nothing was heard
-	lost    bool
-	lostAt  time.Duration // when that was last told to the operator,
-	badAt   time.Duration // and when of a message that can't be read
+	loop       *loop.Loop
+	bounds     limits.Limits
+	log        *slog.Logger
+	addr       string
+	sink       Sink
+	hosts      Hosts
+	jsonParser fastjson.Parser
+	rng        *rand.Rand // spreads what all ingresses of a fleet would do at one instant
+
+	known              map[string]Entry
+	drained            map[string]bool // by the operators, whatever discovery says
+	version            uint64
+	needsFullList      bool // the next watch must begin with the whole list
+	hasSynced          bool // by discovery itself, since the start
+	hasFailed          bool // a watch has, since the start
+	startedAt          time.Duration
+	active             *watch // the one whose news counts, nil when it is lost
+	next               *watch // being opened
+	dialTimer          *loop.Timer
+	backoff            time.Duration
+	silentWatches      int // watches in a row that were accepted and on which nothing was heard
+	lossReported       bool
+	lossLoggedAt       time.Duration // when that was last told to the operator,
+	parseErrorLoggedAt time.Duration // and when of a message that can't be read
 }
 
 // watch is one connection to discovery.
 type watch struct {
-	w       *Watcher
-	src     *loop.Source
-	parser  *http1.ResponseParser
-	up      bool
-	heard   bool // a byte of an answer has come
-	since   time.Duration
-	sign    time.Duration // when it was opened, or gave its last sign of life
-	out     []byte
-	frames  frames
-	silence *loop.Timer
+	watcher      *Watcher
+	source       *loop.Source
+	parser       *http1.ResponseParser
+	isConnected  bool
+	hasReceived  bool // a byte of an answer has come
+	openedAt     time.Duration
+	lastActivity time.Duration // when it was opened, or gave its last sign of life
+	unsent       []byte
+	framer       framer
+	silenceTimer *loop.Timer
 }
 
 // New returns a watcher that knows what was known before the start. Its first watch is opened at an instant
 // of its own within ClusterSpread, told by the seed: a fleet that is released starts as one.
 func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, addr string, sink Sink, hosts Hosts, known List,
 	seed uint64) *Watcher {
-	w := &Watcher{loop: l, lim: lim, log: log, addr: addr, sink: sink, hosts: hosts, known: map[string]Entry{},
-		from: l.Now(), rng: rand.New(rand.NewPCG(seed, seedOf))}
+	w := &Watcher{loop: l, bounds: lim, log: log, addr: addr, sink: sink, hosts: hosts, known: map[string]Entry{},
+		startedAt: l.Now(), rng: rand.New(rand.NewPCG(seed, rngStream))}
 	known.Full = true
 	w.apply(known, admission.ListCached)
 	if spread := w.rng.Float64() * float64(lim.ClusterSpread); spread >= 1 {
-		w.again = l.After(time.Duration(spread), w.dial)
+		w.dialTimer = l.After(time.Duration(spread), w.dial)
 		return w
 	}
 	w.dial()
 	return w
 }
 
-// seedOf keeps our random numbers apart from the decision module's, which has the same seed.
-const seedOf = 0x64697363
+// rngStream keeps our random numbers apart from the decision module's, which has the same seed.
+const rngStream = 0x64697363
 
 // IsReady tells whether the cluster is known: discovery has told it, or it has turned us away or stays silent and
 // the list from before the start has to do. To wait for more would keep a whole fleet that is released at once
 // out of service for as long as discovery is overbooked by it.
 func (w *Watcher) IsReady() bool {
-	return w.told || w.failed && len(w.known) > 0 || w.loop.Now()-w.from > w.lim.ReadyWait
+	return w.hasSynced || w.hasFailed && len(w.known) > 0 || w.loop.Now()-w.startedAt > w.bounds.ReadyWait
 }
 
 // HasSynced tells whether discovery itself has spoken since the start.
-func (w *Watcher) HasSynced() bool { return w.told }
+func (w *Watcher) HasSynced() bool { return w.hasSynced }
 
 // HostCount tells how many hosts are in the list as it stands.
 func (w *Watcher) HostCount() int { return len(w.known) }
@@ -159,7 +159,7 @@
 // Adopt tells the list as it stands once more, whole, to a sink that has begun anew. As long as discovery has
 // not spoken here, that is the list of the process before: it is newer than the one known from before a start.
 func (w *Watcher) Adopt(theirs List) {
-	if w.told {
+	if w.hasSynced {
 		theirs = w.Current()
 	}
 	theirs.Full = true
@@ -168,9 +168,9 @@
 
 // Refetch asks for the whole list. A watch that is already being opened serves for it, once it is asked anew.
 func (w *Watcher) Refetch() {
-	if !w.whole {
-		w.whole = true
-		w.retry("whole list asked for", w.loop.Now())
+	if !w.needsFullList {
+		w.needsFullList = true
+		w.scheduleRetry("whole list asked for", w.loop.Now())
 	}
 }
 
@@ -181,7 +181,7 @@
 		return
 	}
 	w.log.Debug("discovery moves", "from", w.addr, "to", addr)
-	w.addr, w.whole, w.backoff = addr, true, 0
+	w.addr, w.needsFullList, w.backoff = addr, true, 0
 	w.dial()
 }
 
@@ -193,8 +193,8 @@
 	named := map[string]bool{}
 	for i := range list.Entries {
 		e := &list.Entries[i]
-		e.Boot = w.boot(*e)
-		news.Servers = append(news.Servers, w.held(e.ServerEntry))
+		e.Boot = w.bootTime(*e)
+		news.Servers = append(news.Servers, w.withDrain(e.ServerEntry))
 		named[e.Name] = true
 	}
 	// The module hears of it first: what a host that leaves had not been sent yet is to go elsewhere.
@@ -202,7 +202,7 @@
 	w.sink.List(news)
 	for i, e := range list.Entries {
 		if e.State == admission.Gone {
-			w.gone(e.Name)
+			w.remove(e.Name)
 			continue
 		}
 		w.known[e.Name] = e
@@ -211,102 +211,102 @@
 	if list.Full { // who is absent from a whole list is gone
 		for name := range w.known {
 			if !named[name] {
-				w.gone(name)
+				w.remove(name)
 			}
 		}
 	}
 }
 
-func (w *Watcher) gone(name string) {
+func (w *Watcher) remove(name string) {
 	w.hosts.Gone(name)
 	delete(w.known, name)
 }
 
 // dial opens the next watch.
 func (w *Watcher) dial() {
-	w.again.Stop()
+	w.dialTimer.Stop()
 	w.next.close()
 	now := w.loop.Now()
-	x := &watch{w: w, parser: http1.NewResponseParser(w.lim.HeadBytes, w.lim.ClusterBytes, 0), since: now, sign: now}
+	x := &watch{watcher: w, parser: http1.NewResponseParser(w.bounds.HeadBytes, w.bounds.ClusterBytes, 0), openedAt: now, lastActivity: now}
 	w.next = nil
 	err := x.open()
 	switch {
 	case loop.OutOfResources(err): // of this machine: discovery was not asked, and is not spared by waiting
-		w.tell(err.Error())
-		w.again = w.loop.After(w.lim.BackoffFirst, w.dial)
+		w.reportLoss(err.Error())
+		w.dialTimer = w.loop.After(w.bounds.BackoffFirst, w.dial)
 		return
 	case err != nil:
-		w.retry(err.Error(), now)
+		w.scheduleRetry(err.Error(), now)
 		return
 	}
 	index := w.version
-	if w.whole {
+	if w.needsFullList {
 		index = 0
 	}
-	x.out = http1.AppendRequest(nil, "GET", "/discovery/hosts?stream=1&index="+strconv.FormatUint(index, 10),
+	x.unsent = http1.AppendRequest(nil, "GET", "/discovery/hosts?stream=1&index="+strconv.FormatUint(index, 10),
 		"discovery", nil, nil)
-	x.listen(w.lim.ClusterDial)
+	x.resetSilenceTimer(w.bounds.ClusterDial)
 	w.next = x
 }
 
 // open begins the watch's connection.
 func (x *watch) open() error {
-	fd, err := loop.Dial(x.w.addr)
+	fd, err := loop.Dial(x.watcher.addr)
 	if err != nil {
 		return err
 	}
-	if x.src, err = x.w.loop.Watch(fd, loop.Out|loop.Hangup, x); err != nil {
+	if x.source, err = x.watcher.loop.Watch(fd, loop.Out|loop.Hangup, x); err != nil {
 		loop.CloseFD(fd)
 	}
 	return err
 }
 
-// retry opens a watch after a while, longer with each failure in a row, at a random instant of that while.
+// scheduleRetry opens a watch after a while, longer with each failure in a row, at a random instant of that while.
 // Discovery is one service for all ingresses: asked by all of them again and again it answers none in time,
 // and none of them ever hears the list. However often that failed, the while ends within ClusterApart of the last
 // sign of life, or of the last try: discovery may have had a change ever since, which counts as told soon after.
-func (w *Watcher) retry(why string, sign time.Duration) {
-	w.tell(why)
-	w.backoff = min(max(2*w.backoff, w.lim.ClusterFirst), w.lim.ClusterMost)
-	most := max(w.lim.BackoffFirst, min(w.backoff, sign+w.lim.ClusterApart-w.loop.Now()))
-	w.again.Stop()
-	w.again = w.loop.After(time.Duration((0.1+0.9*w.rng.Float64())*float64(most)), w.dial)
+func (w *Watcher) scheduleRetry(why string, sign time.Duration) {
+	w.reportLoss(why)
+	w.backoff = min(max(2*w.backoff, w.bounds.ClusterFirst), w.bounds.ClusterMost)
+	most := max(w.bounds.BackoffFirst, min(w.backoff, sign+w.bounds.ClusterApart-w.loop.Now()))
+	w.dialTimer.Stop()
+	w.dialTimer = w.loop.After(time.Duration((0.1+0.9*w.rng.Float64())*float64(most)), w.dial)
 }
 
-// reopen opens a watch in place of one that was heard and is lost, or that nothing was heard on, as soon as a first
+// scheduleReopen opens a watch in place of one that was heard and is lost, or that nothing was heard on, as soon as a first
 // one: what discovery has told since counts as told here, and nothing says that it is overbooked. Once it has turned
 // us away, or broken off, retry spaces out all further ones. One that ends as soon as it is open is not dialled
 // at once.
-func (w *Watcher) reopen(x *watch, why string) {
+func (w *Watcher) scheduleReopen(x *watch, why string) {
 	if w.backoff > 0 {
-		w.retry(why, x.sign)
+		w.scheduleRetry(why, x.lastActivity)
 		return
 	}
-	w.tell(why)
-	w.again.Stop()
-	wait := time.Duration(w.rng.Float64() * float64(w.lim.ClusterSpread))
-	w.again = w.loop.At(max(w.loop.Now()+wait, x.since+w.lim.BackoffFirst), w.dial)
+	w.reportLoss(why)
+	w.dialTimer.Stop()
+	wait := time.Duration(w.rng.Float64() * float64(w.bounds.ClusterSpread))
+	w.dialTimer = w.loop.At(max(w.loop.Now()+wait, x.openedAt+w.bounds.BackoffFirst), w.dial)
 }
 
-// tell tells the operator of the first loss of a spell, and of no more spells than are worth reading.
-func (w *Watcher) tell(why string) {
-	w.failed = true
-	if now := w.loop.Now(); w.cur == nil && !w.lost && (w.lostAt == 0 || now-w.lostAt > logEvery) {
-		w.lost, w.lostAt = true, now
+// reportLoss tells the operator of the first loss of a spell, and of no more spells than are worth reading.
+func (w *Watcher) reportLoss(why string) {
+	w.hasFailed = true
+	if now := w.loop.Now(); w.active == nil && !w.lossReported && (w.lossLoggedAt == 0 || now-w.lossLoggedAt > logInterval) {
+		w.lossReported, w.lossLoggedAt = true, now
 		w.log.Warn("discovery watch lost", "cause", why)
 	}
 }
 
-// logEvery: discovery that breaks off again and again is told of so often.
-const logEvery = 10 * time.Second
+// logInterval: discovery that breaks off again and again is told of so often.
+const logInterval = 10 * time.Second
 
-// spoke tells that a watch has brought something that can be read.
-func (w *Watcher) spoke(x *watch) {
-	if w.loop.Now()-x.since > w.lim.BackoffMost { // one that breaks off at once is not dialled faster for it
+// recordSuccess tells that a watch has brought something that can be read.
+func (w *Watcher) recordSuccess(x *watch) {
+	if w.loop.Now()-x.openedAt > w.bounds.BackoffMost { // one that breaks off at once is not dialled faster for it
 		w.backoff = 0
 	}
-	if w.lost {
-		w.lost = false
+	if w.lossReported {
+		w.lossReported = false
 		w.log.Info("discovery watch restored")
 	}
 }
@@ -314,67 +314,67 @@
 // close ends a watch. It is safe on nil.
 func (x *watch) close() {
 	if x != nil {
-		x.silence.Stop()
-		x.src.Close()
+		x.silenceTimer.Stop()
+		x.source.Close()
 	}
 }
 
 // fail ends a watch that is of no further use. It reports what it was to its watcher, which opens another
 // unless one is on its way.
 func (x *watch) fail(why string) {
-	x.w.log.Debug("discovery watch closed", "cause", why, "up", x.up, "heard", x.heard, "counts", x == x.w.cur)
+	x.watcher.log.Debug("discovery watch closed", "cause", why, "up", x.isConnected, "heard", x.hasReceived, "counts", x == x.watcher.active)
 	x.close()
-	switch w := x.w; x {
+	switch w := x.watcher; x {
 	case w.next:
-		if w.next = nil; why == silent && x.up {
-			if !x.heard {
-				w.mute++
+		if w.next = nil; why == causeSilent && x.isConnected {
+			if !x.hasReceived {
+				w.silentWatches++
 			}
-			w.reopen(x, why)
+			w.scheduleReopen(x, why)
 		} else {
-			w.retry(why, x.sign)
+			w.scheduleRetry(why, x.lastActivity)
 		}
-	case w.cur:
-		w.cur = nil
+	case w.active:
+		w.active = nil
 		if w.next == nil {
-			w.reopen(x, why)
+			w.scheduleReopen(x, why)
 		}
 	}
 }
 
-// firstMost is how long a watch may take to begin its answer: longer with each in a row that did not, so
+// firstByteTimeout is how long a watch may take to begin its answer: longer with each in a row that did not, so
 // that discovery that has become slow is heard all the same.
-func (w *Watcher) firstMost() time.Duration {
-	return min(w.lim.ClusterAnswer<<min(w.mute, 8), w.lim.ClusterSilence)
+func (w *Watcher) firstByteTimeout() time.Duration {
+	return min(w.bounds.ClusterAnswer<<min(w.silentWatches, 8), w.bounds.ClusterSilence)
 }
 
-// silent is the cause of a watch's end on which no sign of life came in time.
-const silent = "silent"
+// causeSilent is the cause of a watch's end on which no sign of life came in time.
+const causeSilent = "silent"
 
-// listen begins to wait for the next sign of life.
-func (x *watch) listen(most time.Duration) {
-	x.silence.Stop()
-	x.silence = x.w.loop.After(most, func() { x.fail(silent) })
+// resetSilenceTimer begins to wait for the next sign of life.
+func (x *watch) resetSilenceTimer(most time.Duration) {
+	x.silenceTimer.Stop()
+	x.silenceTimer = x.watcher.loop.After(most, func() { x.fail(causeSilent) })
 }
 
 // Ready goes on with the watch.
 func (x *watch) Ready(events uint32) {
-	if !x.up {
-		if err := loop.Dialled(x.src.FD()); err != nil {
+	if !x.isConnected {
+		if err := loop.Dialled(x.source.FD()); err != nil {
 			x.fail(err.Error())
 			return
 		}
-		x.up = true
-		x.listen(x.w.firstMost())
+		x.isConnected = true
+		x.resetSilenceTimer(x.watcher.firstByteTimeout())
 	}
-	if len(x.out) > 0 {
-		n, err := loop.Write(x.src.FD(), x.out)
+	if len(x.unsent) > 0 {
+		n, err := loop.Write(x.source.FD(), x.unsent)
 		if err != nil {
 			x.fail(err.Error())
 			return
 		}
-		if x.out = x.out[n:]; len(x.out) == 0 {
-			x.src.Want(loop.In | loop.Hangup)
+		if x.unsent = x.unsent[n:]; len(x.unsent) == 0 {
+			x.source.Want(loop.In | loop.Hangup)
 		}
 	}
 	if events&(loop.In|loop.Hangup) != 0 {
@@ -384,8 +384,8 @@
 
 // read takes what one read brings: whatever discovery sends, the other connections have their turns.
 func (x *watch) read() {
-	buf := x.w.loop.Buf()
-	n, err := loop.Read(x.src.FD(), buf)
+	buf := x.watcher.loop.Buf()
+	n, err := loop.Read(x.source.FD(), buf)
 	if errors.Is(err, loop.ErrAgain) {
 		return
 	}
@@ -393,8 +393,8 @@
 		x.fail(err.Error())
 		return
 	}
-	x.heard, x.sign, x.w.mute = true, x.w.loop.Now(), 0
-	x.listen(x.w.lim.ClusterSilence)
+	x.hasReceived, x.lastActivity, x.watcher.silentWatches = true, x.watcher.loop.Now(), 0
+	x.resetSilenceTimer(x.watcher.bounds.ClusterSilence)
 	x.parser.Feed(buf[:n])
 	resp, err := x.parser.Next()
 	if err != nil {
@@ -403,68 +403,68 @@
 	}
 	if resp != nil { // a watch has no end while all is well
 		if resp.Status == 200 {
-			x.lines(resp.Body)
+			x.readMessages(resp.Body)
 		}
 		x.fail(fmt.Sprintf("watch ended with status %d", resp.Status))
 		return
 	}
 	if status, body := x.parser.Partial(); status == 200 {
-		x.lines(body)
+		x.readMessages(body)
 	}
 }
 
-// lines reads the messages that are whole. What can't be read changes nothing: its connection is ended, and the
+// readMessages reads the messages that are whole. What can't be read changes nothing: its connection is ended, and the
 // whole list asked for on another.
-func (x *watch) lines(body []byte) {
-	w := x.w
-	x.frames.feed(body)
-	for x.src.FD() >= 0 {
-		message, err := x.frames.next()
+func (x *watch) readMessages(body []byte) {
+	w := x.watcher
+	x.framer.feed(body)
+	for x.source.FD() >= 0 {
+		message, err := x.framer.next()
 		if err == nil && message == nil {
-			if x.frames.waiting() > w.lim.ClusterBytes {
-				x.spoilt(errors.New("a message without end"))
+			if x.framer.buffered() > w.bounds.ClusterBytes {
+				x.rejectMessage(errors.New("a message without end"))
 			}
 			return
 		}
 		if err == nil && len(message) == 0 {
-			w.spoke(x)
+			w.recordSuccess(x)
 			continue
 		}
 		var list List
 		if err == nil {
 			var v *fastjson.Value
-			if v, err = w.json.ParseBytes(message); err == nil {
+			if v, err = w.jsonParser.ParseBytes(message); err == nil {
 				list, err = ReadList(settings.NewReader(v, ""))
 			}
 		}
 		if err != nil {
-			x.spoilt(err)
+			x.rejectMessage(err)
 			return
 		}
-		if len(message) > parserKeeps {
-			w.json = fastjson.Parser{}
+		if len(message) > maxRetainedMessage {
+			w.jsonParser = fastjson.Parser{}
 		}
-		w.spoke(x)
+		w.recordSuccess(x)
 		if x == w.next {
-			w.cur.close()
-			w.cur, w.next, w.whole = x, nil, false
+			w.active.close()
+			w.active, w.next, w.needsFullList = x, nil, false
 		}
-		w.told = true
+		w.hasSynced = true
 		w.apply(list, admission.ListChanges)
 	}
 }
 
-// parserKeeps bounds the message, in bytes, whose memory the parser keeps for the next one. It needs about 34 times as
+// maxRetainedMessage bounds the message, in bytes, whose memory the parser keeps for the next one. It needs about 34 times as
 // much as the message: 29 MB for a whole list of 7,200 hosts, which comes seldom.
-const parserKeeps = 64 << 10
+const maxRetainedMessage = 64 << 10
 
-// spoilt ends a watch that has brought what can't be read.
-func (x *watch) spoilt(err error) {
-	w := x.w
-	if now := w.loop.Now(); w.badAt == 0 || now-w.badAt > logEvery {
-		w.badAt = now
+// rejectMessage ends a watch that has brought what can't be read.
+func (x *watch) rejectMessage(err error) {
+	w := x.watcher
+	if now := w.loop.Now(); w.parseErrorLoggedAt == 0 || now-w.parseErrorLoggedAt > logInterval {
+		w.parseErrorLoggedAt = now
 		w.log.Warn("discovery message not read", "cause", err)
 	}
-	w.whole, w.backoff = true, max(w.backoff, w.lim.BackoffFirst)
+	w.needsFullList, w.backoff = true, max(w.backoff, w.bounds.BackoffFirst)
 	x.fail("a message that can't be read")
 }
--- a/internal/net/discovery/drain.go
+++ b/internal/net/discovery/drain.go
@@ -18,7 +18,7 @@
 	news := admission.ServerList{Kind: admission.ListChanges, Version: w.version}
 	for name, e := range w.known {
 		if e.State == admission.Up && before[name] != w.drained[name] {
-			news.Servers = append(news.Servers, w.held(e.ServerEntry))
+			news.Servers = append(news.Servers, w.withDrain(e.ServerEntry))
 		}
 	}
 	if len(news.Servers) > 0 {
@@ -32,8 +32,8 @@
 	}
 }
 
-// held is what is told of a host.
-func (w *Watcher) held(e admission.ServerEntry) admission.ServerEntry {
+// withDrain is what is told of a host.
+func (w *Watcher) withDrain(e admission.ServerEntry) admission.ServerEntry {
 	if e.State == admission.Up && w.drained[e.Name] {
 		e.State = admission.Draining
 	}
--- a/internal/net/discovery/frames_test.go
+++ b/internal/net/discovery/frames_test.go
@@ -17,7 +17,7 @@
 
 // read tells what is read of bytes that come in pieces: messages, a dot for a sign of life, the cause of an end.
 func read(pieces ...string) (got []string) {
-	var f frames
+	var f framer
 	for _, p := range pieces {
 		f.feed([]byte(p))
 		for {
@@ -60,14 +60,14 @@
 	for cut := 1; cut < len(oneLine); cut++ {
 		got := read(oneLine[:cut] + "\n" + strings.Replace(oneLine, ":2,", ":3,", 1) + "\n")
 		require.Len(t, got, 1, cut)
-		require.Equal(t, errCut.Error(), got[0], oneLine[:cut])
+		require.Equal(t, errTruncated.Error(), got[0], oneLine[:cut])
 	}
 	for cut := 1; cut < len(indented); cut++ {
 		got := read(indented[:cut] + "\n\n\n")
-		require.Equal(t, []string{errCut.Error()}, got, indented[:cut])
+		require.Equal(t, []string{errTruncated.Error()}, got, indented[:cut])
 	}
-	require.Equal(t, []string{errNoStart.Error()}, read("]\n"))
-	require.Equal(t, []string{oneLine, errNoStart.Error()}, read(oneLine+"x\n"))
+	require.Equal(t, []string{errNotObject.Error()}, read("]\n"))
+	require.Equal(t, []string{oneLine, errNotObject.Error()}, read(oneLine+"x\n"))
 }
 
 func FuzzFrames(f *testing.F) {
--- a/internal/net/mgmt/mgmt.go
+++ b/internal/net/mgmt/mgmt.go
@@ -22,159 +22,159 @@
 // Endpoint is a listener with its callers. They are served first in each turn of the loop, and their descriptors are theirs:
 // no number of clients keeps an operator out.
 type Endpoint struct {
-	loop    *loop.Loop
-	lim     limits.Limits
-	log     *slog.Logger
-	handler Handler
-	ln      *loop.Source
-	calls   []*caller     // the one that has waited longest first
-	told    time.Duration // when a failure to accept was last told
+	loop            *loop.Loop
+	bounds          limits.Limits
+	log             *slog.Logger
+	handler         Handler
+	listener        *loop.Source
+	conns           []*conn       // the one that has waited longest first
+	failureLoggedAt time.Duration // when a failure to accept was last told
 }
 
 // Open listens at an address.
 func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, addr string, o Handler) (*Endpoint, error) {
-	d := &Endpoint{loop: l, lim: lim, log: log, handler: o}
+	d := &Endpoint{loop: l, bounds: lim, log: log, handler: o}
 	fd, err := loop.ListenBeside(addr) // a successor opens it before we close it
 	if err != nil {
 		return nil, err
 	}
-	if d.ln, err = l.Watch(fd, loop.In, d); err != nil {
+	if d.listener, err = l.Watch(fd, loop.In, d); err != nil {
 		loop.CloseFD(fd)
 		return nil, err
 	}
-	d.ln.First()
+	d.listener.First()
 	return d, nil
 }
 
 // Close takes no more callers. It is safe on nil.
 func (d *Endpoint) Close() {
 	if d != nil {
-		d.ln.Close()
+		d.listener.Close()
 	}
 }
 
-// logEvery: accepting that fails again and again is told of so often.
-const logEvery = 10 * time.Second
+// logInterval: accepting that fails again and again is told of so often.
+const logInterval = 10 * time.Second
 
 // Ready accepts who waits. Callers that say nothing must not shut out the next: where all places are taken, the
 // one that has been there longest goes.
 func (d *Endpoint) Ready(uint32) {
-	for range d.lim.Accepts {
-		fd, err := loop.Accept(d.ln.FD())
+	for range d.bounds.Accepts {
+		fd, err := loop.Accept(d.listener.FD())
 		if errors.Is(err, loop.ErrAgain) {
 			return
 		}
 		if err != nil {
-			if now := d.loop.Now(); d.told == 0 || now-d.told > logEvery {
-				d.told = now
+			if now := d.loop.Now(); d.failureLoggedAt == 0 || now-d.failureLoggedAt > logInterval {
+				d.failureLoggedAt = now
 				d.log.Warn("operators' door: accept failed", "error", err)
 			}
 			return
 		}
-		if len(d.calls) >= d.lim.Callers {
-			d.calls[0].close()
+		if len(d.conns) >= d.bounds.Callers {
+			d.conns[0].close()
 		}
-		c := &caller{d: d}
-		if c.src, err = d.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
+		c := &conn{endpoint: d}
+		if c.source, err = d.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
 			loop.CloseFD(fd)
 			return
 		}
-		c.src.First()
-		c.timer = d.loop.After(d.lim.CallerTime, c.close)
-		d.calls = append(d.calls, c)
+		c.source.First()
+		c.timer = d.loop.After(d.bounds.CallerTime, c.close)
+		d.conns = append(d.conns, c)
 	}
 }
 
-// caller is one connection: it says one line and gets one answer.
-type caller struct {
-	d     *Endpoint
-	src   *loop.Source
-	timer *loop.Timer
-	line  []byte
-	out   []byte
-	done  bool // answered; what still comes is dropped
+// conn is one connection: it says one line and gets one answer.
+type conn struct {
+	endpoint   *Endpoint
+	source     *loop.Source
+	timer      *loop.Timer
+	line       []byte
+	unsent     []byte
+	isAnswered bool // answered; what still comes is dropped
 }
 
 // Ready reads the line, or writes what is left of the answer.
-func (c *caller) Ready(events uint32) {
-	if events&loop.Out != 0 && len(c.out) > 0 && !c.flush() {
+func (c *conn) Ready(events uint32) {
+	if events&loop.Out != 0 && len(c.unsent) > 0 && !c.flush() {
 		return
 	}
 	if events&(loop.In|loop.Hangup) == 0 {
 		return
 	}
-	buf := c.d.loop.Buf()
-	n, err := loop.Read(c.src.FD(), buf)
+	buf := c.endpoint.loop.Buf()
+	n, err := loop.Read(c.source.FD(), buf)
 	if errors.Is(err, loop.ErrAgain) {
 		return
 	}
 	if err != nil { // it has ended its side; one that still waits for its answer gets it
-		if c.done && len(c.out) > 0 && events&loop.Broken == 0 {
-			c.src.Want(loop.Out)
+		if c.isAnswered && len(c.unsent) > 0 && events&loop.Broken == 0 {
+			c.source.Want(loop.Out)
 			return
 		}
 		c.close()
 		return
 	}
-	if c.done {
+	if c.isAnswered {
 		return
 	}
-	most := c.d.lim.CallerBytes
+	most := c.endpoint.bounds.CallerBytes
 	c.line = append(c.line, buf[:min(n, most+1-len(c.line))]...)
 	i := bytes.IndexByte(c.line, '\n')
 	switch {
 	case i >= 0:
-		c.answer(c.line[:i])
+		c.respond(c.line[:i])
 	case len(c.line) > most:
-		c.answer(nil)
+		c.respond(nil)
 	}
 }
 
-// answer answers one line; what comes behind it is dropped.
-func (c *caller) answer(line []byte) {
-	c.done = true
+// respond answers one line; what comes behind it is dropped.
+func (c *conn) respond(line []byte) {
+	c.isAnswered = true
 	switch string(bytes.TrimSuffix(line, []byte("\r"))) {
 	case "STATUS":
 		word := "200 ready"
-		if !c.d.handler.IsReady() {
+		if !c.endpoint.handler.IsReady() {
 			word = "400 not ready"
 		}
-		c.out = []byte(word + c.d.handler.StatusDetails() + "\n")
+		c.unsent = []byte(word + c.endpoint.handler.StatusDetails() + "\n")
 	case "METRICS":
-		c.out = append(c.d.handler.AppendMetrics(nil), "EOF\n"...)
+		c.unsent = append(c.endpoint.handler.AppendMetrics(nil), "EOF\n"...)
 	default:
-		c.out = []byte("400 no such call\n")
+		c.unsent = []byte("400 no such call\n")
 	}
 	c.flush()
 }
 
 // flush writes what there is room for and then ends our side. It tells whether the connection still stands.
-func (c *caller) flush() bool {
-	n, err := loop.Write(c.src.FD(), c.out)
+func (c *conn) flush() bool {
+	n, err := loop.Write(c.source.FD(), c.unsent)
 	if err != nil {
 		c.close()
 		return false
 	}
-	if c.out = c.out[n:]; len(c.out) > 0 {
-		c.src.Want(loop.In | loop.Out | loop.Hangup)
+	if c.unsent = c.unsent[n:]; len(c.unsent) > 0 {
+		c.source.Want(loop.In | loop.Out | loop.Hangup)
 		return true
 	}
 	// To close on bytes not read would reset the connection and could destroy the answer on its way, so the
 	// caller's own end is waited for.
-	if err := loop.EndSending(c.src.FD()); err != nil {
+	if err := loop.EndSending(c.source.FD()); err != nil {
 		c.close()
 		return false
 	}
-	c.src.Want(loop.In | loop.Hangup)
+	c.source.Want(loop.In | loop.Hangup)
 	return true
 }
 
-func (c *caller) close() {
+func (c *conn) close() {
 	c.timer.Stop()
-	c.src.Close()
-	for i, o := range c.d.calls {
+	c.source.Close()
+	for i, o := range c.endpoint.conns {
 		if o == c {
-			c.d.calls = append(c.d.calls[:i], c.d.calls[i+1:]...)
+			c.endpoint.conns = append(c.endpoint.conns[:i], c.endpoint.conns[i+1:]...)
 			break
 		}
 	}
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -24,23 +24,23 @@
 
 // Transport is the transport of one member, and drives its node.
 type Transport struct {
-	loop   *loop.Loop
-	lim    limits.Limits
-	log    *slog.Logger
-	node   *membership.Node
-	src    *loop.Source
-	addrs  map[string]loop.To
-	timer  *loop.Timer
-	every  time.Duration
-	counts Counts
-	told   time.Duration
-	second time.Duration // that is being counted,
-	taken  int           // and what was taken in of it
-	seen   uint64        // version of the view as last told
-	change func(now time.Duration)
-	mark   byte
-	other  func(b []byte) error
-	reach  func(name string) bool
+	loop            *loop.Loop
+	bounds          limits.Limits
+	log             *slog.Logger
+	node            *membership.Node
+	source          *loop.Source
+	addrs           map[string]loop.To
+	timer           *loop.Timer
+	tickInterval    time.Duration
+	counts          Counts
+	dropLoggedAt    time.Duration
+	window          time.Duration // that is being counted,
+	windowCount     int           // and what was taken in of it
+	reportedVersion uint64        // version of the view as last told
+	onChange        func(now time.Duration)
+	appPrefix       byte
+	onAppMessage    func(b []byte) error
+	isReachable     func(name string) bool
 }
 
 // Config says where a member is and where the others are, by name. Every is between ticks of the node; Change is
@@ -58,8 +58,8 @@
 
 // Open begins to listen, and joins by all the others.
 func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, node *membership.Node, c Config) (*Transport, error) {
-	p := &Transport{loop: l, lim: lim, log: log, node: node, addrs: map[string]loop.To{}, every: c.TickInterval, change: c.OnChange,
-		mark: c.AppPrefix, other: c.OnAppMessage, reach: c.IsReachable}
+	p := &Transport{loop: l, bounds: lim, log: log, node: node, addrs: map[string]loop.To{}, tickInterval: c.TickInterval, onChange: c.OnChange,
+		appPrefix: c.AppPrefix, onAppMessage: c.OnAppMessage, isReachable: c.IsReachable}
 	var seeds []string
 	for name, addr := range c.Addrs {
 		to, err := loop.ParseTo(addr)
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	if p.src, err = l.Watch(fd, loop.In, p); err != nil {
+	if p.source, err = l.Watch(fd, loop.In, p); err != nil {
 		loop.CloseFD(fd)
 		return nil, err
 	}
@@ -98,26 +98,26 @@
 func (p *Transport) Close() {
 	if p != nil {
 		p.timer.Stop()
-		p.src.Close()
+		p.source.Close()
 	}
 }
 
 func (p *Transport) tick() {
-	p.timer = p.loop.After(p.every, p.tick)
+	p.timer = p.loop.After(p.tickInterval, p.tick)
 	p.handle(membership.Tick{})
-	p.change(p.loop.Now())
+	p.onChange(p.loop.Now())
 }
 
 // Ready reads what has come, so many datagrams a turn: the others have theirs. Beyond the bound a second they
 // are read and dropped, so that a flood costs little and old news does not queue before the new.
 func (p *Transport) Ready(uint32) {
 	now := p.loop.Now()
-	if s := now.Truncate(time.Second); s != p.second {
-		p.second, p.taken = s, 0
+	if s := now.Truncate(time.Second); s != p.window {
+		p.window, p.windowCount = s, 0
 	}
 	buf := p.loop.Buf()[:membership.Datagram+1]
-	for range p.lim.Datagrams {
-		n, err := loop.Receive(p.src.FD(), buf)
+	for range p.bounds.Datagrams {
+		n, err := loop.Receive(p.source.FD(), buf)
 		if errors.Is(err, loop.ErrAgain) {
 			break
 		}
@@ -125,28 +125,28 @@
 			continue
 		}
 		p.counts.ReceivedBytes += uint64(n)
-		if p.taken >= p.lim.DatagramsSecond {
+		if p.windowCount >= p.bounds.DatagramsSecond {
 			p.counts.Dropped++
 			continue
 		}
-		if err := p.take(buf[:n]); errors.Is(err, errCut) {
+		if err := p.dispatch(buf[:n]); errors.Is(err, errUnreachable) {
 			continue
 		} else if err != nil {
-			p.drop("peer message not read", err)
+			p.recordDrop("peer message not read", err)
 			continue
 		}
-		p.taken++
+		p.windowCount++
 		p.counts.Received++
 	}
-	if v := p.node.View().Version; v != p.seen {
-		p.seen = v
-		p.change(now)
+	if v := p.node.View().Version; v != p.reportedVersion {
+		p.reportedVersion = v
+		p.onChange(now)
 	}
 }
 
-func (p *Transport) take(b []byte) error {
-	if p.other != nil && len(b) > 0 && b[0] == p.mark {
-		return p.other(b)
+func (p *Transport) dispatch(b []byte) error {
+	if p.onAppMessage != nil && len(b) > 0 && b[0] == p.appPrefix {
+		return p.onAppMessage(b)
 	}
 	msg, err := membership.Parse(b)
 	if err == nil {
@@ -164,14 +164,14 @@
 	if _, ok := p.addrs[name]; !ok {
 		return fmt.Errorf("sender %.16q is not among peers", name)
 	}
-	if p.reach != nil && !p.reach(name) {
-		return errCut
+	if p.isReachable != nil && !p.isReachable(name) {
+		return errUnreachable
 	}
 	return nil
 }
 
-// errCut tells that a message would not have come through.
-var errCut = errors.New("cut off")
+// errUnreachable tells that a message would not have come through.
+var errUnreachable = errors.New("cut off")
 
 func (p *Transport) handle(ev membership.Event) {
 	for _, s := range p.node.Handle(p.loop.Now(), ev) {
@@ -183,13 +183,13 @@
 func (p *Transport) Send(name string, b []byte) {
 	to, ok := p.addrs[name]
 	if !ok {
-		p.drop("peer message not sent", fmt.Errorf("no address of %s", name))
+		p.recordDrop("peer message not sent", fmt.Errorf("no address of %s", name))
 		return
 	}
-	if p.reach != nil && !p.reach(name) {
+	if p.isReachable != nil && !p.isReachable(name) {
 		return
 	}
-	if err := loop.SendTo(p.src.FD(), b, to); err != nil {
+	if err := loop.SendTo(p.source.FD(), b, to); err != nil {
 		p.counts.Dropped++ // as if lost on its way
 		return
 	}
@@ -197,13 +197,13 @@
 	p.counts.SentBytes += uint64(len(b))
 }
 
-// logEvery: messages that can't be read or sent are told of so often.
-const logEvery = 10 * time.Second
+// logInterval: messages that can't be read or sent are told of so often.
+const logInterval = 10 * time.Second
 
-func (p *Transport) drop(what string, cause error) {
+func (p *Transport) recordDrop(what string, cause error) {
 	p.counts.Dropped++
-	if now := p.loop.Now(); p.told == 0 || now-p.told > logEvery {
-		p.told = now
+	if now := p.loop.Now(); p.dropLoggedAt == 0 || now-p.dropLoggedAt > logInterval {
+		p.dropLoggedAt = now
 		p.log.Warn(what, "cause", cause)
 	}
 }
--- a/internal/net/peers/peers_test.go
+++ b/internal/net/peers/peers_test.go
@@ -113,7 +113,7 @@
 	p, listen := open(t, l, 100, map[string]string{"1": peer.LocalAddr().String()})
 	require.Equal(t, membership.JoinRequest, read(t, peer).Kind)
 	cut := true
-	p.reach = func(name string) bool { return name != "1" || !cut }
+	p.isReachable = func(name string) bool { return name != "1" || !cut }
 	ping := membership.Append(nil, membership.Message{Kind: membership.Ping, From: "1", Seq: 1})
 	sent := p.Counts().SentBytes
 	_, err = peer.WriteToUDP(ping, listen)
