--- a/internal/capacity/server_list.go
+++ b/internal/capacity/server_list.go
@@ -89,8 +89,8 @@
 // measureListHeap is the heap that a list takes in the watch, the upstream pool and the decision module, in MB.
 func measureListHeap(_ context.Context, servers int) (float64, error) {
 	holders, heap, err := heapOf(func() (*listHolders, error) { return newListHolders(servers) })
-	if err == nil && holders.watcher.Listed() != servers {
-		err = fmt.Errorf("%d servers are listed", holders.watcher.Listed())
+	if err == nil && holders.watcher.HostCount() != servers {
+		err = fmt.Errorf("%d servers are listed", holders.watcher.HostCount())
 	}
 	return heap / 1e6, err
 }
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -30,13 +30,13 @@
 // adminHandler answers operators for a daemon.
 type adminHandler struct{ d *Daemon }
 
-// Ready tells whether a client's request would be served here.
-func (o adminHandler) Ready() bool {
+// IsReady tells whether a client's request would be served here.
+func (o adminHandler) IsReady() bool {
 	return o.d.known() && o.d.server.Serving()
 }
 
-// About tells the version of the settings, where they have one.
-func (o adminHandler) About() string {
+// StatusDetails tells the version of the settings, where they have one.
+func (o adminHandler) StatusDetails() string {
 	f := o.d.version()
 	switch {
 	case f.Newest == 0:
@@ -63,10 +63,10 @@
 	return f
 }
 
-// Metrics appends the figures as they stand.
-func (o adminHandler) Metrics(room []byte) []byte {
+// AppendMetrics appends the figures as they stand.
+func (o adminHandler) AppendMetrics(room []byte) []byte {
 	d := o.d
-	room = d.figures.Append(room, figures.Present{InFlight: d.core.Taken() + d.server.Relaying(), Listed: d.watcher.Listed(),
+	room = d.figures.Append(room, figures.Present{InFlight: d.core.Taken() + d.server.Relaying(), Listed: d.watcher.HostCount(),
 		Down: d.module.Avoided(d.loop.Now())})
 	room = figures.AppendRules(room, d.version())
 	if d.group != nil {
--- a/internal/daemon/agreement.go
+++ b/internal/daemon/agreement.go
@@ -123,7 +123,7 @@
 		}
 	}
 	if s := d.drainedSource(); s != nil && d.actingChanged(s, "drained list version") {
-		d.watcher.Drain(a.drainedHosts())
+		d.watcher.SetDrained(a.drainedHosts())
 	}
 }
 
@@ -206,7 +206,7 @@
 
 // known tells whether requests may be served: the cluster is known, and so are the versions that others act on.
 func (d *Daemon) known() bool {
-	return d.watcher.Known() && (d.agreement == nil || d.agreement.ready)
+	return d.watcher.IsReady() && (d.agreement == nil || d.agreement.ready)
 }
 
 // versionsKnown makes the ingress ready as far as its versions go.
@@ -259,7 +259,7 @@
 	if d.settingsSource() == nil {
 		now, err := d.combined(to)
 		if err == nil && d.drainedSource() == nil {
-			d.watcher.Drain(to.Drained)
+			d.watcher.SetDrained(to.Drained)
 		}
 		if err != nil || d.agreement == nil {
 			done(now, err)
@@ -279,7 +279,7 @@
 			return
 		}
 		if d.drainedSource() != nil {
-			d.watcher.Drain(d.agreement.drainedHosts())
+			d.watcher.SetDrained(d.agreement.drainedHosts())
 		}
 		done(d.combined(to))
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -254,7 +254,7 @@
 		d.core.UseCounter(d.counter)
 	}
 	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.hosts, cfg.Known, cfg.Seed)
-	d.watcher.Drain(cfg.Drained)
+	d.watcher.SetDrained(cfg.Drained)
 	d.server = downstream.New(l, cfg.Limits, d.log)
 	first := platform.New(d.core, cfg.Settings, d.known)
 	d.fronts = append(d.fronts, opening{cfg.Listen, first, func() {}, first.Follow})
@@ -272,7 +272,7 @@
 
 // secondFront is the front that a file describes, beside the platform's.
 func (d *Daemon) secondFront(file openapi.File, table *routes.Table, stamp openapi.Stamp) opening {
-	f := openapi.New(d.core, d.cfg.Settings, file, table, d.watcher.Known, d.log)
+	f := openapi.New(d.core, d.cfg.Settings, file, table, d.watcher.IsReady, d.log)
 	settings := &atomic.Pointer[admission.Settings]{} // read by the reloader's goroutine
 	start := d.cfg.Settings
 	settings.Store(&start)
--- a/internal/daemon/embedded.go
+++ b/internal/daemon/embedded.go
@@ -61,7 +61,7 @@
 			return answer{ok: true}
 		}
 		c := d.members.Counts()
-		return answer{c.SentBytes, c.GotBytes, true}
+		return answer{c.SentBytes, c.ReceivedBytes, true}
 	})
 	return a.sent, a.received, a.ok
 }
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -73,7 +73,7 @@
 	if m == nil || m.gossip == nil {
 		return nil
 	}
-	if err := m.Knows(msg.From); err != nil {
+	if err := m.CheckSender(msg.From); err != nil {
 		return err
 	}
 	for _, n := range m.gossip.nodes {
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -17,7 +17,7 @@
 // members is the daemon's part in the membership: members are named by their numbers among the settings' gateways,
 // and what of joint budgets is ours goes to the module as one event when it changes.
 type members struct {
-	*peers.Peers
+	*peers.Transport
 	me     string
 	gossip *gossip // nil where no versions are agreed on by it
 	told   admission.FleetChanged
@@ -37,10 +37,10 @@
 		return fmt.Errorf("peers holds %d addresses, and there are %d ingresses", len(cfg.Peers), cfg.Settings.Gateways)
 	}
 	me, now := cfg.Settings.Me, d.loop.Now()
-	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, Every: lim.MemberAck / 4, Change: d.membersChanged,
-		Mark: versions.Mark, Other: d.gossipReceived}
+	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, TickInterval: lim.MemberAck / 4, OnChange: d.membersChanged,
+		AppPrefix: versions.Mark, OnAppMessage: d.gossipReceived}
 	if d.o.Embedded != nil {
-		c.Reach = d.o.Embedded.Reach
+		c.IsReachable = d.o.Embedded.Reach
 	}
 	var roster []string
 	for i, addr := range cfg.Peers {
@@ -63,7 +63,7 @@
 	m := &members{me: strconv.Itoa(me), states: map[string]membership.State{}}
 	d.members = m
 	var err error
-	if m.Peers, err = peers.Open(d.loop, lim, d.log, node, c); err != nil {
+	if m.Transport, err = peers.Open(d.loop, lim, d.log, node, c); err != nil {
 		d.members = nil
 		return err
 	}
@@ -96,7 +96,7 @@
 // membersChanged tells the module of a change in what is ours, and the operator of each member's change of state.
 func (d *Daemon) membersChanged(now time.Duration) {
 	m := d.members
-	if m == nil || m.Peers == nil {
+	if m == nil || m.Transport == nil {
 		return
 	}
 	if m.gossip != nil {
@@ -138,7 +138,7 @@
 func (d *Daemon) present(now time.Duration) figures.Fleet {
 	m := d.members
 	v, c := m.Node().View(), m.Counts()
-	f := figures.Fleet{Version: v.Version, Absent: len(m.told.Out), Settled: d.settled(now), Sent: c.Sent, Got: c.Got,
+	f := figures.Fleet{Version: v.Version, Absent: len(m.told.Out), Settled: d.settled(now), Sent: c.Sent, Got: c.Received,
 		Dropped: c.Dropped}
 	for _, s := range membership.States {
 		f.States = append(f.States, figures.State{Name: s.String(), N: v.Count(s)})
@@ -168,8 +168,8 @@
 	}
 	v, c := m.Node().View(), m.Counts()
 	to.Enabled, to.Version = true, v.Version
-	to.Absent, to.Sent, to.Received, to.Dropped = append(to.Absent, m.told.Out...), c.Sent, c.Got, c.Dropped
-	to.SentBytes, to.ReceivedBytes = c.SentBytes, c.GotBytes
+	to.Absent, to.Sent, to.Received, to.Dropped = append(to.Absent, m.told.Out...), c.Sent, c.Received, c.Dropped
+	to.SentBytes, to.ReceivedBytes = c.SentBytes, c.ReceivedBytes
 	for _, o := range v.Members {
 		to.Members = append(to.Members, Member{Name: o.Name, State: o.State.String(), Incarnation: o.Incarnation})
 	}
@@ -203,7 +203,7 @@
 	}
 	for _, o := range m.Node().View().Members {
 		if o.Name == name && o.State == membership.Dead {
-			m.Gone(name)
+			m.ForceLeave(name)
 			d.membersChanged(d.loop.Now())
 			return ""
 		}
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -279,7 +279,7 @@
 		p.send(&pb.Envelope{Body: &pb.Envelope_CounterReleased{CounterReleased: &pb.CounterReleased{}}})
 	}
 	if d.counter != nil {
-		d.counter.Release(released)
+		d.counter.Drain(released)
 	}
 	d.o.Notify("MAINPID=" + strconv.Itoa(p.report.Pid))
 }
@@ -291,7 +291,7 @@
 	d.core.Unshare()
 	d.hosts.Keep()
 	if d.counter != nil {
-		d.counter.Regain()
+		d.counter.Resume()
 	}
 	d.server.Release()
 	shareMemory(d.cfg.Limits, 1)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -74,10 +74,10 @@
 	if d.telemetry != nil {
 		d.telemetry.Follow(to.Settings)
 	}
-	d.watcher.Move(to.Discovery)
+	d.watcher.SetAddr(to.Discovery)
 	switch {
 	case d.counter != nil:
-		d.counter.Move(to.Counter)
+		d.counter.SetAddr(to.Counter)
 	case to.Settings.HasCounter: // there was none before
 		d.openCounter(to.Counter)
 		d.core.UseCounter(d.counter)
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -256,7 +256,7 @@
 	if s.machine.State != phase.Building {
 		return
 	}
-	if s.d.watcher.Known() {
+	if s.d.watcher.IsReady() {
 		s.handle(phase.Ready{})
 		return
 	}
--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Move makes new calls go to another address. Those that are out end where they were made.
-func (c *Client) Move(addr string) {
+// SetAddr makes new calls go to another address. Those that are out end where they were made.
+func (c *Client) SetAddr(addr string) {
 	if addr == c.addr {
 		return
 	}
--- a/internal/net/counter/counter_test.go
+++ b/internal/net/counter/counter_test.go
@@ -160,7 +160,7 @@
 	})
 	c.lim.CounterLimit = time.Minute
 	c.Add("n", 1, time.Second)
-	c.Move(nettest.Serve(t, func(conn net.Conn) {
+	c.SetAddr(nettest.Serve(t, func(conn net.Conn) {
 		b := make([]byte, 256)
 		_, _ = conn.Read(b)
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2")
@@ -248,7 +248,7 @@
 		if moved++; moved%3 == 0 {
 			c.Resize(1 + moved)
 		} else {
-			c.Move(nettest.Serve(t, silent))
+			c.SetAddr(nettest.Serve(t, silent))
 		}
 		if moved < moves {
 			d.l.After(15*time.Millisecond, move)
--- a/internal/net/counter/handover.go
+++ b/internal/net/counter/handover.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Release closes every connection as soon as it owes no answer, and tells when none is left: the counter
+// Drain closes every connection as soon as it owes no answer, and tells when none is left: the counter
 // holds only so many from one address, and another process of this ingress wants them. No call may be added
 // from then on, until Regain.
-func (c *Client) Release(done func()) {
+func (c *Client) Drain(done func()) {
 	c.released = done
 	c.release()
 }
 
-// Regain takes calls again.
-func (c *Client) Regain() { c.released = nil }
+// Resume takes calls again.
+func (c *Client) Resume() { c.released = nil }
 
 func (c *Client) release() {
 	if c.released == nil {
--- a/internal/net/counter/handover_test.go
+++ b/internal/net/counter/handover_test.go
@@ -50,7 +50,7 @@
 		case stage == 1 && len(d.got) == 260:
 			require.EqualValues(t, 8, opened.Load())
 			c.Add("held", 1, time.Second)
-			c.Release(func() { released = true; d.l.Stop() })
+			c.Drain(func() { released = true; d.l.Stop() })
 			stage = 2
 			d.l.After(20*time.Millisecond, func() {
 				open := 0
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -133,18 +133,18 @@
 // seedOf keeps our random numbers apart from the decision module's, which has the same seed.
 const seedOf = 0x64697363
 
-// Known tells whether the cluster is known: discovery has told it, or it has turned us away or stays silent and
+// IsReady tells whether the cluster is known: discovery has told it, or it has turned us away or stays silent and
 // the list from before the start has to do. To wait for more would keep a whole fleet that is released at once
 // out of service for as long as discovery is overbooked by it.
-func (w *Watcher) Known() bool {
+func (w *Watcher) IsReady() bool {
 	return w.told || w.failed && len(w.known) > 0 || w.loop.Now()-w.from > w.lim.ReadyWait
 }
 
-// Told tells whether discovery itself has spoken since the start.
-func (w *Watcher) Told() bool { return w.told }
+// HasSynced tells whether discovery itself has spoken since the start.
+func (w *Watcher) HasSynced() bool { return w.told }
 
-// Listed tells how many hosts are in the list as it stands.
-func (w *Watcher) Listed() int { return len(w.known) }
+// HostCount tells how many hosts are in the list as it stands.
+func (w *Watcher) HostCount() int { return len(w.known) }
 
 // Current is the list as it stands, in order of name.
 func (w *Watcher) Current() List {
@@ -174,9 +174,9 @@
 	}
 }
 
-// Move follows discovery to another address. What the old one still tells counts until the new one has
+// SetAddr follows discovery to another address. What the old one still tells counts until the new one has
 // told the whole list: versions of one address say nothing of another's.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) SetAddr(addr string) {
 	if addr == w.addr {
 		return
 	}
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -153,15 +153,15 @@
 		return got
 	}
 	w.apply(List{Full: true, Entries: []Entry{entry("a", admission.Up), entry("b", admission.Up), entry("c", admission.Draining)}}, admission.ListChanges)
-	w.Drain([]string{"a", "c", "unknown"})
+	w.SetDrained([]string{"a", "c", "unknown"})
 	require.Equal(t, map[string]admission.ServerState{"a": admission.Draining}, states())
 	require.Equal(t, admission.ListChanges, s.lists[len(s.lists)-1].Kind)
 	w.apply(List{Full: true, Entries: []Entry{entry("a", admission.Up), entry("b", admission.Up)}}, admission.ListChanges)
 	require.Equal(t, map[string]admission.ServerState{"a": admission.Draining, "b": admission.Up}, states())
 	require.Equal(t, admission.Up, w.known["a"].State, "a successor is told what discovery says")
 	n := len(s.lists)
-	w.Drain([]string{"a"})
+	w.SetDrained([]string{"a"})
 	require.Len(t, s.lists, n, "nothing has changed")
-	w.Drain([]string{"b"})
+	w.SetDrained([]string{"b"})
 	require.Equal(t, map[string]admission.ServerState{"a": admission.Up, "b": admission.Draining}, states())
 }
--- a/internal/net/discovery/drain.go
+++ b/internal/net/discovery/drain.go
@@ -7,9 +7,9 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// Drain has these hosts count as draining, whatever discovery says of them, and no others beyond its own word. They
+// SetDrained has these hosts count as draining, whatever discovery says of them, and no others beyond its own word. They
 // take effect in the same turn, as a change of the list does.
-func (w *Watcher) Drain(names []string) {
+func (w *Watcher) SetDrained(names []string) {
 	before := w.drained
 	w.drained = map[string]bool{}
 	for _, name := range names {
--- a/internal/net/discovery/memory_test.go
+++ b/internal/net/discovery/memory_test.go
@@ -42,8 +42,8 @@
 	}
 	before := heap()
 	w := New(l, bounds(t, 1), slog.New(slog.DiscardHandler), addr, nobody{}, nobody{}, List{}, 1)
-	nettest.Until(t, l, w.Told)
-	require.Equal(t, hosts, w.Listed())
+	nettest.Until(t, l, w.HasSynced)
+	require.Equal(t, hosts, w.HostCount())
 	listed := l.Now()
 	nettest.Until(t, l, func() bool { return l.Now() > listed+200*time.Millisecond })
 	kept := heap() - before
--- a/internal/net/discovery/shortage_test.go
+++ b/internal/net/discovery/shortage_test.go
@@ -47,7 +47,7 @@
 	})
 	require.Nil(t, w.next, "nothing was opened")
 	began := time.Now()
-	nettest.Until(t, l, func() bool { return w.Told() })
+	nettest.Until(t, l, func() bool { return w.HasSynced() })
 	require.Less(t, time.Since(began), lim.ClusterFirst/10)
 }
 
--- a/internal/net/mgmt/mgmt.go
+++ b/internal/net/mgmt/mgmt.go
@@ -14,9 +14,9 @@
 
 // Handler answers what operators ask.
 type Handler interface {
-	Ready() bool                // a client's request would be served
-	Metrics(room []byte) []byte // appends the figures
-	About() string              // goes behind the word on readiness
+	IsReady() bool                    // a client's request would be served
+	AppendMetrics(room []byte) []byte // appends the figures
+	StatusDetails() string            // goes behind the word on readiness
 }
 
 // Endpoint is a listener with its callers. They are served first in each turn of the loop, and their descriptors are theirs:
@@ -136,12 +136,12 @@
 	switch string(bytes.TrimSuffix(line, []byte("\r"))) {
 	case "STATUS":
 		word := "200 ready"
-		if !c.d.handler.Ready() {
+		if !c.d.handler.IsReady() {
 			word = "400 not ready"
 		}
-		c.out = []byte(word + c.d.handler.About() + "\n")
+		c.out = []byte(word + c.d.handler.StatusDetails() + "\n")
 	case "METRICS":
-		c.out = append(c.d.handler.Metrics(nil), "EOF\n"...)
+		c.out = append(c.d.handler.AppendMetrics(nil), "EOF\n"...)
 	default:
 		c.out = []byte("400 no such call\n")
 	}
--- a/internal/net/mgmt/mgmt_test.go
+++ b/internal/net/mgmt/mgmt_test.go
@@ -18,10 +18,10 @@
 
 type desk struct{ ready bool }
 
-func (d desk) Ready() bool                { return d.ready }
-func (d desk) Metrics(room []byte) []byte { return append(room, "app_inflight 3\n"...) }
+func (d desk) IsReady() bool                    { return d.ready }
+func (d desk) AppendMetrics(room []byte) []byte { return append(room, "app_inflight 3\n"...) }
 
-func (d desk) About() string { return " settings=3" }
+func (d desk) StatusDetails() string { return " settings=3" }
 
 type idle struct{}
 
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -15,15 +15,15 @@
 
 // Counts are of messages, from the start of the process.
 type Counts struct {
-	Sent    uint64 // handed to the network
-	Got     uint64 // read and understood
-	Dropped uint64 // not read, for want of sense or over the bound a second; not sent, for want of an address or room
+	Sent     uint64 // handed to the network
+	Received uint64 // read and understood
+	Dropped  uint64 // not read, for want of sense or over the bound a second; not sent, for want of an address or room
 
-	SentBytes, GotBytes uint64 // of what was sent, and of all that came
+	SentBytes, ReceivedBytes uint64 // of what was sent, and of all that came
 }
 
-// Peers is the transport of one member, and drives its node.
-type Peers struct {
+// Transport is the transport of one member, and drives its node.
+type Transport struct {
 	loop   *loop.Loop
 	lim    limits.Limits
 	log    *slog.Logger
@@ -46,20 +46,20 @@
 // Config says where a member is and where the others are, by name. Every is between ticks of the node; Change is
 // called when the view may have changed what it says, and on each tick.
 type Config struct {
-	Listen string
-	Addrs  map[string]string
-	Every  time.Duration
-	Change func(now time.Duration)
-	Mark   byte                 // of the first byte of messages that are not the membership's,
-	Other  func(b []byte) error // which are given to this; nil: there are none
-	// Reach tells whether messages to and from a member get through; nil: all do. It stands in for a network.
-	Reach func(name string) bool
+	Listen       string
+	Addrs        map[string]string
+	TickInterval time.Duration
+	OnChange     func(now time.Duration)
+	AppPrefix    byte                 // of the first byte of messages that are not the membership's,
+	OnAppMessage func(b []byte) error // which are given to this; nil: there are none
+	// IsReachable tells whether messages to and from a member get through; nil: all do. It stands in for a network.
+	IsReachable func(name string) bool
 }
 
 // Open begins to listen, and joins by all the others.
-func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, node *membership.Node, c Config) (*Peers, error) {
-	p := &Peers{loop: l, lim: lim, log: log, node: node, addrs: map[string]loop.UDPAddress{}, every: c.Every, change: c.Change,
-		mark: c.Mark, other: c.Other, reach: c.Reach}
+func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, node *membership.Node, c Config) (*Transport, error) {
+	p := &Transport{loop: l, lim: lim, log: log, node: node, addrs: map[string]loop.UDPAddress{}, every: c.TickInterval, change: c.OnChange,
+		mark: c.AppPrefix, other: c.OnAppMessage, reach: c.IsReachable}
 	var seeds []string
 	for name, addr := range c.Addrs {
 		to, err := loop.ParseUDPAddress(addr)
@@ -83,26 +83,26 @@
 }
 
 // Counts tells what went and came so far.
-func (p *Peers) Counts() Counts { return p.counts }
+func (p *Transport) Counts() Counts { return p.counts }
 
 // Node is the member's failure detector.
-func (p *Peers) Node() *membership.Node { return p.node }
+func (p *Transport) Node() *membership.Node { return p.node }
 
 // Leave tells the others, once more each time it is called, that this member leaves for good.
-func (p *Peers) Leave() { p.handle(membership.Leave{}) }
+func (p *Transport) Leave() { p.handle(membership.Leave{}) }
 
-// Gone tells the others that a member which is dead here is so for good.
-func (p *Peers) Gone(name string) { p.handle(membership.Gone{Name: name}) }
+// ForceLeave tells the others that a member which is dead here is so for good.
+func (p *Transport) ForceLeave(name string) { p.handle(membership.Gone{Name: name}) }
 
 // Close says and hears no more. It is safe on nil.
-func (p *Peers) Close() {
+func (p *Transport) Close() {
 	if p != nil {
 		p.timer.Stop()
 		p.src.Close()
 	}
 }
 
-func (p *Peers) tick() {
+func (p *Transport) tick() {
 	p.timer = p.loop.After(p.every, p.tick)
 	p.handle(membership.Tick{})
 	p.change(p.loop.Now())
@@ -110,7 +110,7 @@
 
 // Ready reads what has come, so many datagrams a turn: the others have theirs. Beyond the bound a second they
 // are read and dropped, so that a flood costs little and old news does not queue before the new.
-func (p *Peers) Ready(uint32) {
+func (p *Transport) Ready(uint32) {
 	now := p.loop.Now()
 	if s := now.Truncate(time.Second); s != p.second {
 		p.second, p.taken = s, 0
@@ -124,7 +124,7 @@
 		if err != nil { // of an earlier send, such as nobody listening there
 			continue
 		}
-		p.counts.GotBytes += uint64(n)
+		p.counts.ReceivedBytes += uint64(n)
 		if p.taken >= p.lim.DatagramsSecond {
 			p.counts.Dropped++
 			continue
@@ -136,7 +136,7 @@
 			continue
 		}
 		p.taken++
-		p.counts.Got++
+		p.counts.Received++
 	}
 	if v := p.node.View().Version; v != p.seen {
 		p.seen = v
@@ -144,13 +144,13 @@
 	}
 }
 
-func (p *Peers) take(b []byte) error {
+func (p *Transport) take(b []byte) error {
 	if p.other != nil && len(b) > 0 && b[0] == p.mark {
 		return p.other(b)
 	}
 	msg, err := membership.Parse(b)
 	if err == nil {
-		err = p.Knows(msg.From)
+		err = p.CheckSender(msg.From)
 	}
 	if err == nil {
 		p.handle(membership.Received{Msg: msg})
@@ -158,9 +158,9 @@
 	return err
 }
 
-// Knows tells why a sender is not listened to: who has no address here can't be answered, and whatever names come
+// CheckSender tells why a sender is not listened to: who has no address here can't be answered, and whatever names come
 // must not fill memory.
-func (p *Peers) Knows(name string) error {
+func (p *Transport) CheckSender(name string) error {
 	if _, ok := p.addrs[name]; !ok {
 		return fmt.Errorf("sender %.16q is not among peers", name)
 	}
@@ -173,14 +173,14 @@
 // errCut tells that a message would not have come through.
 var errCut = errors.New("cut off")
 
-func (p *Peers) handle(ev membership.Event) {
+func (p *Transport) handle(ev membership.Event) {
 	for _, s := range p.node.Handle(p.loop.Now(), ev) {
 		p.Send(s.To, membership.Append(nil, s.Msg))
 	}
 }
 
 // Send sends a message to a member.
-func (p *Peers) Send(name string, b []byte) {
+func (p *Transport) Send(name string, b []byte) {
 	to, ok := p.addrs[name]
 	if !ok {
 		p.drop("peer message not sent", fmt.Errorf("no address of %s", name))
@@ -200,7 +200,7 @@
 // logEvery: messages that can't be read or sent are told of so often.
 const logEvery = 10 * time.Second
 
-func (p *Peers) drop(what string, cause error) {
+func (p *Transport) drop(what string, cause error) {
 	p.counts.Dropped++
 	if now := p.loop.Now(); p.told == 0 || now-p.told > logEvery {
 		p.told = now
--- a/internal/net/peers/peers_test.go
+++ b/internal/net/peers/peers_test.go
@@ -24,7 +24,7 @@
 	return c
 }
 
-func open(t *testing.T, l *loop.Loop, second int, addrs map[string]string) (*Peers, *net.UDPAddr) {
+func open(t *testing.T, l *loop.Loop, second int, addrs map[string]string) (*Transport, *net.UDPAddr) {
 	lim, err := limits.For(limits.Site{Sockets: 256, Gateways: 2})
 	require.NoError(t, err)
 	lim.DatagramsSecond = second
@@ -34,7 +34,7 @@
 	listen := c.LocalAddr().(*net.UDPAddr)
 	require.NoError(t, c.Close())
 	p, err := Open(l, lim, slog.New(slog.DiscardHandler), node, Config{Listen: listen.String(), Addrs: addrs,
-		Every: 10 * time.Millisecond, Change: func(time.Duration) {}})
+		TickInterval: 10 * time.Millisecond, OnChange: func(time.Duration) {}})
 	require.NoError(t, err)
 	t.Cleanup(p.Close)
 	return p, listen
@@ -65,7 +65,7 @@
 	nettest.Until(t, l, func() bool { return p.Node().Settled(l.Now()) })
 	require.Len(t, p.Node().View().Members, 2)
 	require.Positive(t, p.Counts().Sent)
-	require.Equal(t, uint64(1), p.Counts().Got)
+	require.Equal(t, uint64(1), p.Counts().Received)
 }
 
 // What can't be read, is too long or too much is dropped and counted; the rest is heard all the same.
@@ -84,9 +84,9 @@
 		_, err := peer.WriteToUDP(ping, listen)
 		require.NoError(t, err)
 	}
-	nettest.Until(t, l, func() bool { c := p.Counts(); return c.Got+c.Dropped == 64 })
-	require.LessOrEqual(t, p.Counts().Got, uint64(10), "five a second, and the second may turn once")
-	require.Positive(t, p.Counts().Got)
+	nettest.Until(t, l, func() bool { c := p.Counts(); return c.Received+c.Dropped == 64 })
+	require.LessOrEqual(t, p.Counts().Received, uint64(10), "five a second, and the second may turn once")
+	require.Positive(t, p.Counts().Received)
 }
 
 // Who is not among the peers is not listened to, whatever names it has: that is counted, and fills no memory.
@@ -101,7 +101,7 @@
 		require.NoError(t, err)
 	}
 	nettest.Until(t, l, func() bool { return p.Counts().Dropped == 20 })
-	require.Zero(t, p.Counts().Got)
+	require.Zero(t, p.Counts().Received)
 	require.Len(t, p.Node().View().Members, 1)
 }
 
@@ -118,13 +118,13 @@
 	sent := p.Counts().SentBytes
 	_, err = peer.WriteToUDP(ping, listen)
 	require.NoError(t, err)
-	nettest.Until(t, l, func() bool { return p.Counts().GotBytes == uint64(len(ping)) })
-	require.Zero(t, p.Counts().Got)
+	nettest.Until(t, l, func() bool { return p.Counts().ReceivedBytes == uint64(len(ping)) })
+	require.Zero(t, p.Counts().Received)
 	require.Zero(t, p.Counts().Dropped)
 	require.Equal(t, sent, p.Counts().SentBytes)
 	cut = false
 	_, err = peer.WriteToUDP(ping, listen)
 	require.NoError(t, err)
-	nettest.Until(t, l, func() bool { return p.Counts().Got == 1 })
+	nettest.Until(t, l, func() bool { return p.Counts().Received == 1 })
 	require.Greater(t, p.Counts().SentBytes, sent, "it was answered")
 }
