--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -251,7 +251,7 @@
 // Ready handles the connection's events: the end of the dial, readable data, room to write.
 func (cn *conn) Ready(events uint32) {
 	if !cn.isConnected {
-		if err := loop.Dialled(cn.source.FD()); err != nil {
+		if err := loop.DialResult(cn.source.FD()); err != nil {
 			cn.fail(err.Error())
 			return
 		}
@@ -278,15 +278,15 @@
 		return
 	}
 	if len(cn.unsent) > 0 {
-		cn.source.Want(loop.In | loop.Out | loop.Hangup)
+		cn.source.SetEvents(loop.In | loop.Out | loop.Hangup)
 		return
 	}
-	cn.source.Want(loop.In | loop.Hangup)
+	cn.source.SetEvents(loop.In | loop.Hangup)
 }
 
 // read reads once from the socket and finishes the calls whose responses are complete.
 func (cn *conn) read() {
-	buf := cn.client.loop.Buf()
+	buf := cn.client.loop.ReadBuffer()
 	n, err := loop.Read(cn.source.FD(), buf)
 	if err == loop.ErrAgain {
 		return
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -231,7 +231,7 @@
 	w.next = nil
 	err := x.open()
 	switch {
-	case loop.OutOfResources(err): // of this machine: discovery was not asked, and is not spared by waiting
+	case loop.IsOutOfResources(err): // of this machine: discovery was not asked, and is not spared by waiting
 		w.reportLoss(err.Error())
 		w.dialTimer = w.loop.After(w.bounds.BackoffFirst, w.dial)
 		return
@@ -360,7 +360,7 @@
 // Ready goes on with the watch.
 func (x *watch) Ready(events uint32) {
 	if !x.isConnected {
-		if err := loop.Dialled(x.source.FD()); err != nil {
+		if err := loop.DialResult(x.source.FD()); err != nil {
 			x.fail(err.Error())
 			return
 		}
@@ -374,7 +374,7 @@
 			return
 		}
 		if x.unsent = x.unsent[n:]; len(x.unsent) == 0 {
-			x.source.Want(loop.In | loop.Hangup)
+			x.source.SetEvents(loop.In | loop.Hangup)
 		}
 	}
 	if events&(loop.In|loop.Hangup) != 0 {
@@ -384,7 +384,7 @@
 
 // read takes what one read brings: whatever discovery sends, the other connections have their turns.
 func (x *watch) read() {
-	buf := x.watcher.loop.Buf()
+	buf := x.watcher.loop.ReadBuffer()
 	n, err := loop.Read(x.source.FD(), buf)
 	if errors.Is(err, loop.ErrAgain) {
 		return
@@ -408,7 +408,7 @@
 		x.fail(fmt.Sprintf("watch ended with status %d", resp.Status))
 		return
 	}
-	if status, body := x.parser.Partial(); status == 200 {
+	if status, body := x.parser.TakePartialBody(); status == 200 {
 		x.readMessages(body)
 	}
 }
--- a/internal/net/mgmt/mgmt.go
+++ b/internal/net/mgmt/mgmt.go
@@ -34,7 +34,7 @@
 // Open listens at an address.
 func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, addr string, o Handler) (*Endpoint, error) {
 	d := &Endpoint{loop: l, bounds: lim, log: log, handler: o}
-	fd, err := loop.ListenBeside(addr) // a successor opens it before we close it
+	fd, err := loop.ListenReusePort(addr) // a successor opens it before we close it
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 		loop.CloseFD(fd)
 		return nil, err
 	}
-	d.listener.First()
+	d.listener.ServeFirst()
 	return d, nil
 }
 
@@ -79,7 +79,7 @@
 			loop.CloseFD(fd)
 			return
 		}
-		c.source.First()
+		c.source.ServeFirst()
 		c.timer = d.loop.After(d.bounds.CallerTime, c.close)
 		d.conns = append(d.conns, c)
 	}
@@ -103,14 +103,14 @@
 	if events&(loop.In|loop.Hangup) == 0 {
 		return
 	}
-	buf := c.endpoint.loop.Buf()
+	buf := c.endpoint.loop.ReadBuffer()
 	n, err := loop.Read(c.source.FD(), buf)
 	if errors.Is(err, loop.ErrAgain) {
 		return
 	}
 	if err != nil { // it has ended its side; one that still waits for its answer gets it
-		if c.isAnswered && len(c.unsent) > 0 && events&loop.Broken == 0 {
-			c.source.Want(loop.Out)
+		if c.isAnswered && len(c.unsent) > 0 && events&loop.HangupOrError == 0 {
+			c.source.SetEvents(loop.Out)
 			return
 		}
 		c.close()
@@ -156,16 +156,16 @@
 		return false
 	}
 	if c.unsent = c.unsent[n:]; len(c.unsent) > 0 {
-		c.source.Want(loop.In | loop.Out | loop.Hangup)
+		c.source.SetEvents(loop.In | loop.Out | loop.Hangup)
 		return true
 	}
 	// To close on bytes not read would reset the connection and could destroy the answer on its way, so the
 	// caller's own end is waited for.
-	if err := loop.EndSending(c.source.FD()); err != nil {
+	if err := loop.CloseWrite(c.source.FD()); err != nil {
 		c.close()
 		return false
 	}
-	c.source.Want(loop.In | loop.Hangup)
+	c.source.SetEvents(loop.In | loop.Hangup)
 	return true
 }
 
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -29,7 +29,7 @@
 	log             *slog.Logger
 	node            *membership.Node
 	source          *loop.Source
-	addrs           map[string]loop.To
+	addrs           map[string]loop.UDPAddress
 	timer           *loop.Timer
 	tickInterval    time.Duration
 	counts          Counts
@@ -58,18 +58,18 @@
 
 // Open begins to listen, and joins by all the others.
 func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, node *membership.Node, c Config) (*Transport, error) {
-	p := &Transport{loop: l, bounds: lim, log: log, node: node, addrs: map[string]loop.To{}, tickInterval: c.TickInterval, onChange: c.OnChange,
+	p := &Transport{loop: l, bounds: lim, log: log, node: node, addrs: map[string]loop.UDPAddress{}, tickInterval: c.TickInterval, onChange: c.OnChange,
 		appPrefix: c.AppPrefix, onAppMessage: c.OnAppMessage, isReachable: c.IsReachable}
 	var seeds []string
 	for name, addr := range c.Addrs {
-		to, err := loop.ParseTo(addr)
+		to, err := loop.ParseUDPAddress(addr)
 		if err != nil {
 			return nil, fmt.Errorf("peers.%s: %w", name, err)
 		}
 		p.addrs[name] = to
 		seeds = append(seeds, name)
 	}
-	fd, err := loop.ListenDatagrams(c.Listen)
+	fd, err := loop.ListenUDP(c.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
@@ -115,9 +115,9 @@
 	if s := now.Truncate(time.Second); s != p.window {
 		p.window, p.windowCount = s, 0
 	}
-	buf := p.loop.Buf()[:membership.Datagram+1]
+	buf := p.loop.ReadBuffer()[:membership.Datagram+1]
 	for range p.bounds.Datagrams {
-		n, err := loop.Receive(p.source.FD(), buf)
+		n, err := loop.ReceiveUDP(p.source.FD(), buf)
 		if errors.Is(err, loop.ErrAgain) {
 			break
 		}
@@ -189,7 +189,7 @@
 	if p.isReachable != nil && !p.isReachable(name) {
 		return
 	}
-	if err := loop.SendTo(p.source.FD(), b, to); err != nil {
+	if err := loop.SendUDP(p.source.FD(), b, to); err != nil {
 		p.counts.Dropped++ // as if lost on its way
 		return
 	}
