--- a/internal/capacity/list_watches.go
+++ b/internal/capacity/list_watches.go
@@ -97,8 +97,8 @@
 // listSink is told of lists and takes no decisions.
 type listSink struct{ watches *listWatches }
 
-// List notes a list that discovery has sent.
-func (s listSink) List(l admission.ServerList) {
+// ServerListChanged notes a list that discovery has sent.
+func (s listSink) ServerListChanged(l admission.ServerList) {
 	if l.Kind != admission.ListCached {
 		s.watches.have(l.Version)
 	}
@@ -107,11 +107,11 @@
 // noHosts keeps no connections to servers.
 type noHosts struct{}
 
-// Host is told of a server.
-func (noHosts) Host(string, string, time.Duration, bool) {}
+// SetHost is told of a server.
+func (noHosts) SetHost(string, string, time.Duration, bool) {}
 
-// Gone is told of one that left.
-func (noHosts) Gone(string) {}
+// RemoveHost is told of one that left.
+func (noHosts) RemoveHost(string) {}
 
 // listReader reads the answer to one watch.
 type listReader struct {
--- a/internal/capacity/measure_counter.go
+++ b/internal/capacity/measure_counter.go
@@ -124,8 +124,8 @@
 	c.next++
 }
 
-// Counted notes how a call ended and makes the next one, after a failed one not at once.
-func (c *caller) Counted(a admission.CounterAnswered) {
+// CounterCallEnded notes how a call ended and makes the next one, after a failed one not at once.
+func (c *caller) CounterCallEnded(a admission.CounterAnswered) {
 	if a.Outcome != admission.OK {
 		c.failed++
 		c.loop.After(callAgain, c.call)
--- a/internal/capacity/server_list.go
+++ b/internal/capacity/server_list.go
@@ -57,8 +57,8 @@
 	gateway *admission.Gateway
 }
 
-// List gives the decision module the cluster's news.
-func (h *listHolders) List(list admission.ServerList) { h.gateway.Handle(time.Hour, list) }
+// ServerListChanged gives the decision module the cluster's news.
+func (h *listHolders) ServerListChanged(list admission.ServerList) { h.gateway.Handle(time.Hour, list) }
 
 // newListHolders has an ingress of 650 know so many servers.
 func newListHolders(servers int) (*listHolders, error) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -215,16 +215,16 @@
 	}
 }
 
-// Counted takes the answer to a counter call.
-func (c *Core) Counted(ev admission.CounterAnswered) {
+// CounterCallEnded takes the answer to a counter call.
+func (c *Core) CounterCallEnded(ev admission.CounterAnswered) {
 	c.events = append(c.events, ev)
 	if c.observer != nil {
 		c.observer.CounterAnswered(ev.Outcome, ev.Took)
 	}
 }
 
-// List takes discovery's news.
-func (c *Core) List(ev admission.ServerList) {
+// ServerListChanged takes discovery's news.
+func (c *Core) ServerListChanged(ev admission.ServerList) {
 	c.orders.list(ev)
 	c.events = append(c.events, ev)
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -111,8 +111,8 @@
 	})
 	w = world
 	c.Arrive(0, w.request(100*ms))
-	c.Counted(admission.CounterAnswered{})
-	c.List(admission.ServerList{})
+	c.CounterCallEnded(admission.CounterAnswered{})
+	c.ServerListChanged(admission.ServerList{})
 	c.Turn(0)
 	require.Len(t, s.seen, 3)
 	require.Equal(t, []string{"add n", "add n", "add n"}, w.told)
@@ -223,7 +223,7 @@
 		return []admission.Action{admission.SetTimer{Token: 7, At: 30 * ms}, admission.CloseIdle{Server: "h"},
 			admission.FetchList{}, admission.Probe{Server: "h"}, admission.Log{Text: "a line"}}
 	})
-	c.List(admission.ServerList{})
+	c.ServerListChanged(admission.ServerList{})
 	require.Equal(t, 30*ms, c.Turn(0))
 	c.Turn(29 * ms)
 	require.Len(t, s.seen, 1)
--- a/internal/core/crossing_test.go
+++ b/internal/core/crossing_test.go
@@ -214,7 +214,7 @@
 	})
 	id := c.Arrive(0, w.request(100*ms))
 	c.Turn(0)
-	c.Counted(admission.CounterAnswered{Name: "h"})
+	c.CounterCallEnded(admission.CounterAnswered{Name: "h"})
 	c.Leave(ms, id)
 	require.Zero(t, c.Open())
 	c.Turn(ms)
--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -39,7 +39,7 @@
 	CloseIdle(host string)
 }
 
-// Counter carries out counter calls; each ends with one call of [Core.Counted].
+// Counter carries out counter calls; each ends with one call of [Core.CounterCallEnded].
 type Counter interface {
 	Add(name string, by float64, keep time.Duration)
 }
--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -20,7 +20,7 @@
 
 // Sink receives the results of calls: one for each call, for each name in the order of its calls.
 type Sink interface {
-	Counted(admission.CounterAnswered)
+	CounterCallEnded(admission.CounterAnswered)
 }
 
 // Client sends calls to the counter. All calls of one name use the same connection, so that responses keep the order of
@@ -140,7 +140,7 @@
 	call.result = admission.CounterAnswered{Name: call.name, Total: total, Took: c.loop.Now() - call.startedAt, Outcome: outcome}
 	queue := c.unreported[call.name]
 	for len(queue) > 0 && queue[0].isDone {
-		c.sink.Counted(queue[0].result)
+		c.sink.CounterCallEnded(queue[0].result)
 		queue = queue[1:]
 	}
 	if len(queue) == 0 {
--- a/internal/net/counter/counter_test.go
+++ b/internal/net/counter/counter_test.go
@@ -27,7 +27,9 @@
 	onTurn  func()
 }
 
-func (s *recordingSink) Counted(ev admission.CounterAnswered) { s.results = append(s.results, ev) }
+func (s *recordingSink) CounterCallEnded(ev admission.CounterAnswered) {
+	s.results = append(s.results, ev)
+}
 
 func (s *recordingSink) Turn(time.Duration) time.Duration {
 	s.onTurn()
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -63,12 +63,12 @@
 }
 
 // Sink takes the cluster's news.
-type Sink interface{ List(admission.ServerList) }
+type Sink interface{ ServerListChanged(admission.ServerList) }
 
 // Hosts is told the addresses, and of each host whether it is leaving: then nothing new goes there.
 type Hosts interface {
-	Host(name, addr string, boot time.Duration, leaving bool)
-	Gone(name string)
+	SetHost(name, addr string, boot time.Duration, leaving bool)
+	RemoveHost(name string)
 }
 
 // Watcher follows discovery by one watch, opened anew whenever it ends or falls silent. While another is
@@ -199,14 +199,14 @@
 	}
 	// The module hears of it first: what a host that leaves had not been sent yet is to go elsewhere.
 	w.version = list.Version
-	w.sink.List(news)
+	w.sink.ServerListChanged(news)
 	for i, e := range list.Entries {
 		if e.State == admission.Gone {
 			w.remove(e.Name)
 			continue
 		}
 		w.known[e.Name] = e
-		w.hosts.Host(e.Name, e.Addr, e.Boot, news.Servers[i].State != admission.Up)
+		w.hosts.SetHost(e.Name, e.Addr, e.Boot, news.Servers[i].State != admission.Up)
 	}
 	if list.Full { // who is absent from a whole list is gone
 		for name := range w.known {
@@ -218,7 +218,7 @@
 }
 
 func (w *Watcher) remove(name string) {
-	w.hosts.Gone(name)
+	w.hosts.RemoveHost(name)
 	delete(w.known, name)
 }
 
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -19,10 +19,10 @@
 
 type nobody struct{}
 
-func (nobody) List(admission.ServerList) {}
-func (nobody) Gone(string)               {}
+func (nobody) ServerListChanged(admission.ServerList) {}
+func (nobody) RemoveHost(string)                      {}
 
-func (nobody) Host(string, string, time.Duration, bool) {}
+func (nobody) SetHost(string, string, time.Duration, bool) {}
 
 type turns func()
 
@@ -135,7 +135,7 @@
 	lists []admission.ServerList
 }
 
-func (s *sink) List(l admission.ServerList) { s.lists = append(s.lists, l) }
+func (s *sink) ServerListChanged(l admission.ServerList) { s.lists = append(s.lists, l) }
 
 // Hosts that the operators drain count as draining whatever discovery says, until they are taken off the list; what
 // discovery itself drains stays so.
--- a/internal/net/discovery/told_test.go
+++ b/internal/net/discovery/told_test.go
@@ -153,13 +153,13 @@
 	at   time.Duration
 }
 
-func (l *leaveTime) Host(_, _ string, _ time.Duration, leaving bool) {
+func (l *leaveTime) SetHost(_, _ string, _ time.Duration, leaving bool) {
 	if leaving && l.at == 0 {
 		l.at = l.loop.Now()
 	}
 }
 
-func (l *leaveTime) Gone(string) {
+func (l *leaveTime) RemoveHost(string) {
 	if l.at == 0 {
 		l.at = l.loop.Now()
 	}
--- a/internal/net/upstream/crossing_test.go
+++ b/internal/net/upstream/crossing_test.go
@@ -46,9 +46,9 @@
 // there no more, however soon the connection comes up.
 func TestAHostLeavesWhileAConnectionComesUp(t *testing.T) {
 	for name, news := range map[string]func(*Pool, *host){
-		"leaves": func(p *Pool, h *host) { p.Host("h", h.addr, 0, true) },
-		"gone":   func(p *Pool, _ *host) { p.Gone("h") },
-		"moved":  func(p *Pool, _ *host) { p.Host("h", "127.0.0.1:1", 0, false) },
+		"leaves": func(p *Pool, h *host) { p.SetHost("h", h.addr, 0, true) },
+		"gone":   func(p *Pool, _ *host) { p.RemoveHost("h") },
+		"moved":  func(p *Pool, _ *host) { p.SetHost("h", "127.0.0.1:1", 0, false) },
 	} {
 		l, p, sink, asked := silent(t)
 		h := p.hosts["h"]
@@ -57,7 +57,7 @@
 		news(p, h)
 		require.Equal(t, []admission.Outcome{admission.NotSent}, sink.outcomes, name)
 		require.Zero(t, p.Connections(), name)
-		p.Host("h", addr, 0, false) // what comes back, under its name, is used anew
+		p.SetHost("h", addr, 0, false) // what comes back, under its name, is used anew
 		ask(p, 2)
 		require.Equal(t, admission.OK, ends(t, l, sink, 2)[1], name)
 		require.Len(t, asked, 1, name)
@@ -75,7 +75,7 @@
 	})
 	ask(p, 1)
 	nettest.Until(t, l, func() bool { return *p.whole == 1 })
-	p.Host("h", p.hosts["h"].addr, 0, true)
+	p.SetHost("h", p.hosts["h"].addr, 0, true)
 	ask(p, 2)
 	require.Equal(t, []admission.Outcome{admission.NotSent}, sink.outcomes)
 	close(release)
@@ -89,11 +89,11 @@
 	ask(p, 1)
 	ends(t, l, sink, 1)
 	require.Equal(t, 1, p.Connections())
-	p.Host("h", p.hosts["h"].addr, 5, false)
+	p.SetHost("h", p.hosts["h"].addr, 5, false)
 	require.Zero(t, p.Connections())
 	ask(p, 2)
 	nettest.Until(t, l, func() bool { return *p.whole == 2 })
-	p.Host("h", "127.0.0.1:1", 5, false)
+	p.SetHost("h", "127.0.0.1:1", 5, false)
 	require.Equal(t, admission.OK, ends(t, l, sink, 2)[1])
 	require.Zero(t, p.Connections(), "it was to the old address")
 }
@@ -108,7 +108,7 @@
 		p.HandOver(func(_ string, _ time.Duration, fd int) { fds = append(fds, fd) })
 		p.Keep()
 		require.Len(t, fds, 1)
-		p.Host("h", p.hosts["h"].addr, 0, leaving)
+		p.SetHost("h", p.hosts["h"].addr, 0, leaving)
 		require.NoError(t, p.Take("h", 0, fds[0]))
 		require.Equal(t, !leaving, p.Connections() == 1)
 	}
--- a/internal/net/upstream/flow_test.go
+++ b/internal/net/upstream/flow_test.go
@@ -42,7 +42,7 @@
 	whole, sink := uint64(0), &told{}
 	p := New(l, lim, slog.New(slog.DiscardHandler), &whole)
 	p.SetSink(sink)
-	p.Host("h", addr, 0, false)
+	p.SetHost("h", addr, 0, false)
 	return l, p, sink
 }
 
--- a/internal/net/upstream/hosts.go
+++ b/internal/net/upstream/hosts.go
@@ -18,8 +18,8 @@
 	idle       []*conn
 }
 
-// Host enters an upstream host, or what is new of it.
-func (p *Pool) Host(name, addr string, boot time.Duration, leaving bool) {
+// SetHost enters an upstream host, or what is new of it.
+func (p *Pool) SetHost(name, addr string, boot time.Duration, leaving bool) {
 	h := p.hosts[name]
 	if h == nil {
 		p.hosts[name] = &host{name: name, addr: addr, boot: boot, leaving: leaving}
@@ -36,8 +36,8 @@
 	}
 }
 
-// Gone drops a host. What is out on it goes on, but for what waits for a connection.
-func (p *Pool) Gone(name string) {
+// RemoveHost drops a host. What is out on it goes on, but for what waits for a connection.
+func (p *Pool) RemoveHost(name string) {
 	p.CloseIdle(name)
 	h := p.hosts[name]
 	delete(p.hosts, name)
