--- a/internal/net/discovery/boot.go
+++ b/internal/net/discovery/boot.go
@@ -2,13 +2,15 @@
 
 import "time"
 
-// minClockStep is by how much the wall clock must be off the loop's before it counts as having been set.
+// minClockStep is the least difference between the wall clock and the loop's clock at which the wall clock counts as having
+// been set. Smaller ones are taken for drift.
 const minClockStep = 200 * time.Millisecond
 
-// bootTime tells when a host last started, in the loop's time. Discovery says it in wall-clock time, which the loop's clock
-// was set by at the start and has not followed since: where the wall clock was stepped meanwhile, the host may have been
-// told either time. Of those that are possible the latest counts. A host that is taken for warm too soon may be sent more
-// than it bears; one that is taken for cold too long only gets less.
+// bootTime returns the time of a host's last start by the loop's clock. Discovery reports it by the wall clock, from which the
+// loop's clock was set when the process started and which it has not followed since. If the wall clock was set meanwhile,
+// the reported time may be by the clock before or after that. Of the possible times the latest one is taken: a host that is
+// taken for warm too early may get more load than it can handle, one that is taken for cold too long only gets less. The
+// time of a start that is already known stays.
 func (w *Watcher) bootTime(e Entry) time.Duration {
 	if e.Started == 0 {
 		return e.Boot
@@ -17,11 +19,11 @@
 		return known.Boot
 	}
 	now := w.loop.Now()
-	boot := e.Started
+	bootTime := e.Started
 	if step := w.loop.ClockOffset(); step.Abs() >= minClockStep {
-		if after := e.Started + step; after > boot && after <= now || boot > now {
-			boot = after
+		if stepped := e.Started + step; stepped > bootTime && stepped <= now || bootTime > now {
+			bootTime = stepped
 		}
 	}
-	return min(boot, now)
+	return min(bootTime, now)
 }
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -1,12 +1,10 @@
-// Package discovery follows the cluster: the list of upstream hosts, as discovery
-// tells it and from then on its changes.
+// Package discovery keeps the list of upstream hosts up to date by long-lived HTTP requests to the discovery service, called
+// watches. Each watch delivers the list and then its changes. The goroutine of the event loop owns a Watcher and calls its
+// Sink and Hosts. The package never decides which host gets a request.
 package discovery
 
 import (
-	"errors"
-	"fmt"
 	"log/slog"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"strconv"
@@ -19,60 +17,20 @@
 	"ferryfront.example/ferryfront/internal/limits"
 	"ferryfront.example/ferryfront/internal/net/http1"
 	"ferryfront.example/ferryfront/internal/net/loop"
-	"ferryfront.example/ferryfront/internal/settings"
 )
 
-// Entry is an upstream host of the list, with its address. Its Boot is a time of the loop's clock once the watcher has it,
-// Started what discovery said, a time of the wall clock. 0: long ago.
-type Entry struct {
-	admission.ServerEntry
-	Addr    string
-	Started time.Duration
-}
-
-// List is one message of discovery.
-type List struct {
-	Version uint64
-	Full    bool
-	Entries []Entry
-}
-
-var stateNames = map[string]admission.ServerState{
-	"Ready": admission.Up, "Terminating": admission.Draining, "Gone": admission.Gone,
-}
-
-// ReadList reads a message. A state that is not known yet means that nothing new should go there.
-func ReadList(r settings.Reader) (List, error) {
-	list := List{Version: uint64(max(0, r.Int("version"))), Full: r.Bool("full")}
-	for _, e := range r.List("servers") {
-		state, ok := stateNames[e.Text("state")]
-		if !ok {
-			state = admission.Draining
-		}
-		e.Need("id")
-		started := e.Float("started_ms")
-		if math.Abs(started) > 1e13 {
-			started = 0
-		}
-		start := time.Duration(started*1e3) * time.Microsecond
-		list.Entries = append(list.Entries, Entry{Addr: e.Text("addr"), Started: start, ServerEntry: admission.ServerEntry{
-			Name: e.Text("id"), Zone: e.Text("zone"), Kind: e.Text("kind"), Cell: e.Int("cell"), State: state,
-			Size: e.Float("weight"), Boot: start}})
-	}
-	return list, r.Err()
-}
-
-// Sink takes the cluster's news.
+// Sink receives each list and each change of one.
 type Sink interface{ ServerListChanged(admission.ServerList) }
 
-// Hosts is told the addresses, and of each host whether it is leaving: then nothing new goes there.
+// Hosts receives the address, the start time (by the loop's clock, 0: long ago) and the removal of each host. A leaving
+// host gets no new requests.
 type Hosts interface {
 	SetHost(name, addr string, boot time.Duration, leaving bool)
 	RemoveHost(name string)
 }
 
-// Watcher follows discovery by one watch, opened anew whenever it ends or falls silent. While another is
-// being opened the present one is kept: it is given up once the other has told its first list.
+// Watcher keeps one watch open and replaces it whenever it ends or falls silent. While a new watch is being opened the
+// active one stays in use, until the new one has delivered its first list.
 type Watcher struct {
 	loop       *loop.Loop
 	bounds     limits.Limits
@@ -81,48 +39,35 @@
 	sink       Sink
 	hosts      Hosts
 	jsonParser fastjson.Parser
-	rng        *rand.Rand // spreads what all ingresses of a fleet would do at one instant
-
-	known              map[string]Entry
-	drained            map[string]bool // by the operators, whatever discovery says
-	version            uint64
-	needsFullList      bool // the next watch must begin with the whole list
-	hasSynced          bool // by discovery itself, since the start
-	hasFailed          bool // a watch has, since the start
+	rng        *rand.Rand // for jitter, so that the ingresses of a fleet don't act at the same instant
+
+	known              map[string]Entry // the current list, by name, in the states that discovery reports
+	drained            map[string]bool  // hosts that the operators drain, whatever discovery reports
+	version            uint64           // of the last list applied
+	needsFullList      bool             // the next watch must begin with the full list
+	hasSynced          bool             // discovery has sent a list since the process started
+	hasFailed          bool             // a watch has failed since the process started
 	startedAt          time.Duration
-	active             *watch // the one whose news counts, nil when it is lost
-	next               *watch // being opened
-	dialTimer          *loop.Timer
+	active             *watch      // delivers lists; nil after it was lost
+	next               *watch      // being opened, to replace active; nil if none
+	dialTimer          *loop.Timer // opens the next watch
 	backoff            time.Duration
-	silentWatches      int // watches in a row that were accepted and on which nothing was heard
+	silentWatches      int // consecutive watches that connected and received nothing
 	lossReported       bool
-	lossLoggedAt       time.Duration // when that was last told to the operator,
-	parseErrorLoggedAt time.Duration // and when of a message that can't be read
-}
-
-// watch is one connection to discovery.
-type watch struct {
-	watcher      *Watcher
-	source       *loop.Source
-	parser       *http1.ResponseParser
-	isConnected  bool
-	hasReceived  bool // a byte of an answer has come
-	openedAt     time.Duration
-	lastActivity time.Duration // when it was opened, or gave its last sign of life
-	unsent       []byte
-	framer       framer
-	silenceTimer *loop.Timer
+	lossLoggedAt       time.Duration // 0: never
+	parseErrorLoggedAt time.Duration // 0: never
 }
 
-// New returns a watcher that knows what was known before the start. Its first watch is opened at an instant
-// of its own within ClusterSpread, told by the seed: a fleet that is released starts as one.
-func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, addr string, sink Sink, hosts Hosts, known List,
+// New returns a watcher that begins with the list known from before the process started, and passes that on at once. The
+// first watch is opened after a random part of ClusterSpread, drawn from the seed, since the ingresses of a fleet may all
+// start at the same time.
+func New(l *loop.Loop, bounds limits.Limits, log *slog.Logger, addr string, sink Sink, hosts Hosts, known List,
 	seed uint64) *Watcher {
-	w := &Watcher{loop: l, bounds: lim, log: log, addr: addr, sink: sink, hosts: hosts, known: map[string]Entry{},
+	w := &Watcher{loop: l, bounds: bounds, log: log, addr: addr, sink: sink, hosts: hosts, known: map[string]Entry{},
 		startedAt: l.Now(), rng: rand.New(rand.NewPCG(seed, rngStream))}
 	known.Full = true
 	w.apply(known, admission.ListCached)
-	if spread := w.rng.Float64() * float64(lim.ClusterSpread); spread >= 1 {
+	if spread := w.rng.Float64() * float64(bounds.ClusterSpread); spread >= 1 {
 		w.dialTimer = l.After(time.Duration(spread), w.dial)
 		return w
 	}
@@ -130,23 +75,23 @@
 	return w
 }
 
-// rngStream keeps our random numbers apart from the decision module's, which has the same seed.
+// rngStream makes the random numbers differ from those of the decision module, which uses the same seed.
 const rngStream = 0x64697363
 
-// IsReady tells whether the cluster is known: discovery has told it, or it has turned us away or stays silent and
-// the list from before the start has to do. To wait for more would keep a whole fleet that is released at once
-// out of service for as long as discovery is overbooked by it.
+// IsReady reports whether the list of hosts can be used: discovery has sent it, or a watch has failed and there is a list
+// from before the start, or ReadyWait has passed. To wait longer would keep a fleet that starts all at once out of service
+// for as long as it overloads discovery.
 func (w *Watcher) IsReady() bool {
 	return w.hasSynced || w.hasFailed && len(w.known) > 0 || w.loop.Now()-w.startedAt > w.bounds.ReadyWait
 }
 
-// HasSynced tells whether discovery itself has spoken since the start.
+// HasSynced reports whether discovery has sent a list since the watcher was created.
 func (w *Watcher) HasSynced() bool { return w.hasSynced }
 
-// HostCount tells how many hosts are in the list as it stands.
+// HostCount returns the number of hosts in the current list, in any state.
 func (w *Watcher) HostCount() int { return len(w.known) }
 
-// Current is the list as it stands, in order of name.
+// Current returns the current list, sorted by name, in the states that discovery reports.
 func (w *Watcher) Current() List {
 	list := List{Version: w.version, Full: true}
 	for _, e := range w.known {
@@ -156,26 +101,27 @@
 	return list
 }
 
-// Adopt tells the list as it stands once more, whole, to a sink that has begun anew. As long as discovery has
-// not spoken here, that is the list of the process before: it is newer than the one known from before a start.
-func (w *Watcher) Adopt(theirs List) {
+// Adopt passes on the current list in full, for a sink whose state was replaced in a handover. If discovery has not sent a
+// list to this process yet, it takes over the predecessor's list, which is newer than the one from before the start.
+func (w *Watcher) Adopt(predecessor List) {
 	if w.hasSynced {
-		theirs = w.Current()
+		predecessor = w.Current()
 	}
-	theirs.Full = true
-	w.apply(theirs, admission.ListChanges)
+	predecessor.Full = true
+	w.apply(predecessor, admission.ListChanges)
 }
 
-// Refetch asks for the whole list. A watch that is already being opened serves for it, once it is asked anew.
+// Refetch requests the full list by a new watch, after the backoff. It does nothing if such a request is outstanding. The
+// request counts as served, too, once a watch that is being opened now delivers its first message.
 func (w *Watcher) Refetch() {
 	if !w.needsFullList {
 		w.needsFullList = true
-		w.scheduleRetry("whole list asked for", w.loop.Now())
+		w.scheduleRetry("full list requested", w.loop.Now())
 	}
 }
 
-// SetAddr follows discovery to another address. What the old one still tells counts until the new one has
-// told the whole list: versions of one address say nothing of another's.
+// SetAddr connects to discovery at another address. Changes from the old address apply until the new one has sent the full
+// list: versions of different addresses can't be compared.
 func (w *Watcher) SetAddr(addr string) {
 	if addr == w.addr {
 		return
@@ -185,53 +131,57 @@
 	w.dial()
 }
 
+// apply makes a list the current one, or changes the current one by it, and passes it on.
 func (w *Watcher) apply(list List, kind admission.ListKind) {
-	news := admission.ServerList{Kind: kind, Version: list.Version}
+	update := admission.ServerList{Kind: kind, Version: list.Version}
 	if kind == admission.ListChanges && list.Full {
-		news.Kind = admission.ListFull
+		update.Kind = admission.ListFull
 	}
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for i := range list.Entries {
 		e := &list.Entries[i]
 		e.Boot = w.bootTime(*e)
-		news.Servers = append(news.Servers, w.withDrain(e.ServerEntry))
-		named[e.Name] = true
+		update.Servers = append(update.Servers, w.withDrain(e.ServerEntry))
+		listed[e.Name] = true
 	}
-	// The module hears of it first: what a host that leaves had not been sent yet is to go elsewhere.
+	// The sink comes before the hosts: requests not yet sent to a host that leaves are to be sent elsewhere, so the
+	// decision module must know of it first.
 	w.version = list.Version
-	w.sink.ServerListChanged(news)
+	w.sink.ServerListChanged(update)
 	for i, e := range list.Entries {
 		if e.State == admission.Gone {
 			w.remove(e.Name)
 			continue
 		}
 		w.known[e.Name] = e
-		w.hosts.SetHost(e.Name, e.Addr, e.Boot, news.Servers[i].State != admission.Up)
+		w.hosts.SetHost(e.Name, e.Addr, e.Boot, update.Servers[i].State != admission.Up)
 	}
-	if list.Full { // who is absent from a whole list is gone
+	if list.Full { // hosts that a full list leaves out are gone
 		for name := range w.known {
-			if !named[name] {
+			if !listed[name] {
 				w.remove(name)
 			}
 		}
 	}
 }
 
+// remove drops a host that is gone from the current list.
 func (w *Watcher) remove(name string) {
 	w.hosts.RemoveHost(name)
 	delete(w.known, name)
 }
 
-// dial opens the next watch.
+// dial opens the next watch, in place of one that is still being opened.
 func (w *Watcher) dial() {
 	w.dialTimer.Stop()
 	w.next.close()
 	now := w.loop.Now()
-	x := &watch{watcher: w, parser: http1.NewResponseParser(w.bounds.HeadBytes, w.bounds.ClusterBytes, 0), openedAt: now, lastActivity: now}
+	opened := &watch{watcher: w, parser: http1.NewResponseParser(w.bounds.HeadBytes, w.bounds.ClusterBytes, 0), openedAt: now, lastActivity: now}
 	w.next = nil
-	err := x.open()
+	err := opened.open()
 	switch {
-	case loop.IsOutOfResources(err): // of this machine: discovery was not asked, and is not spared by waiting
+	case loop.IsOutOfResources(err):
+		// This machine lacks the resources. Discovery got no request, so a backoff would not spare it any load.
 		w.reportLoss(err.Error())
 		w.dialTimer = w.loop.After(w.bounds.BackoffFirst, w.dial)
 		return
@@ -243,66 +193,58 @@
 	if w.needsFullList {
 		index = 0
 	}
-	x.unsent = http1.AppendRequest(nil, "GET", "/discovery/hosts?stream=1&index="+strconv.FormatUint(index, 10),
+	opened.unsent = http1.AppendRequest(nil, "GET", "/discovery/hosts?stream=1&index="+strconv.FormatUint(index, 10),
 		"discovery", nil, nil)
-	x.resetSilenceTimer(w.bounds.ClusterDial)
-	w.next = x
+	opened.resetSilenceTimer(w.bounds.ClusterDial)
+	w.next = opened
 }
 
-// open begins the watch's connection.
-func (x *watch) open() error {
-	fd, err := loop.Dial(x.watcher.addr)
-	if err != nil {
-		return err
-	}
-	if x.source, err = x.watcher.loop.Watch(fd, loop.Out|loop.Hangup, x); err != nil {
-		loop.CloseFD(fd)
-	}
-	return err
-}
-
-// scheduleRetry opens a watch after a while, longer with each failure in a row, at a random instant of that while.
-// Discovery is one service for all ingresses: asked by all of them again and again it answers none in time,
-// and none of them ever hears the list. However often that failed, the while ends within ClusterApart of the last
-// sign of life, or of the last try: discovery may have had a change ever since, which counts as told soon after.
-func (w *Watcher) scheduleRetry(why string, sign time.Duration) {
-	w.reportLoss(why)
+// scheduleRetry opens the next watch after 10 to 100 percent, drawn at random, of an exponential backoff from ClusterFirst to
+// ClusterMost. Discovery is one service for all ingresses: if all of them keep requesting the list it answers none in time,
+// and none gets the list. However many watches have failed, the wait ends within ClusterApart of lastActivity, the time of
+// the last data or of the last attempt: discovery may have published a change at any time since, and each ingress that can
+// reach it must act on a change within a fixed time. The backoff is not cut below BackoffFirst for that.
+func (w *Watcher) scheduleRetry(cause string, lastActivity time.Duration) {
+	w.reportLoss(cause)
 	w.backoff = min(max(2*w.backoff, w.bounds.ClusterFirst), w.bounds.ClusterMost)
-	most := max(w.bounds.BackoffFirst, min(w.backoff, sign+w.bounds.ClusterApart-w.loop.Now()))
+	longest := max(w.bounds.BackoffFirst, min(w.backoff, lastActivity+w.bounds.ClusterApart-w.loop.Now()))
 	w.dialTimer.Stop()
-	w.dialTimer = w.loop.After(time.Duration((0.1+0.9*w.rng.Float64())*float64(most)), w.dial)
+	w.dialTimer = w.loop.After(time.Duration((0.1+0.9*w.rng.Float64())*float64(longest)), w.dial)
 }
 
-// scheduleReopen opens a watch in place of one that was heard and is lost, or that nothing was heard on, as soon as a first
-// one: what discovery has told since counts as told here, and nothing says that it is overbooked. Once it has turned
-// us away, or broken off, retry spaces out all further ones. One that ends as soon as it is open is not dialled
-// at once.
-func (w *Watcher) scheduleReopen(x *watch, why string) {
+// scheduleReopen replaces a watch that had received data and is lost, or that connected and received nothing. It waits no
+// longer than before the first watch, a random part of ClusterSpread: changes published since count as known here, and
+// nothing indicates that discovery is overloaded. Once discovery has refused a watch or ended one early, so that a backoff
+// is set, scheduleRetry spaces out all further ones. The new watch is opened at the earliest BackoffFirst after the ended one
+// was, so that watches that end at once don't follow each other without a pause.
+func (w *Watcher) scheduleReopen(ended *watch, cause string) {
 	if w.backoff > 0 {
-		w.scheduleRetry(why, x.lastActivity)
+		w.scheduleRetry(cause, ended.lastActivity)
 		return
 	}
-	w.reportLoss(why)
+	w.reportLoss(cause)
 	w.dialTimer.Stop()
 	wait := time.Duration(w.rng.Float64() * float64(w.bounds.ClusterSpread))
-	w.dialTimer = w.loop.At(max(w.loop.Now()+wait, x.openedAt+w.bounds.BackoffFirst), w.dial)
+	w.dialTimer = w.loop.At(max(w.loop.Now()+wait, ended.openedAt+w.bounds.BackoffFirst), w.dial)
 }
 
-// reportLoss tells the operator of the first loss of a spell, and of no more spells than are worth reading.
-func (w *Watcher) reportLoss(why string) {
+// reportLoss records that a watch has failed. If none is active it logs the loss: once until a watch works again, and at
+// most once per logInterval.
+func (w *Watcher) reportLoss(cause string) {
 	w.hasFailed = true
 	if now := w.loop.Now(); w.active == nil && !w.lossReported && (w.lossLoggedAt == 0 || now-w.lossLoggedAt > logInterval) {
 		w.lossReported, w.lossLoggedAt = true, now
-		w.log.Warn("discovery watch lost", "cause", why)
+		w.log.Warn("discovery watch lost", "cause", cause)
 	}
 }
 
-// logInterval: discovery that breaks off again and again is told of so often.
+// logInterval is the minimum time between two warnings of the same kind.
 const logInterval = 10 * time.Second
 
-// recordSuccess tells that a watch has brought something that can be read.
-func (w *Watcher) recordSuccess(x *watch) {
-	if w.loop.Now()-x.openedAt > w.bounds.BackoffMost { // one that breaks off at once is not dialled faster for it
+// recordSuccess notes that a watch has delivered a valid message. It ends the backoff only if the watch has been open for
+// longer than BackoffMost, so that a watch that ends soon after its list is not replaced faster.
+func (w *Watcher) recordSuccess(from *watch) {
+	if w.loop.Now()-from.openedAt > w.bounds.BackoffMost {
 		w.backoff = 0
 	}
 	if w.lossReported {
@@ -311,160 +253,8 @@
 	}
 }
 
-// close ends a watch. It is safe on nil.
-func (x *watch) close() {
-	if x != nil {
-		x.silenceTimer.Stop()
-		x.source.Close()
-	}
-}
-
-// fail ends a watch that is of no further use. It reports what it was to its watcher, which opens another
-// unless one is on its way.
-func (x *watch) fail(why string) {
-	x.watcher.log.Debug("discovery watch closed", "cause", why, "up", x.isConnected, "heard", x.hasReceived, "counts", x == x.watcher.active)
-	x.close()
-	switch w := x.watcher; x {
-	case w.next:
-		if w.next = nil; why == causeSilent && x.isConnected {
-			if !x.hasReceived {
-				w.silentWatches++
-			}
-			w.scheduleReopen(x, why)
-		} else {
-			w.scheduleRetry(why, x.lastActivity)
-		}
-	case w.active:
-		w.active = nil
-		if w.next == nil {
-			w.scheduleReopen(x, why)
-		}
-	}
-}
-
-// firstByteTimeout is how long a watch may take to begin its answer: longer with each in a row that did not, so
-// that discovery that has become slow is heard all the same.
+// firstByteTimeout returns how long a watch may take from its connection to the first byte of its response. It doubles with
+// each consecutive watch that received nothing, up to ClusterSilence, so that a watch also succeeds when discovery has become slow.
 func (w *Watcher) firstByteTimeout() time.Duration {
 	return min(w.bounds.ClusterAnswer<<min(w.silentWatches, 8), w.bounds.ClusterSilence)
 }
-
-// causeSilent is the cause of a watch's end on which no sign of life came in time.
-const causeSilent = "silent"
-
-// resetSilenceTimer begins to wait for the next sign of life.
-func (x *watch) resetSilenceTimer(most time.Duration) {
-	x.silenceTimer.Stop()
-	x.silenceTimer = x.watcher.loop.After(most, func() { x.fail(causeSilent) })
-}
-
-// Ready goes on with the watch.
-func (x *watch) Ready(events uint32) {
-	if !x.isConnected {
-		if err := loop.DialResult(x.source.FD()); err != nil {
-			x.fail(err.Error())
-			return
-		}
-		x.isConnected = true
-		x.resetSilenceTimer(x.watcher.firstByteTimeout())
-	}
-	if len(x.unsent) > 0 {
-		n, err := loop.Write(x.source.FD(), x.unsent)
-		if err != nil {
-			x.fail(err.Error())
-			return
-		}
-		if x.unsent = x.unsent[n:]; len(x.unsent) == 0 {
-			x.source.SetEvents(loop.In | loop.Hangup)
-		}
-	}
-	if events&(loop.In|loop.Hangup) != 0 {
-		x.read()
-	}
-}
-
-// read takes what one read brings: whatever discovery sends, the other connections have their turns.
-func (x *watch) read() {
-	buf := x.watcher.loop.ReadBuffer()
-	n, err := loop.Read(x.source.FD(), buf)
-	if errors.Is(err, loop.ErrAgain) {
-		return
-	}
-	if err != nil {
-		x.fail(err.Error())
-		return
-	}
-	x.hasReceived, x.lastActivity, x.watcher.silentWatches = true, x.watcher.loop.Now(), 0
-	x.resetSilenceTimer(x.watcher.bounds.ClusterSilence)
-	x.parser.Feed(buf[:n])
-	resp, err := x.parser.Next()
-	if err != nil {
-		x.fail(err.Error())
-		return
-	}
-	if resp != nil { // a watch has no end while all is well
-		if resp.Status == 200 {
-			x.readMessages(resp.Body)
-		}
-		x.fail(fmt.Sprintf("watch ended with status %d", resp.Status))
-		return
-	}
-	if status, body := x.parser.TakePartialBody(); status == 200 {
-		x.readMessages(body)
-	}
-}
-
-// readMessages reads the messages that are whole. What can't be read changes nothing: its connection is ended, and the
-// whole list asked for on another.
-func (x *watch) readMessages(body []byte) {
-	w := x.watcher
-	x.framer.feed(body)
-	for x.source.FD() >= 0 {
-		message, err := x.framer.next()
-		if err == nil && message == nil {
-			if x.framer.buffered() > w.bounds.ClusterBytes {
-				x.rejectMessage(errors.New("a message without end"))
-			}
-			return
-		}
-		if err == nil && len(message) == 0 {
-			w.recordSuccess(x)
-			continue
-		}
-		var list List
-		if err == nil {
-			var v *fastjson.Value
-			if v, err = w.jsonParser.ParseBytes(message); err == nil {
-				list, err = ReadList(settings.NewReader(v, ""))
-			}
-		}
-		if err != nil {
-			x.rejectMessage(err)
-			return
-		}
-		if len(message) > maxRetainedMessage {
-			w.jsonParser = fastjson.Parser{}
-		}
-		w.recordSuccess(x)
-		if x == w.next {
-			w.active.close()
-			w.active, w.next, w.needsFullList = x, nil, false
-		}
-		w.hasSynced = true
-		w.apply(list, admission.ListChanges)
-	}
-}
-
-// maxRetainedMessage bounds the message, in bytes, whose memory the parser keeps for the next one. It needs about 34 times as
-// much as the message: 29 MB for a whole list of 7,200 hosts, which comes seldom.
-const maxRetainedMessage = 64 << 10
-
-// rejectMessage ends a watch that has brought what can't be read.
-func (x *watch) rejectMessage(err error) {
-	w := x.watcher
-	if now := w.loop.Now(); w.parseErrorLoggedAt == 0 || now-w.parseErrorLoggedAt > logInterval {
-		w.parseErrorLoggedAt = now
-		w.log.Warn("discovery message not read", "cause", err)
-	}
-	w.needsFullList, w.backoff = true, max(w.backoff, w.bounds.BackoffFirst)
-	x.fail("a message that can't be read")
-}
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -17,32 +17,35 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-type nobody struct{}
+// discardSink is a Sink and a Hosts that ignores all calls.
+type discardSink struct{}
 
-func (nobody) ServerListChanged(admission.ServerList) {}
-func (nobody) RemoveHost(string)                      {}
+func (discardSink) ServerListChanged(admission.ServerList)      {}
+func (discardSink) SetHost(string, string, time.Duration, bool) {}
+func (discardSink) RemoveHost(string)                           {}
 
-func (nobody) SetHost(string, string, time.Duration, bool) {}
+// turnFunc is a loop.Turner that calls a function at the end of each turn.
+type turnFunc func()
 
-type turns func()
-
-func (f turns) Turn(time.Duration) time.Duration {
+func (f turnFunc) Turn(time.Duration) time.Duration {
 	f()
 	return 0
 }
 
-func bounds(t *testing.T, doors int) limits.Limits {
-	lim, err := limits.For(limits.Site{Sockets: 384, Gateways: doors})
+// testBounds returns the limits of one ingress in a fleet of so many.
+func testBounds(t *testing.T, ingresses int) limits.Limits {
+	bounds, err := limits.For(limits.Site{Sockets: 384, Gateways: ingresses})
 	require.NoError(t, err)
-	return lim
+	return bounds
 }
 
-// serve stands in for discovery: it answers each watch, the first being number 1, and ends it when answer returns.
-func serve(t *testing.T, answer func(c net.Conn, n int64)) (addr string) {
+// serveWatches runs a fake discovery service. It calls answer for each watch, numbered from 1, and closes the watch when
+// answer returns.
+func serveWatches(t *testing.T, answer func(c net.Conn, n int64)) (addr string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	var calls atomic.Int64
+	var watches atomic.Int64
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -52,7 +55,7 @@
 			go func() {
 				defer c.Close()
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					answer(c, calls.Add(1))
+					answer(c, watches.Add(1))
 				}
 			}()
 		}
@@ -60,48 +63,48 @@
 	return ln.Addr().String()
 }
 
-// Discovery that turns calls away because it is overbooked is not asked the more for it: all doors together
-// ask half as often as each by itself would, and ever less.
-func TestAFleetDoesNotStormAnOverbookedDiscovery(t *testing.T) {
-	const doors = 60
-	var calls atomic.Int64
-	addr := serve(t, func(c net.Conn, n int64) {
-		calls.Store(n)
+// Discovery that refuses watches because it is overloaded must not get more of them for that: the ingresses of a fleet back
+// off by its size, so that all of them together open watches at half the rate of a single one, and ever fewer.
+func TestFleetBacksOffFromOverloadedDiscovery(t *testing.T) {
+	const ingresses = 60
+	var watches atomic.Int64
+	addr := serveWatches(t, func(c net.Conn, n int64) {
+		watches.Store(n)
 		_, _ = c.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
 	})
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := bounds(t, doors)
-	for i := range doors {
-		New(l, lim, slog.New(slog.DiscardHandler), addr, nobody{}, nobody{}, List{}, uint64(i))
+	bounds := testBounds(t, ingresses)
+	for i := range ingresses {
+		New(l, bounds, slog.New(slog.DiscardHandler), addr, discardSink{}, discardSink{}, List{}, uint64(i))
 	}
 	l.After(2500*time.Millisecond, l.Stop)
-	require.NoError(t, l.Run(turns(func() {})))
-	require.Greater(t, calls.Load(), int64(doors*3/4), "each door asks")
-	require.Less(t, calls.Load(), int64(4*doors))
+	require.NoError(t, l.Run(turnFunc(func() {})))
+	require.Greater(t, watches.Load(), int64(ingresses*3/4), "each ingress opens a watch")
+	require.Less(t, watches.Load(), int64(4*ingresses))
 }
 
-// A watch that falls silent after it was heard is opened anew as soon as a first one, and so is one on which nothing
-// was heard, however large the fleet: what discovery has meanwhile told counts as told.
-func TestASilentWatchIsOpenedAnewAtOnce(t *testing.T) {
-	over := make(chan struct{})
-	defer close(over)
-	addr := serve(t, func(c net.Conn, n int64) {
-		if n != 2 { // the second is accepted and hears nothing
+// A watch that falls silent, after its first list or before any data, is replaced as soon as a first watch is opened, without
+// the backoff of a large fleet: changes that discovery publishes meanwhile count as known to the ingress.
+func TestSilentWatchIsReopenedWithoutBackoff(t *testing.T) {
+	testEnd := make(chan struct{})
+	defer close(testEnd)
+	addr := serveWatches(t, func(c net.Conn, n int64) {
+		if n != 2 { // the second watch is accepted and receives nothing
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{\"version\":%d,\"full\":true,\"servers\":[]}\n", n)
 		}
-		<-over
+		<-testEnd
 	})
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := bounds(t, 300)
-	lim.ClusterSilence, lim.ClusterSpread = 600*time.Millisecond, 20*time.Millisecond
-	lim.ClusterFirst, lim.ClusterMost = time.Minute, time.Minute // 6 s at least, once it was turned away
-	s := &sink{}
-	New(l, lim, slog.New(slog.DiscardHandler), addr, s, s, List{}, 1)
+	bounds := testBounds(t, 300)
+	bounds.ClusterSilence, bounds.ClusterSpread = 600*time.Millisecond, 20*time.Millisecond
+	bounds.ClusterFirst, bounds.ClusterMost = time.Minute, time.Minute // a backoff would take at least 6 s
+	s := &recordingSink{}
+	New(l, bounds, slog.New(slog.DiscardHandler), addr, s, s, List{}, 1)
 	l.After(5*time.Second, l.Stop)
-	require.NoError(t, l.Run(turns(func() {
-		if len(s.lists) == 3 { // the one known before, and two told
+	require.NoError(t, l.Run(turnFunc(func() {
+		if len(s.lists) == 3 { // the one from before the start, and two from discovery
 			l.Stop()
 		}
 	})))
@@ -109,38 +112,38 @@
 	require.Equal(t, uint64(3), s.lists[2].Version)
 }
 
-// A few doors ask as promptly as ever.
-func TestWaitsOfAFewDoorsAreShort(t *testing.T) {
-	lim := bounds(t, 3)
-	require.LessOrEqual(t, lim.ClusterSpread, 50*time.Millisecond)
-	require.Equal(t, lim.BackoffMost, lim.ClusterMost)
-	large := bounds(t, 80)
+// The delays grow with the size of the fleet: a small one has short delays, a large one spreads its watches over seconds.
+func TestSmallFleetHasShortDelays(t *testing.T) {
+	small := testBounds(t, 3)
+	require.LessOrEqual(t, small.ClusterSpread, 50*time.Millisecond)
+	require.Equal(t, small.BackoffMost, small.ClusterMost)
+	large := testBounds(t, 80)
 	require.Greater(t, large.ClusterMost, 4*time.Second)
 	require.Greater(t, large.ClusterSpread, 200*time.Millisecond)
 }
 
-// Ingresses that are released together may be sent requests before they are up. One that asked discovery later
-// than the grace of drains would send those to hosts that have long drained, however large the fleet.
-func TestFirstWatchesComeWithinTheGraceOfDrains(t *testing.T) {
-	for _, doors := range []int{3, 80, 300, 3000} {
-		lim, err := limits.For(limits.Site{Sockets: 384, Gateways: doors, DrainGrace: 500 * time.Millisecond})
+// Ingresses that start together may get requests before they are ready. One that opened its first watch later than the drain
+// grace would send those to hosts that have long drained. The delay must stay below it in a fleet of any size.
+func TestFirstWatchOpensWithinDrainGrace(t *testing.T) {
+	for _, ingresses := range []int{3, 80, 300, 3000} {
+		bounds, err := limits.For(limits.Site{Sockets: 384, Gateways: ingresses, DrainGrace: 500 * time.Millisecond})
 		require.NoError(t, err)
-		require.LessOrEqual(t, lim.ClusterSpread, 250*time.Millisecond)
+		require.LessOrEqual(t, bounds.ClusterSpread, 250*time.Millisecond)
 	}
 }
 
-// sink keeps the lists that it is told.
-type sink struct {
-	nobody
+// recordingSink records the lists that it receives.
+type recordingSink struct {
+	discardSink
 	lists []admission.ServerList
 }
 
-func (s *sink) ServerListChanged(l admission.ServerList) { s.lists = append(s.lists, l) }
+func (s *recordingSink) ServerListChanged(l admission.ServerList) { s.lists = append(s.lists, l) }
 
-// Hosts that the operators drain count as draining whatever discovery says, until they are taken off the list; what
-// discovery itself drains stays so.
-func TestOperatorsDrainHosts(t *testing.T) {
-	s := &sink{}
+// Hosts that the operators drain count as draining whatever state discovery reports, until a later SetDrained leaves them
+// out. A host that discovery itself reports as draining is not affected.
+func TestSetDrained(t *testing.T) {
+	s := &recordingSink{}
 	w := &Watcher{sink: s, hosts: s, known: map[string]Entry{}}
 	entry := func(name string, state admission.ServerState) Entry {
 		return Entry{Addr: "127.0.0.1:1", ServerEntry: admission.ServerEntry{Name: name, State: state}}
@@ -158,10 +161,10 @@
 	require.Equal(t, admission.ListChanges, s.lists[len(s.lists)-1].Kind)
 	w.apply(List{Full: true, Entries: []Entry{entry("a", admission.Up), entry("b", admission.Up)}}, admission.ListChanges)
 	require.Equal(t, map[string]admission.ServerState{"a": admission.Draining, "b": admission.Up}, states())
-	require.Equal(t, admission.Up, w.known["a"].State, "a successor is told what discovery says")
+	require.Equal(t, admission.Up, w.known["a"].State, "the state reported by discovery is kept for a successor process")
 	n := len(s.lists)
 	w.SetDrained([]string{"a"})
-	require.Len(t, s.lists, n, "nothing has changed")
+	require.Len(t, s.lists, n, "an unchanged set must send nothing")
 	w.SetDrained([]string{"b"})
 	require.Equal(t, map[string]admission.ServerState{"a": admission.Up, "b": admission.Draining}, states())
 }
--- a/internal/net/discovery/drain.go
+++ b/internal/net/discovery/drain.go
@@ -7,32 +7,33 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// SetDrained has these hosts count as draining, whatever discovery says of them, and no others beyond its own word. They
-// take effect in the same turn, as a change of the list does.
+// SetDrained replaces the set of hosts that the operators drain. They count as draining whatever state discovery reports;
+// all others have the state that discovery reports. The sink and the hosts get the changes before SetDrained returns, in the
+// same turn of the loop.
 func (w *Watcher) SetDrained(names []string) {
 	before := w.drained
 	w.drained = map[string]bool{}
 	for _, name := range names {
 		w.drained[name] = true
 	}
-	news := admission.ServerList{Kind: admission.ListChanges, Version: w.version}
+	changes := admission.ServerList{Kind: admission.ListChanges, Version: w.version}
 	for name, e := range w.known {
 		if e.State == admission.Up && before[name] != w.drained[name] {
-			news.Servers = append(news.Servers, w.withDrain(e.ServerEntry))
+			changes.Servers = append(changes.Servers, w.withDrain(e.ServerEntry))
 		}
 	}
-	if len(news.Servers) > 0 {
-		slices.SortFunc(news.Servers, func(a, b admission.ServerEntry) int { // equal news in equal order
+	if len(changes.Servers) > 0 {
+		slices.SortFunc(changes.Servers, func(a, b admission.ServerEntry) int { // for a reproducible order
 			return strings.Compare(a.Name, b.Name)
 		})
-		w.sink.ServerListChanged(news)
-		for _, e := range news.Servers {
+		w.sink.ServerListChanged(changes)
+		for _, e := range changes.Servers {
 			w.hosts.SetHost(e.Name, w.known[e.Name].Addr, e.Boot, e.State != admission.Up)
 		}
 	}
 }
 
-// withDrain is what is told of a host.
+// withDrain returns the entry as it is passed on: draining if the operators drain the host.
 func (w *Watcher) withDrain(e admission.ServerEntry) admission.ServerEntry {
 	if e.State == admission.Up && w.drained[e.Name] {
 		e.State = admission.Draining
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -17,120 +17,124 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// agent are the bounds of an ingress among many that has an agent of its own to ask.
-func agent(t *testing.T) limits.Limits {
-	lim, err := limits.For(limits.Site{Sockets: 384, Gateways: 300, DrainGrace: 500 * time.Millisecond, Pushed: true})
+// agentBounds returns the limits of one ingress of 300 whose discovery is an agent on its own machine.
+func agentBounds(t *testing.T) limits.Limits {
+	bounds, err := limits.For(limits.Site{Sockets: 384, Gateways: 300, DrainGrace: 500 * time.Millisecond, Pushed: true})
 	require.NoError(t, err)
-	return lim
+	return bounds
 }
 
-// chunk begins an answer that stays open.
-func begin(c net.Conn) {
+// startResponse sends the head of a response that does not end.
+func startResponse(c net.Conn) {
 	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-func chunk(c net.Conn, s string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s) }
+// writeChunk sends s as one chunk of the response's body.
+func writeChunk(c net.Conn, s string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s) }
 
-func list(version int) string {
+// emptyList returns a full list without hosts.
+func emptyList(version int) string {
 	return `{"version":` + strconv.Itoa(version) + `,"full":true,"servers":[]}` + "\n"
 }
 
-// follow runs a watcher until it has told so many lists beside the one known before, and returns it and their versions.
-func follow(t *testing.T, lim limits.Limits, addr string, lists int) (w *Watcher, versions []uint64) {
+// receiveLists runs a watcher until discovery has sent it so many lists, and returns it and the lists' versions. The list from
+// before the start is not counted.
+func receiveLists(t *testing.T, bounds limits.Limits, addr string, lists int) (w *Watcher, versions []uint64) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	s := &sink{}
-	w = New(l, lim, slog.New(slog.DiscardHandler), addr, s, s, List{}, 1)
+	s := &recordingSink{}
+	w = New(l, bounds, slog.New(slog.DiscardHandler), addr, s, s, List{}, 1)
 	nettest.Until(t, l, func() bool { return len(s.lists) > lists })
-	for _, told := range s.lists[1:] {
-		versions = append(versions, told.Version)
+	for _, received := range s.lists[1:] {
+		versions = append(versions, received.Version)
 	}
 	return w, versions
 }
 
-// What an agent has counts as told though it refuses: it is asked again within the grace of drains, however many other
-// ingresses have agents of theirs.
-func TestAnAgentThatBreaksOffIsAskedAgainWithinTheGrace(t *testing.T) {
-	asked := make(chan time.Time, 64)
-	addr := serve(t, func(c net.Conn, n int64) {
-		asked <- time.Now()
+// Changes that an agent has count as known to its ingress even while it closes watches. So it must be retried within the drain
+// grace, however many other ingresses with agents of their own there are.
+func TestAgentIsRetriedWithinDrainGrace(t *testing.T) {
+	requests := make(chan time.Time, 64)
+	addr := serveWatches(t, func(c net.Conn, n int64) {
+		requests <- time.Now()
 		if n <= 8 {
 			return
 		}
-		begin(c)
-		chunk(c, list(int(n)))
+		startResponse(c)
+		writeChunk(c, emptyList(int(n)))
 		_, _ = io.Copy(io.Discard, c)
 	})
-	_, versions := follow(t, agent(t), addr, 1)
+	_, versions := receiveLists(t, agentBounds(t), addr, 1)
 	require.Equal(t, []uint64{9}, versions)
-	first, last := <-asked, time.Time{}
+	first, last := <-requests, time.Time{}
 	for range 8 {
-		last = <-asked
+		last = <-requests
 	}
 	require.Less(t, last.Sub(first), 4*time.Second)
 }
 
-// A watch that was accepted and hears nothing is given up soon, at first; one that is merely slow is heard at last.
-func TestAWatchThatHearsNothing(t *testing.T) {
-	lim := agent(t)
-	require.LessOrEqual(t, lim.ClusterAnswer, time.Second)
-	require.LessOrEqual(t, lim.ClusterSilence, 3*time.Second)
-	lim.ClusterAnswer, lim.ClusterSilence = 40*time.Millisecond, 800*time.Millisecond
-	addr := serve(t, func(c net.Conn, n int64) {
-		time.AfterFunc(300*time.Millisecond, func() { // later than the first waits, sooner than the longest
-			begin(c)
-			chunk(c, list(int(n)))
+// A watch that is accepted and receives nothing is replaced after a short time at first. The time grows with each, so that a
+// discovery that is merely slow is waited for in the end.
+func TestFirstByteTimeoutGrows(t *testing.T) {
+	bounds := agentBounds(t)
+	require.LessOrEqual(t, bounds.ClusterAnswer, time.Second)
+	require.LessOrEqual(t, bounds.ClusterSilence, 3*time.Second)
+	bounds.ClusterAnswer, bounds.ClusterSilence = 40*time.Millisecond, 800*time.Millisecond
+	addr := serveWatches(t, func(c net.Conn, n int64) {
+		time.AfterFunc(300*time.Millisecond, func() { // above the first timeouts, below the longest
+			startResponse(c)
+			writeChunk(c, emptyList(int(n)))
 		})
 		_, _ = io.Copy(io.Discard, c)
 	})
-	_, versions := follow(t, lim, addr, 1)
+	_, versions := receiveLists(t, bounds, addr, 1)
 	require.Greater(t, versions[0], uint64(2))
 }
 
-// A list that comes indented, byte by byte, counts as one on a line does, at the last bracket.
-func TestAnIndentedListInPieces(t *testing.T) {
-	addr := serve(t, func(c net.Conn, n int64) {
-		begin(c)
+// A list that is indented and arrives byte by byte is applied at its last bracket, though no end of line follows.
+func TestIndentedListInPieces(t *testing.T) {
+	addr := serveWatches(t, func(c net.Conn, n int64) {
+		startResponse(c)
 		for _, b := range strings.Split(indented, "") {
-			chunk(c, b)
+			writeChunk(c, b)
 		}
-		_, _ = io.Copy(io.Discard, c) // no end of the line ever
+		_, _ = io.Copy(io.Discard, c)
 	})
-	w, versions := follow(t, agent(t), addr, 1)
+	w, versions := receiveLists(t, agentBounds(t), addr, 1)
 	require.Equal(t, []uint64{2}, versions)
 	require.Contains(t, w.known, "a")
 }
 
-// A message that can't be read changes nothing that was in force and ends its own watch; the next begins with the whole.
-func TestAMessageThatCantBeReadEndsItsWatch(t *testing.T) {
-	for _, spoilt := range []string{`{"version":7,"full":true,"servers":[{"id":"` + "\n", `{"version":7,"servers":[{}]}` + "\n",
+// A malformed message must leave the current list unchanged and end its watch. The next watch requests the full list.
+func TestMalformedMessageEndsItsWatch(t *testing.T) {
+	for _, malformedMessage := range []string{`{"version":7,"full":true,"servers":[{"id":"` + "\n", `{"version":7,"servers":[{}]}` + "\n",
 		`{"version":7]` + "\n}", "garbage\n"} {
 		ended := make(chan struct{}, 8)
-		addr := serve(t, func(c net.Conn, n int64) {
-			begin(c)
-			chunk(c, `{"version":`+strconv.Itoa(int(n))+`,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"Ready"}]}`+"\n")
+		addr := serveWatches(t, func(c net.Conn, n int64) {
+			startResponse(c)
+			writeChunk(c, `{"version":`+strconv.Itoa(int(n))+`,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"Ready"}]}`+"\n")
 			if n == 1 {
-				chunk(c, spoilt)
+				writeChunk(c, malformedMessage)
 			}
 			_, _ = io.Copy(io.Discard, c)
 			ended <- struct{}{}
 		})
-		w, versions := follow(t, agent(t), addr, 2)
-		require.Equal(t, []uint64{1, 2}, versions, spoilt)
+		w, versions := receiveLists(t, agentBounds(t), addr, 2)
+		require.Equal(t, []uint64{1, 2}, versions, malformedMessage)
 		require.Contains(t, w.known, "a")
 		<-ended
 	}
 }
 
-// An agent that tells its list and closes, again and again, is not dialled as fast as it can.
-func TestAWatchThatEndsAtOnceIsNoFlood(t *testing.T) {
-	addr := serve(t, func(c net.Conn, n int64) {
-		begin(c)
-		chunk(c, list(int(n)))
+// An agent that sends its list and closes the watch, again and again, must not be dialled without a pause.
+func TestWatchesThatEndAtOnceAreSpacedOut(t *testing.T) {
+	addr := serveWatches(t, func(c net.Conn, n int64) {
+		startResponse(c)
+		writeChunk(c, emptyList(int(n)))
 	})
-	began := time.Now()
-	lim := agent(t)
-	_, versions := follow(t, lim, addr, 5)
+	start := time.Now()
+	bounds := agentBounds(t)
+	_, versions := receiveLists(t, bounds, addr, 5)
 	require.Len(t, versions, 5)
-	require.GreaterOrEqual(t, time.Since(began), 4*lim.BackoffFirst)
+	require.GreaterOrEqual(t, time.Since(start), 4*bounds.BackoffFirst)
 }
