--- a/internal/net/mgmt/mgmt.go
+++ b/internal/net/mgmt/mgmt.go
@@ -1,5 +1,6 @@
-// Package mgmt is the admin endpoint: a listener of its own, one line to a connection, an answer, and the end. It is
-// owned by the loop's goroutine, and decides nothing: a Handler answers.
+// Package mgmt serves the admin endpoint: a TCP listener of its own on which an operator's tool sends one line per
+// connection and gets one answer. The goroutine of the event loop owns an Endpoint. The package never computes an answer: a
+// Handler does.
 package mgmt
 
 import (
@@ -12,90 +13,91 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Handler answers what operators ask.
+// Handler provides the contents of answers.
 type Handler interface {
-	IsReady() bool                    // a client's request would be served
-	AppendMetrics(room []byte) []byte // appends the figures
-	StatusDetails() string            // goes behind the word on readiness
+	IsReady() bool                   // whether a client's request would be served
+	AppendMetrics(buf []byte) []byte // appends the metrics, as lines of text
+	StatusDetails() string           // follows the readiness in the answer to STATUS
 }
 
-// Endpoint is a listener with its callers. They are served first in each turn of the loop, and their descriptors are theirs:
-// no number of clients keeps an operator out.
+// Endpoint is the listener and its open connections. The loop serves them before all others in each turn, and their
+// descriptors are reserved, so that no number of clients can keep operators out.
 type Endpoint struct {
 	loop            *loop.Loop
 	bounds          limits.Limits
 	log             *slog.Logger
 	handler         Handler
 	listener        *loop.Source
-	conns           []*conn       // the one that has waited longest first
-	failureLoggedAt time.Duration // when a failure to accept was last told
+	conns           []*conn       // oldest first
+	failureLoggedAt time.Duration // time of the last warning of a failed accept, 0: never
 }
 
-// Open listens at an address.
-func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, addr string, o Handler) (*Endpoint, error) {
-	d := &Endpoint{loop: l, bounds: lim, log: log, handler: o}
-	fd, err := loop.ListenReusePort(addr) // a successor opens it before we close it
+// Open listens at addr, a TCP address. It fails if the address can't be listened on.
+func Open(l *loop.Loop, bounds limits.Limits, log *slog.Logger, addr string, h Handler) (*Endpoint, error) {
+	e := &Endpoint{loop: l, bounds: bounds, log: log, handler: h}
+	// In an upgrade the successor process listens here before this one closes its listener.
+	fd, err := loop.ListenReusePort(addr)
 	if err != nil {
 		return nil, err
 	}
-	if d.listener, err = l.Watch(fd, loop.In, d); err != nil {
+	if e.listener, err = l.Watch(fd, loop.In, e); err != nil {
 		loop.CloseFD(fd)
 		return nil, err
 	}
-	d.listener.ServeFirst()
-	return d, nil
+	e.listener.ServeFirst()
+	return e, nil
 }
 
-// Close takes no more callers. It is safe on nil.
-func (d *Endpoint) Close() {
-	if d != nil {
-		d.listener.Close()
+// Close closes the listener. Open connections are still served. It is safe on nil.
+func (e *Endpoint) Close() {
+	if e != nil {
+		e.listener.Close()
 	}
 }
 
-// logInterval: accepting that fails again and again is told of so often.
+// logInterval is the minimum time between two warnings of a failed accept.
 const logInterval = 10 * time.Second
 
-// Ready accepts who waits. Callers that say nothing must not shut out the next: where all places are taken, the
-// one that has been there longest goes.
-func (d *Endpoint) Ready(uint32) {
-	for range d.bounds.Accepts {
-		fd, err := loop.Accept(d.listener.FD())
+// Ready accepts waiting connections, up to the limit per turn. If Callers connections are open it closes the oldest one,
+// so that connections that send nothing don't keep out the next.
+func (e *Endpoint) Ready(uint32) {
+	for range e.bounds.Accepts {
+		fd, err := loop.Accept(e.listener.FD())
 		if errors.Is(err, loop.ErrAgain) {
 			return
 		}
 		if err != nil {
-			if now := d.loop.Now(); d.failureLoggedAt == 0 || now-d.failureLoggedAt > logInterval {
-				d.failureLoggedAt = now
-				d.log.Warn("operators' door: accept failed", "error", err)
+			if now := e.loop.Now(); e.failureLoggedAt == 0 || now-e.failureLoggedAt > logInterval {
+				e.failureLoggedAt = now
+				e.log.Warn("operators' door: accept failed", "error", err)
 			}
 			return
 		}
-		if len(d.conns) >= d.bounds.Callers {
-			d.conns[0].close()
+		if len(e.conns) >= e.bounds.Callers {
+			e.conns[0].close()
 		}
-		c := &conn{endpoint: d}
-		if c.source, err = d.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
+		c := &conn{endpoint: e}
+		if c.source, err = e.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
 			loop.CloseFD(fd)
 			return
 		}
 		c.source.ServeFirst()
-		c.timer = d.loop.After(d.bounds.CallerTime, c.close)
-		d.conns = append(d.conns, c)
+		c.timer = e.loop.After(e.bounds.CallerTime, c.close)
+		e.conns = append(e.conns, c)
 	}
 }
 
-// conn is one connection: it says one line and gets one answer.
+// conn is one connection of an operator's tool.
 type conn struct {
 	endpoint   *Endpoint
 	source     *loop.Source
-	timer      *loop.Timer
-	line       []byte
-	unsent     []byte
-	isAnswered bool // answered; what still comes is dropped
+	timer      *loop.Timer // closes the connection after CallerTime
+	line       []byte      // received so far
+	unsent     []byte      // rest of the answer
+	isAnswered bool        // further input is dropped
 }
 
-// Ready reads the line, or writes what is left of the answer.
+// Ready reads input, or writes more of the answer.
 func (c *conn) Ready(events uint32) {
 	if events&loop.Out != 0 && len(c.unsent) > 0 && !c.flush() {
 		return
@@ -108,7 +110,8 @@
 	if errors.Is(err, loop.ErrAgain) {
 		return
 	}
-	if err != nil { // it has ended its side; one that still waits for its answer gets it
+	if err != nil {
+		// A peer that has closed only its sending side still gets the rest of its answer.
 		if c.isAnswered && len(c.unsent) > 0 && events&loop.HangupOrError == 0 {
 			c.source.SetEvents(loop.Out)
 			return
@@ -119,27 +122,27 @@
 	if c.isAnswered {
 		return
 	}
-	most := c.endpoint.bounds.CallerBytes
-	c.line = append(c.line, buf[:min(n, most+1-len(c.line))]...)
-	i := bytes.IndexByte(c.line, '\n')
+	maxLength := c.endpoint.bounds.CallerBytes
+	c.line = append(c.line, buf[:min(n, maxLength+1-len(c.line))]...)
+	end := bytes.IndexByte(c.line, '\n')
 	switch {
-	case i >= 0:
-		c.respond(c.line[:i])
-	case len(c.line) > most:
+	case end >= 0:
+		c.respond(c.line[:end])
+	case len(c.line) > maxLength:
 		c.respond(nil)
 	}
 }
 
-// respond answers one line; what comes behind it is dropped.
+// respond answers a line; nil, for a line that is too long, gets the answer to an unknown call.
 func (c *conn) respond(line []byte) {
 	c.isAnswered = true
 	switch string(bytes.TrimSuffix(line, []byte("\r"))) {
 	case "STATUS":
-		word := "200 ready"
+		status := "200 ready"
 		if !c.endpoint.handler.IsReady() {
-			word = "400 not ready"
+			status = "400 not ready"
 		}
-		c.unsent = []byte(word + c.endpoint.handler.StatusDetails() + "\n")
+		c.unsent = []byte(status + c.endpoint.handler.StatusDetails() + "\n")
 	case "METRICS":
 		c.unsent = append(c.endpoint.handler.AppendMetrics(nil), "EOF\n"...)
 	default:
@@ -148,7 +151,8 @@
 	c.flush()
 }
 
-// flush writes what there is room for and then ends our side. It tells whether the connection still stands.
+// flush writes the answer as far as the socket takes it, and after the whole answer ends this side of the connection. It
+// returns false if it closed the connection.
 func (c *conn) flush() bool {
 	n, err := loop.Write(c.source.FD(), c.unsent)
 	if err != nil {
@@ -159,8 +163,8 @@
 		c.source.SetEvents(loop.In | loop.Out | loop.Hangup)
 		return true
 	}
-	// To close on bytes not read would reset the connection and could destroy the answer on its way, so the
-	// caller's own end is waited for.
+	// The connection is closed only after the peer's end. To close it with unread input would reset it, and the reset
+	// could destroy an answer that the peer has not read yet.
 	if err := loop.CloseWrite(c.source.FD()); err != nil {
 		c.close()
 		return false
@@ -169,11 +173,12 @@
 	return true
 }
 
+// close closes the connection without waiting for unsent bytes.
 func (c *conn) close() {
 	c.timer.Stop()
 	c.source.Close()
-	for i, o := range c.endpoint.conns {
-		if o == c {
+	for i, other := range c.endpoint.conns {
+		if other == c {
 			c.endpoint.conns = append(c.endpoint.conns[:i], c.endpoint.conns[i+1:]...)
 			break
 		}
