--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -1,5 +1,6 @@
-// Package peers carries the messages of the membership between ingresses: datagrams of at most 256 bytes, which
-// may be lost or late. It decides nothing: what comes in goes to the node, and what that wants sent goes out.
+// Package peers carries membership messages between ingresses in UDP datagrams of at most membership.Datagram (256) bytes,
+// which may be lost or delayed. The goroutine of the event loop owns a Transport. The package takes no decision on
+// membership: it passes received messages to the membership node and sends the messages that the node returns.
 package peers
 
 import (
@@ -13,52 +14,57 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Counts are of messages, from the start of the process.
+// Counts are numbers of messages since the transport was opened.
 type Counts struct {
-	Sent     uint64 // handed to the network
-	Received uint64 // read and understood
-	Dropped  uint64 // not read, for want of sense or over the bound a second; not sent, for want of an address or room
-
-	SentBytes, ReceivedBytes uint64 // of what was sent, and of all that came
+	Sent     uint64 // given to the network
+	Received uint64 // parsed and handled
+	// Dropped counts received messages that were malformed, from an unknown sender or above the limit per second, and
+	// messages not sent because the address was unknown or the send failed, as when the socket's buffer was full.
+	Dropped uint64
+
+	// SentBytes are of the messages sent, ReceivedBytes of all that arrived, including dropped ones.
+	SentBytes, ReceivedBytes uint64
 }
 
-// Transport is the transport of one member, and drives its node.
+// Transport is a member's socket. It drives the member's node: with received messages, and with a tick at an interval.
 type Transport struct {
 	loop            *loop.Loop
 	bounds          limits.Limits
 	log             *slog.Logger
 	node            *membership.Node
 	source          *loop.Source
-	addrs           map[string]loop.UDPAddress
-	timer           *loop.Timer
+	addrs           map[string]loop.UDPAddress // by member name
+	timer           *loop.Timer                // for the next tick
 	tickInterval    time.Duration
 	counts          Counts
-	dropLoggedAt    time.Duration
-	window          time.Duration // that is being counted,
-	windowCount     int           // and what was taken in of it
-	reportedVersion uint64        // version of the view as last told
+	dropLoggedAt    time.Duration // time of the last warning of a drop, 0: never
+	window          time.Duration // start of the second in which messages are being counted
+	windowCount     int           // messages accepted in that second
+	reportedVersion uint64        // view version at the last onChange that a received message caused
 	onChange        func(now time.Duration)
 	appPrefix       byte
 	onAppMessage    func(b []byte) error
 	isReachable     func(name string) bool
 }
 
-// Config says where a member is and where the others are, by name. Every is between ticks of the node; Change is
-// called when the view may have changed what it says, and on each tick.
+// Config is the configuration of a Transport.
 type Config struct {
-	Listen       string
-	Addrs        map[string]string
-	TickInterval time.Duration
-	OnChange     func(now time.Duration)
-	AppPrefix    byte                 // of the first byte of messages that are not the membership's,
-	OnAppMessage func(b []byte) error // which are given to this; nil: there are none
-	// IsReachable tells whether messages to and from a member get through; nil: all do. It stands in for a network.
+	Listen       string                  // ip:port
+	Addrs        map[string]string       // ip:port of each other member, by name
+	TickInterval time.Duration           // between ticks of the node
+	OnChange     func(now time.Duration) // called on each tick and when a received message has changed the view
+
+	AppPrefix    byte                 // first byte of messages that are not the membership's
+	OnAppMessage func(b []byte) error // receives those; nil: there are none. An error drops the message
+	// IsReachable reports whether messages to and from a member get through; nil: always. It simulates a
+	// network partition.
 	IsReachable func(name string) bool
 }
 
-// Open begins to listen, and joins by all the others.
-func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, node *membership.Node, c Config) (*Transport, error) {
-	p := &Transport{loop: l, bounds: lim, log: log, node: node, addrs: map[string]loop.UDPAddress{}, tickInterval: c.TickInterval, onChange: c.OnChange,
+// Open starts to listen and sends a join request to all other members. It fails if an address is malformed or the socket
+// can't be opened.
+func Open(l *loop.Loop, bounds limits.Limits, log *slog.Logger, node *membership.Node, c Config) (*Transport, error) {
+	t := &Transport{loop: l, bounds: bounds, log: log, node: node, addrs: map[string]loop.UDPAddress{}, tickInterval: c.TickInterval, onChange: c.OnChange,
 		appPrefix: c.AppPrefix, onAppMessage: c.OnAppMessage, isReachable: c.IsReachable}
 	var seeds []string
 	for name, addr := range c.Addrs {
@@ -66,144 +72,151 @@
 		if err != nil {
 			return nil, fmt.Errorf("peers.%s: %w", name, err)
 		}
-		p.addrs[name] = to
+		t.addrs[name] = to
 		seeds = append(seeds, name)
 	}
 	fd, err := loop.ListenUDP(c.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	if p.source, err = l.Watch(fd, loop.In, p); err != nil {
+	if t.source, err = l.Watch(fd, loop.In, t); err != nil {
 		loop.CloseFD(fd)
 		return nil, err
 	}
-	p.handle(membership.Join{Seeds: seeds})
-	p.tick()
-	return p, nil
+	t.handle(membership.Join{Seeds: seeds})
+	t.onTick()
+	return t, nil
 }
 
-// Counts tells what went and came so far.
-func (p *Transport) Counts() Counts { return p.counts }
+// Counts returns the numbers of messages so far.
+func (t *Transport) Counts() Counts { return t.counts }
 
-// Node is the member's failure detector.
-func (p *Transport) Node() *membership.Node { return p.node }
+// Node returns the membership node.
+func (t *Transport) Node() *membership.Node { return t.node }
 
-// Leave tells the others, once more each time it is called, that this member leaves for good.
-func (p *Transport) Leave() { p.handle(membership.Leave{}) }
+// Leave announces to the others that this member leaves permanently. Messages may be lost, so it may be called repeatedly.
+func (t *Transport) Leave() { t.handle(membership.Leave{}) }
 
-// ForceLeave tells the others that a member which is dead here is so for good.
-func (p *Transport) ForceLeave(name string) { p.handle(membership.Gone{Name: name}) }
+// ForceLeave announces to the others that a member, dead in this member's view, has left permanently.
+func (t *Transport) ForceLeave(name string) { t.handle(membership.Gone{Name: name}) }
 
-// Close says and hears no more. It is safe on nil.
-func (p *Transport) Close() {
-	if p != nil {
-		p.timer.Stop()
-		p.source.Close()
+// Close stops the ticks and closes the socket. It is safe on nil.
+func (t *Transport) Close() {
+	if t != nil {
+		t.timer.Stop()
+		t.source.Close()
 	}
 }
 
-func (p *Transport) tick() {
-	p.timer = p.loop.After(p.tickInterval, p.tick)
-	p.handle(membership.Tick{})
-	p.onChange(p.loop.Now())
+// onTick gives the node a tick, calls onChange and sets the timer for the next tick.
+func (t *Transport) onTick() {
+	t.timer = t.loop.After(t.tickInterval, t.onTick)
+	t.handle(membership.Tick{})
+	t.onChange(t.loop.Now())
 }
 
-// Ready reads what has come, so many datagrams a turn: the others have theirs. Beyond the bound a second they
-// are read and dropped, so that a flood costs little and old news does not queue before the new.
-func (p *Transport) Ready(uint32) {
-	now := p.loop.Now()
-	if s := now.Truncate(time.Second); s != p.window {
-		p.window, p.windowCount = s, 0
-	}
-	buf := p.loop.ReadBuffer()[:membership.Datagram+1]
-	for range p.bounds.Datagrams {
-		n, err := loop.ReceiveUDP(p.source.FD(), buf)
+// Ready reads received datagrams, a limited number per turn of the loop, so that other descriptors are served, too. Above
+// DatagramsSecond in a second datagrams are read and dropped: a flood then costs little, and old messages don't queue ahead
+// of new ones.
+func (t *Transport) Ready(uint32) {
+	now := t.loop.Now()
+	if s := now.Truncate(time.Second); s != t.window {
+		t.window, t.windowCount = s, 0
+	}
+	// One byte more than the longest message, so that a longer datagram is recognized as malformed.
+	buf := t.loop.ReadBuffer()[:membership.Datagram+1]
+	for range t.bounds.Datagrams {
+		n, err := loop.ReceiveUDP(t.source.FD(), buf)
 		if errors.Is(err, loop.ErrAgain) {
 			break
 		}
-		if err != nil { // of an earlier send, such as nobody listening there
+		if err != nil { // the error of an earlier send, such as a closed port at the receiver
 			continue
 		}
-		p.counts.ReceivedBytes += uint64(n)
-		if p.windowCount >= p.bounds.DatagramsSecond {
-			p.counts.Dropped++
+		t.counts.ReceivedBytes += uint64(n)
+		if t.windowCount >= t.bounds.DatagramsSecond {
+			t.counts.Dropped++
 			continue
 		}
-		if err := p.dispatch(buf[:n]); errors.Is(err, errUnreachable) {
+		if err := t.dispatch(buf[:n]); errors.Is(err, errUnreachable) {
 			continue
 		} else if err != nil {
-			p.recordDrop("peer message not read", err)
+			t.recordDrop("peer message not read", err)
 			continue
 		}
-		p.windowCount++
-		p.counts.Received++
+		t.windowCount++
+		t.counts.Received++
 	}
-	if v := p.node.View().Version; v != p.reportedVersion {
-		p.reportedVersion = v
-		p.onChange(now)
+	if v := t.node.View().Version; v != t.reportedVersion {
+		t.reportedVersion = v
+		t.onChange(now)
 	}
 }
 
-func (p *Transport) dispatch(b []byte) error {
-	if p.onAppMessage != nil && len(b) > 0 && b[0] == p.appPrefix {
-		return p.onAppMessage(b)
+// dispatch gives a datagram to onAppMessage or to the node.
+func (t *Transport) dispatch(b []byte) error {
+	if t.onAppMessage != nil && len(b) > 0 && b[0] == t.appPrefix {
+		return t.onAppMessage(b)
 	}
 	msg, err := membership.Parse(b)
 	if err == nil {
-		err = p.CheckSender(msg.From)
+		err = t.CheckSender(msg.From)
 	}
 	if err == nil {
-		p.handle(membership.Received{Msg: msg})
+		t.handle(membership.Received{Msg: msg})
 	}
 	return err
 }
 
-// CheckSender tells why a sender is not listened to: who has no address here can't be answered, and whatever names come
-// must not fill memory.
-func (p *Transport) CheckSender(name string) error {
-	if _, ok := p.addrs[name]; !ok {
-		return fmt.Errorf("sender %.16q is not among peers", name)
+// CheckSender returns an error if messages from a sender are not accepted: it has no configured address, or IsReachable
+// denies it. A sender without an address can't be answered, and arbitrary names must not fill memory.
+func (t *Transport) CheckSender(name string) error {
+	if _, ok := t.addrs[name]; !ok {
+		return fmt.Errorf("sender %.16q is not a configured peer", name)
 	}
-	if p.isReachable != nil && !p.isReachable(name) {
+	if t.isReachable != nil && !t.isReachable(name) {
 		return errUnreachable
 	}
 	return nil
 }
 
-// errUnreachable tells that a message would not have come through.
-var errUnreachable = errors.New("cut off")
+// errUnreachable is the error of a message that a simulated network would not have delivered. Such a message counts
+// neither as received nor as dropped.
+var errUnreachable = errors.New("peer is unreachable")
 
-func (p *Transport) handle(ev membership.Event) {
-	for _, s := range p.node.Handle(p.loop.Now(), ev) {
-		p.Send(s.To, membership.Append(nil, s.Msg))
+// handle gives an event to the node and sends the messages that it returns.
+func (t *Transport) handle(ev membership.Event) {
+	for _, s := range t.node.Handle(t.loop.Now(), ev) {
+		t.Send(s.To, membership.Append(nil, s.Msg))
 	}
 }
 
-// Send sends a message to a member.
-func (p *Transport) Send(name string, b []byte) {
-	to, ok := p.addrs[name]
+// Send sends a message to a member. It reports no failure: a message that can't be sent counts as dropped.
+func (t *Transport) Send(name string, b []byte) {
+	to, ok := t.addrs[name]
 	if !ok {
-		p.recordDrop("peer message not sent", fmt.Errorf("no address of %s", name))
+		t.recordDrop("peer message not sent", fmt.Errorf("no address is configured for %s", name))
 		return
 	}
-	if p.isReachable != nil && !p.isReachable(name) {
+	if t.isReachable != nil && !t.isReachable(name) {
 		return
 	}
-	if err := loop.SendUDP(p.source.FD(), b, to); err != nil {
-		p.counts.Dropped++ // as if lost on its way
+	if err := loop.SendUDP(t.source.FD(), b, to); err != nil {
+		t.counts.Dropped++ // not logged: like a datagram lost in the network
 		return
 	}
-	p.counts.Sent++
-	p.counts.SentBytes += uint64(len(b))
+	t.counts.Sent++
+	t.counts.SentBytes += uint64(len(b))
 }
 
-// logInterval: messages that can't be read or sent are told of so often.
+// logInterval is the minimum time between two warnings of dropped messages.
 const logInterval = 10 * time.Second
 
-func (p *Transport) recordDrop(what string, cause error) {
-	p.counts.Dropped++
-	if now := p.loop.Now(); p.dropLoggedAt == 0 || now-p.dropLoggedAt > logInterval {
-		p.dropLoggedAt = now
-		p.log.Warn(what, "cause", cause)
+// recordDrop counts a dropped message and logs it at most once per logInterval.
+func (t *Transport) recordDrop(message string, cause error) {
+	t.counts.Dropped++
+	if now := t.loop.Now(); t.dropLoggedAt == 0 || now-t.dropLoggedAt > logInterval {
+		t.dropLoggedAt = now
+		t.log.Warn(message, "cause", cause)
 	}
 }
--- a/internal/net/peers/peers_test.go
+++ b/internal/net/peers/peers_test.go
@@ -15,8 +15,8 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// other is a peer that a test plays itself.
-func other(t *testing.T) *net.UDPConn {
+// newTestPeer returns the socket of a fake peer.
+func newTestPeer(t *testing.T) *net.UDPConn {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
@@ -24,23 +24,25 @@
 	return c
 }
 
-func open(t *testing.T, l *loop.Loop, second int, addrs map[string]string) (*Transport, *net.UDPAddr) {
-	lim, err := limits.For(limits.Site{Sockets: 256, Gateways: 2})
+// openTransport opens the transport of member 0, with a limit of accepted messages per second, and returns it and its address.
+func openTransport(t *testing.T, l *loop.Loop, messagesPerSecond int, addrs map[string]string) (*Transport, *net.UDPAddr) {
+	bounds, err := limits.For(limits.Site{Sockets: 256, Gateways: 2})
 	require.NoError(t, err)
-	lim.DatagramsSecond = second
-	node := membership.New(membership.Config{Me: "0", Incarnation: 5, Period: lim.MemberPeriod, AckWithin: lim.MemberAck,
-		SuspectFor: lim.MemberSuspect, Helpers: lim.MemberHelpers, Carry: lim.MemberCarry, Least: 2}, l.Now())
-	c := other(t)
+	bounds.DatagramsSecond = messagesPerSecond
+	node := membership.New(membership.Config{Me: "0", Incarnation: 5, Period: bounds.MemberPeriod, AckWithin: bounds.MemberAck,
+		SuspectFor: bounds.MemberSuspect, Helpers: bounds.MemberHelpers, Carry: bounds.MemberCarry, Least: 2}, l.Now())
+	c := newTestPeer(t)
 	listen := c.LocalAddr().(*net.UDPAddr)
 	require.NoError(t, c.Close())
-	p, err := Open(l, lim, slog.New(slog.DiscardHandler), node, Config{Listen: listen.String(), Addrs: addrs,
+	transport, err := Open(l, bounds, slog.New(slog.DiscardHandler), node, Config{Listen: listen.String(), Addrs: addrs,
 		TickInterval: 10 * time.Millisecond, OnChange: func(time.Duration) {}})
 	require.NoError(t, err)
-	t.Cleanup(p.Close)
-	return p, listen
+	t.Cleanup(transport.Close)
+	return transport, listen
 }
 
-func read(t *testing.T, c *net.UDPConn) membership.Message {
+// readMessage returns the next message that a fake peer receives.
+func readMessage(t *testing.T, c *net.UDPConn) membership.Message {
 	b := make([]byte, 512)
 	n, err := c.Read(b)
 	require.NoError(t, err)
@@ -49,82 +51,84 @@
 	return msg
 }
 
-// A member says hello to the others at once, and an answer makes it known there and sure of its place.
-func TestHelloAndAnswer(t *testing.T) {
+// A member sends a join request to the others at once. After an acknowledgement that lists it, its membership is settled.
+func TestJoin(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	peer := other(t)
-	p, listen := open(t, l, 100, map[string]string{"1": peer.LocalAddr().String()})
-	hello := read(t, peer)
-	require.Equal(t, membership.JoinRequest, hello.Kind)
-	require.Equal(t, "0", hello.From)
-	require.False(t, p.Node().Settled(l.Now()))
-	_, err = peer.WriteToUDP(membership.Append(nil, membership.Message{Kind: membership.Ack, From: "1", Seq: hello.Seq,
+	peer := newTestPeer(t)
+	transport, listen := openTransport(t, l, 100, map[string]string{"1": peer.LocalAddr().String()})
+	request := readMessage(t, peer)
+	require.Equal(t, membership.JoinRequest, request.Kind)
+	require.Equal(t, "0", request.From)
+	require.False(t, transport.Node().Settled(l.Now()))
+	_, err = peer.WriteToUDP(membership.Append(nil, membership.Message{Kind: membership.Ack, From: "1", Seq: request.Seq,
 		Updates: []membership.Update{{Name: "0", Incarnation: 5}, {Name: "1", Incarnation: 9}}}), listen)
 	require.NoError(t, err)
-	nettest.Until(t, l, func() bool { return p.Node().Settled(l.Now()) })
-	require.Len(t, p.Node().View().Members, 2)
-	require.Positive(t, p.Counts().Sent)
-	require.Equal(t, uint64(1), p.Counts().Received)
+	nettest.Until(t, l, func() bool { return transport.Node().Settled(l.Now()) })
+	require.Len(t, transport.Node().View().Members, 2)
+	require.Positive(t, transport.Counts().Sent)
+	require.Equal(t, uint64(1), transport.Counts().Received)
 }
 
-// What can't be read, is too long or too much is dropped and counted; the rest is heard all the same.
-func TestNoiseAndFloodAreDropped(t *testing.T) {
+// Malformed datagrams, too long ones and those above the limit per second are dropped and counted; the others are handled.
+func TestMalformedAndExcessDatagramsAreDropped(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	peer := other(t)
-	p, listen := open(t, l, 5, map[string]string{"1": peer.LocalAddr().String()})
+	peer := newTestPeer(t)
+	transport, listen := openTransport(t, l, 5, map[string]string{"1": peer.LocalAddr().String()})
 	for _, b := range [][]byte{{}, {0xff}, make([]byte, 300), []byte("GET / HTTP/1.1\r\n\r\n")} {
 		_, err := peer.WriteToUDP(b, listen)
 		require.NoError(t, err)
 	}
-	nettest.Until(t, l, func() bool { return p.Counts().Dropped == 4 })
+	nettest.Until(t, l, func() bool { return transport.Counts().Dropped == 4 })
 	ping := membership.Append(nil, membership.Message{Kind: membership.Ping, From: "1", Seq: 1})
 	for range 60 {
 		_, err := peer.WriteToUDP(ping, listen)
 		require.NoError(t, err)
 	}
-	nettest.Until(t, l, func() bool { c := p.Counts(); return c.Received+c.Dropped == 64 })
-	require.LessOrEqual(t, p.Counts().Received, uint64(10), "five a second, and the second may turn once")
-	require.Positive(t, p.Counts().Received)
+	nettest.Until(t, l, func() bool { c := transport.Counts(); return c.Received+c.Dropped == 64 })
+	require.LessOrEqual(t, transport.Counts().Received, uint64(10), "five per second, and the test may run across the end of one second")
+	require.Positive(t, transport.Counts().Received)
 }
 
-// Who is not among the peers is not listened to, whatever names it has: that is counted, and fills no memory.
-func TestStrangersAreNotListenedTo(t *testing.T) {
+// Messages from senders without a configured address are dropped and counted. Their names must not enter the view, where
+// they would fill memory.
+func TestUnknownSendersAreDropped(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	peer := other(t)
-	p, listen := open(t, l, 100, nil)
+	peer := newTestPeer(t)
+	transport, listen := openTransport(t, l, 100, nil)
 	for i := range 20 {
-		stranger := membership.Message{Kind: membership.Ping, From: fmt.Sprint("7", i), Seq: 1}
-		_, err = peer.WriteToUDP(membership.Append(nil, stranger), listen)
+		message := membership.Message{Kind: membership.Ping, From: fmt.Sprint("7", i), Seq: 1}
+		_, err = peer.WriteToUDP(membership.Append(nil, message), listen)
 		require.NoError(t, err)
 	}
-	nettest.Until(t, l, func() bool { return p.Counts().Dropped == 20 })
-	require.Zero(t, p.Counts().Received)
-	require.Len(t, p.Node().View().Members, 1)
+	nettest.Until(t, l, func() bool { return transport.Counts().Dropped == 20 })
+	require.Zero(t, transport.Counts().Received)
+	require.Len(t, transport.Node().View().Members, 1)
 }
 
-// A member that can't be reached, as a test of a network has it, is neither sent to nor heard, and that is no fault.
-func TestAMemberThatCanNotBeReached(t *testing.T) {
+// While a simulated partition separates a member, nothing is sent to it, and its messages count neither as received nor as
+// dropped.
+func TestUnreachableMember(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	peer := other(t)
-	p, listen := open(t, l, 100, map[string]string{"1": peer.LocalAddr().String()})
-	require.Equal(t, membership.JoinRequest, read(t, peer).Kind)
-	cut := true
-	p.isReachable = func(name string) bool { return name != "1" || !cut }
+	peer := newTestPeer(t)
+	transport, listen := openTransport(t, l, 100, map[string]string{"1": peer.LocalAddr().String()})
+	require.Equal(t, membership.JoinRequest, readMessage(t, peer).Kind)
+	isPartitioned := true
+	transport.isReachable = func(name string) bool { return name != "1" || !isPartitioned }
 	ping := membership.Append(nil, membership.Message{Kind: membership.Ping, From: "1", Seq: 1})
-	sent := p.Counts().SentBytes
+	sent := transport.Counts().SentBytes
 	_, err = peer.WriteToUDP(ping, listen)
 	require.NoError(t, err)
-	nettest.Until(t, l, func() bool { return p.Counts().ReceivedBytes == uint64(len(ping)) })
-	require.Zero(t, p.Counts().Received)
-	require.Zero(t, p.Counts().Dropped)
-	require.Equal(t, sent, p.Counts().SentBytes)
-	cut = false
+	nettest.Until(t, l, func() bool { return transport.Counts().ReceivedBytes == uint64(len(ping)) })
+	require.Zero(t, transport.Counts().Received)
+	require.Zero(t, transport.Counts().Dropped)
+	require.Equal(t, sent, transport.Counts().SentBytes)
+	isPartitioned = false
 	_, err = peer.WriteToUDP(ping, listen)
 	require.NoError(t, err)
-	nettest.Until(t, l, func() bool { return p.Counts().Received == 1 })
-	require.Greater(t, p.Counts().SentBytes, sent, "it was answered")
+	nettest.Until(t, l, func() bool { return transport.Counts().Received == 1 })
+	require.Greater(t, transport.Counts().SentBytes, sent, "the ping was not acknowledged")
 }
