--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -32,7 +32,7 @@
 
 // IsReady tells whether a client's request would be served here.
 func (o adminHandler) IsReady() bool {
-	return o.d.known() && o.d.server.Serving()
+	return o.d.known() && o.d.server.IsAccepting()
 }
 
 // StatusDetails tells the version of the settings, where they have one.
@@ -66,7 +66,7 @@
 // AppendMetrics appends the figures as they stand.
 func (o adminHandler) AppendMetrics(room []byte) []byte {
 	d := o.d
-	room = d.figures.Append(room, figures.Present{InFlight: d.core.Taken() + d.server.Relaying(), Listed: d.watcher.HostCount(),
+	room = d.figures.Append(room, figures.Present{InFlight: d.core.Taken() + d.server.ActiveRelays(), Listed: d.watcher.HostCount(),
 		Down: d.module.Avoided(d.loop.Now())})
 	room = figures.AppendRules(room, d.version())
 	if d.group != nil {
