--- a/internal/front/openapi/openapi.go
+++ b/internal/front/openapi/openapi.go
@@ -50,7 +50,7 @@
 func (f *Front) Follow(set admission.Settings) {
 	f.settings, f.plans = set, map[string]int{}
 	for i, p := range set.Plans {
-		if !p.Gone {
+		if !p.IsRemoved {
 			f.plans[p.Name] = i
 		}
 	}
@@ -59,8 +59,8 @@
 // Swap puts another table in place. Streams that are open keep the class and cost they began with.
 func (f *Front) Swap(t *routes.Table) { f.table = t }
 
-// Request finds the route of a request and opens its stream, or answers it here.
-func (f *Front) Request(c *downstream.Conn, r *http1.Request) {
+// HandleRequest finds the route of a request and opens its stream, or answers it here.
+func (f *Front) HandleRequest(c *downstream.Conn, r *http1.Request) {
 	if r.Method == "GET" && r.Target == "/up" {
 		if !f.ready() {
 			problem(c, 502, nil, "not ready")
@@ -81,7 +81,7 @@
 		return
 	}
 	class := f.settings.Classes[m.Route.ClassIndex]
-	if class.Gone {
+	if class.IsRemoved {
 		problem(c, 404, nil, "class "+class.Name+" is not served any more")
 		return
 	}
@@ -102,19 +102,21 @@
 	}
 }
 
-// Left tells the core that a client has gone.
-func (f *Front) Left(c *downstream.Conn) { f.streams.Leave(c.Now(), c.Stream) }
+// HandleClientGone tells the core that a client has gone.
+func (f *Front) HandleClientGone(c *downstream.Conn) { f.streams.Leave(c.Now(), c.StreamID) }
 
-// Whole tells the core that the body of an open request has come.
-func (f *Front) Whole(c *downstream.Conn) { f.streams.Whole(c.Now(), c.Stream) }
+// HandleBodyComplete tells the core that the body of an open request has come.
+func (f *Front) HandleBodyComplete(c *downstream.Conn) { f.streams.Whole(c.Now(), c.StreamID) }
 
-// Malformed answers what could not be read.
-func (f *Front) Malformed(c *downstream.Conn, status int, what string) { problem(c, status, nil, what) }
+// HandleMalformed answers what could not be read.
+func (f *Front) HandleMalformed(c *downstream.Conn, status int, what string) {
+	problem(c, status, nil, what)
+}
 
 // read checks that the route's fields are there and takes what the decision needs.
 func (f *Front) read(r *http1.Request, rawQuery string, m routes.Match) (admission.RequestArrived, error) {
-	a := admission.RequestArrived{Class: m.Route.ClassIndex, Units: m.Route.Cost, Doors: f.settings.Gateways,
-		Write: r.Method != "GET"}
+	a := admission.RequestArrived{Class: m.Route.ClassIndex, Units: m.Route.Cost, Gateways: f.settings.Gateways,
+		IsWrite: r.Method != "GET"}
 	if err := front.Check(r); err != nil {
 		return a, err
 	}
@@ -168,7 +170,7 @@
 		a.ExpiresIn = time.Minute
 	}
 	if doors := get(f.file.Doors); doors != "" {
-		if err := front.Doors(doors, &f.settings, nil, &a.Doors, &a.FirstDoor); err != nil {
+		if err := front.Doors(doors, &f.settings, nil, &a.Gateways, &a.FirstGateway); err != nil {
 			return a, err
 		}
 	}
--- a/internal/handover/convert_test.go
+++ b/internal/handover/convert_test.go
@@ -36,7 +36,7 @@
 		ev := rapid.Make[admission.AttemptEnded]().Draw(t, "attempt")
 		ev.Outcome = admission.Outcome(rapid.IntRange(0, int(admission.OutcomeCount)-1).Draw(t, "outcome"))
 		ev.Attempt %= 8
-		ev.Done, ev.Billed, ev.Used, ev.Report, ev.Gone = true, 0, 0, nil, false // not told
+		ev.Done, ev.Billed, ev.Used, ev.Report, ev.NotReplayable = true, 0, 0, nil, false // not told
 		got, at := FromAttempt(there(t, Attempt(ev, time.Hour), &pb.AttemptEnded{}))
 		require.Equal(t, time.Hour, at)
 		require.Equal(t, ev, got)
@@ -55,7 +55,7 @@
 
 func TestAConnectionsStateComesOverWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := rapid.Make[downstream.State]().Draw(t, "connection")
+		s := rapid.Make[downstream.ConnState]().Draw(t, "connection")
 		s.Parser.Framing, s.Parser.ChunkState = s.Parser.Framing&3, s.Parser.ChunkState&3
 		equal(t, s, FromClient(there(t, Client(s), &pb.ClientConnection{})))
 	})
