--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -83,7 +83,9 @@
 		return
 	}
 	c.retired = append(c.retired, cn)
-	cn.retireTimer = c.loop.After(c.bounds.CounterMove, func() { cn.fail("connection retired, its calls were not answered in time") })
+	cn.retireTimer = c.loop.After(c.bounds.CounterMove, func() {
+		cn.fail("connection retired, its calls were not answered in time")
+	})
 }
 
 // SetSink sets the receiver of results.
@@ -168,13 +170,13 @@
 	parser                    *http1.ResponseParser
 	isConnected               bool
 	unsent                    []byte
-	queuedBytes, writtenBytes int        // since the connection was opened
-	calls                     []*addCall // without a response, in the order of their requests
-	lastResponse              time.Duration
+	queuedBytes, writtenBytes int           // since the connection was opened
+	calls                     []*addCall    // without a response, in the order of their requests
+	lastResponse              time.Duration // time of the last response, at first of the dial
 	dialTimer                 *loop.Timer
 	retireTimer               *loop.Timer // nil unless retired
 	backoff                   time.Duration
-	nextDialAt                time.Duration
+	nextDialAt                time.Duration // no dial before this time
 }
 
 // add queues the request of a call, or finishes it as Unreachable without sending it.
@@ -369,7 +371,8 @@
 func (cn *conn) recordFailure(cause string) {
 	cn.backoff = min(max(2*cn.backoff, cn.client.bounds.BackoffFirst), cn.client.bounds.BackoffMost)
 	cn.nextDialAt = cn.client.loop.Now() + cn.backoff
-	if now := cn.client.loop.Now(); !cn.client.lossReported && (cn.client.lossLoggedAt == 0 || now-cn.client.lossLoggedAt > lossLogInterval) {
+	if now := cn.client.loop.Now(); !cn.client.lossReported &&
+		(cn.client.lossLoggedAt == 0 || now-cn.client.lossLoggedAt > lossLogInterval) {
 		cn.client.lossReported, cn.client.lossLoggedAt = true, now
 		cn.client.log.Warn("counter connection lost", "cause", cause)
 	}
--- a/internal/net/counter/counter_test.go
+++ b/internal/net/counter/counter_test.go
@@ -41,7 +41,8 @@
 	l, err := loop.New()
 	require.NoError(t, err)
 	bounds := limits.Limits{HeadBytes: 1 << 10, KeepBytes: 1 << 10, DialLimit: 5 * time.Second, CounterConns: 1,
-		CounterPending: 2, CounterLimit: 30 * time.Millisecond, CounterIdle: time.Minute, CounterSilence: time.Minute, CounterMove: time.Minute,
+		CounterPending: 2, CounterLimit: 30 * time.Millisecond, CounterIdle: time.Minute,
+		CounterSilence: time.Minute, CounterMove: time.Minute,
 		BackoffFirst: time.Millisecond, BackoffMost: time.Millisecond}
 	sink := &recordingSink{loop: l}
 	c := New(l, bounds, slog.New(slog.DiscardHandler), nettest.Serve(t, serve))
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -176,7 +176,8 @@
 	w.dialTimer.Stop()
 	w.next.close()
 	now := w.loop.Now()
-	opened := &watch{watcher: w, parser: http1.NewResponseParser(w.bounds.HeadBytes, w.bounds.ClusterBytes, 0), openedAt: now, lastActivity: now}
+	opened := &watch{watcher: w, parser: http1.NewResponseParser(w.bounds.HeadBytes, w.bounds.ClusterBytes, 0),
+		openedAt: now, lastActivity: now}
 	w.next = nil
 	err := opened.open()
 	switch {
@@ -232,7 +233,8 @@
 // most once per logInterval.
 func (w *Watcher) reportLoss(cause string) {
 	w.hasFailed = true
-	if now := w.loop.Now(); w.active == nil && !w.lossReported && (w.lossLoggedAt == 0 || now-w.lossLoggedAt > logInterval) {
+	if now := w.loop.Now(); w.active == nil && !w.lossReported &&
+		(w.lossLoggedAt == 0 || now-w.lossLoggedAt > logInterval) {
 		w.lossReported, w.lossLoggedAt = true, now
 		w.log.Warn("discovery watch lost", "cause", cause)
 	}
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -155,7 +155,8 @@
 		}
 		return got
 	}
-	w.apply(List{Full: true, Entries: []Entry{entry("a", admission.Up), entry("b", admission.Up), entry("c", admission.Draining)}}, admission.ListChanges)
+	w.apply(List{Full: true, Entries: []Entry{entry("a", admission.Up), entry("b", admission.Up),
+		entry("c", admission.Draining)}}, admission.ListChanges)
 	w.SetDrained([]string{"a", "c", "unknown"})
 	require.Equal(t, map[string]admission.ServerState{"a": admission.Draining}, states())
 	require.Equal(t, admission.ListChanges, s.lists[len(s.lists)-1].Kind)
--- a/internal/net/discovery/framer.go
+++ b/internal/net/discovery/framer.go
@@ -73,7 +73,7 @@
 	return nil, nil
 }
 
-// messagePrefix begins each message on one line. No host entry begins with it, as entries have no version.
+// messagePrefix is how a message on one line begins. No line of a host entry begins with it, as entries have no version.
 var messagePrefix = []byte(`{"version"`)
 
 // line returns the line that ends at pos, without surrounding space, and whether it is the first line of its message.
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -10,7 +10,7 @@
 
 // Entry is an upstream host in a list, with its address, host:port. Started and Boot are the time of the host's last start,
 // 0 if that was long ago: Started as discovery reports it, by the wall clock; Boot, a field of ServerEntry, by the loop's
-// clock once a Watcher has applied the list, and equal to Started before.
+// clock once a Watcher has applied the list. ReadList sets both to the reported time.
 type Entry struct {
 	admission.ServerEntry
 	Addr    string
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -53,7 +53,8 @@
 // fail closes the watch and has its watcher schedule another one, unless it is the active watch and the next one is already
 // being opened.
 func (w *watch) fail(cause string) {
-	w.watcher.log.Debug("discovery watch closed", "cause", cause, "up", w.isConnected, "heard", w.hasReceived, "counts", w == w.watcher.active)
+	w.watcher.log.Debug("discovery watch closed", "cause", cause, "up", w.isConnected,
+		"heard", w.hasReceived, "counts", w == w.watcher.active)
 	w.close()
 	switch watcher := w.watcher; w {
 	case watcher.next:
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -64,7 +64,8 @@
 // Open starts to listen and sends a join request to all other members. It fails if an address is malformed or the socket
 // can't be opened.
 func Open(l *loop.Loop, bounds limits.Limits, log *slog.Logger, node *membership.Node, c Config) (*Transport, error) {
-	t := &Transport{loop: l, bounds: bounds, log: log, node: node, addrs: map[string]loop.UDPAddress{}, tickInterval: c.TickInterval, onChange: c.OnChange,
+	t := &Transport{loop: l, bounds: bounds, log: log, node: node, addrs: map[string]loop.UDPAddress{},
+		tickInterval: c.TickInterval, onChange: c.OnChange,
 		appPrefix: c.AppPrefix, onAppMessage: c.OnAppMessage, isReachable: c.IsReachable}
 	var seeds []string
 	for name, addr := range c.Addrs {
