--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// SetAddr sends new calls to another address. Calls in flight complete on their old connections.
+// SetAddr sends new calls to another address. Calls in flight complete on their old connections, which are kept for at most
+// CounterMove.
 func (c *Client) SetAddr(addr string) {
 	if addr == c.addr {
 		return
--- a/internal/net/counter/counter_test.go
+++ b/internal/net/counter/counter_test.go
@@ -80,8 +80,8 @@
 	require.Equal(t, 2.5, sink.results[1].Total, "the second call gets its own total")
 }
 
-// A call whose connection breaks after the request was written may have been added: its outcome must not be Unreachable,
-// upon which the caller would add the amount again.
+// The amount of a call whose connection breaks after the request was written may have been added. Its outcome must not be
+// Unreachable, after which the decision module would treat the amount as not added.
 func TestResetAfterWriteTimesOut(t *testing.T) {
 	requests := make(chan string, 1)
 	sink, c := newTestClient(t, func(conn net.Conn) {
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -112,7 +112,7 @@
 	require.Equal(t, uint64(3), s.lists[2].Version)
 }
 
-// The delays grow with the size of the fleet: a small one has short delays, a large one spreads its watches over seconds.
+// The spread of first watches and the longest backoff grow with the size of the fleet. In a small one both must stay short.
 func TestSmallFleetHasShortDelays(t *testing.T) {
 	small := testBounds(t, 3)
 	require.LessOrEqual(t, small.ClusterSpread, 50*time.Millisecond)
