--- a/internal/capacity/list_service.go
+++ b/internal/capacity/list_service.go
@@ -105,7 +105,7 @@
 	}
 	s := &listService{loop: l, ended: make(chan error, 1), version: 1, watches: map[*servedWatch]bool{},
 		whole: chunk(appendListMessage(nil, 1, true, servers))}
-	if s.addr, err = loop.Address(fd); err != nil {
+	if s.addr, err = loop.LocalAddress(fd); err != nil {
 		return nil, err
 	}
 	if s.listener, err = l.Watch(fd, loop.In, s); err != nil {
@@ -223,7 +223,7 @@
 
 // read takes what has come and tells whether the connection is still of use.
 func (w *servedWatch) read() bool {
-	buf := w.service.loop.Buf()
+	buf := w.service.loop.ReadBuffer()
 	n, err := loop.Read(w.source.FD(), buf)
 	if err != nil {
 		return err == loop.ErrAgain
@@ -265,12 +265,12 @@
 		w.service.sent += int64(n)
 		if n < len(w.pending[0]) {
 			w.pending[0] = w.pending[0][n:]
-			w.source.Want(loop.In | loop.Out | loop.Hangup)
+			w.source.SetEvents(loop.In | loop.Out | loop.Hangup)
 			return
 		}
 		w.pending = w.pending[1:]
 	}
-	w.source.Want(loop.In | loop.Hangup)
+	w.source.SetEvents(loop.In | loop.Hangup)
 }
 
 func (w *servedWatch) close() {
--- a/internal/capacity/list_watches.go
+++ b/internal/capacity/list_watches.go
@@ -141,11 +141,11 @@
 			return
 		}
 		if r.request = r.request[n:]; len(r.request) == 0 {
-			r.source.Want(loop.In | loop.Hangup)
+			r.source.SetEvents(loop.In | loop.Hangup)
 		}
 		return
 	}
-	n, err := loop.Read(r.source.FD(), r.watches.loop.Buf())
+	n, err := loop.Read(r.source.FD(), r.watches.loop.ReadBuffer())
 	switch {
 	case errors.Is(err, loop.ErrAgain):
 	case err != nil:
--- a/internal/capacity/measure_counter.go
+++ b/internal/capacity/measure_counter.go
@@ -172,7 +172,7 @@
 	if err := errors.Join(l.Run(noTurn{}), ctx.Err()); err != nil {
 		return 0, err
 	}
-	l.Restart()
+	l.ClearStop()
 	began, settled := c.answered, time.Now()
 	l.After(callTime, l.Stop)
 	if err := errors.Join(l.Run(noTurn{}), ctx.Err()); err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -358,7 +358,7 @@
 
 // noteStall tells the operator that the process stood still: stopped, or without a processor.
 func (d *Daemon) noteStall(now time.Duration) {
-	if late := d.loop.Late(); late > 0 && now-d.stallTold > stallEvery {
+	if late := d.loop.MaxReadDelay(); late > 0 && now-d.stallTold > stallEvery {
 		d.stallTold = now
 		d.log.Warn("process stood still", "at_most", late)
 	}
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -246,7 +246,7 @@
 	}
 	open := d.core.Share(p)
 	list := d.watcher.Current()
-	m := &pb.Snapshot{Gateway: handover.Gateway(state), ClockOffset: int64(d.loop.Offset()), LastStream: open.LastID,
+	m := &pb.Snapshot{Gateway: handover.Gateway(state), ClockOffset: int64(d.loop.ClockOffset()), LastStream: open.LastID,
 		ListVersion: list.Version, Hosts: handover.Hosts(list), Listeners: d.server.Addresses()}
 	m.Streams, m.Keys = handover.Open(open)
 	p.send(&pb.Envelope{Body: &pb.Envelope_Snapshot{Snapshot: m}}, listeners...)
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -236,7 +236,7 @@
 		if slices.Contains(s.welcome.GetListeners(), f.addr) {
 			continue
 		}
-		fd, err := loop.ListenBeside(f.addr)
+		fd, err := loop.ListenReusePort(f.addr)
 		if err != nil {
 			s.handle(phase.Unfit{Why: err.Error()})
 			return
@@ -270,7 +270,7 @@
 	if len(names) != len(s.listeners) {
 		return fmt.Errorf("%d listeners were told of and %d have come", len(names), len(s.listeners))
 	}
-	d.loop.SetOffset(time.Duration(s.snapshot.GetClockOffset()))
+	d.loop.SetClockOffset(time.Duration(s.snapshot.GetClockOffset()))
 	if err := d.module.Resume(handover.FromGateway(s.snapshot.GetGateway())); err != nil {
 		return err
 	}
@@ -310,7 +310,7 @@
 	d.openControlGroup()
 	d.await()
 	d.log.Info("taken over", "version", d.o.Version, "from", s.welcome.GetVersion(), "listen", d.cfg.Listen,
-		"customers", s.customers, "streams", d.core.Theirs(), "clock", d.loop.Offset())
+		"customers", s.customers, "streams", d.core.Theirs(), "clock", d.loop.ClockOffset())
 	d.o.Notify("READY=1", "MAINPID="+strconv.Itoa(os.Getpid()))
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -40,7 +40,7 @@
 	if len(r.Body) > 0 {
 		m.Body = append([]byte(nil), r.Body...)
 	}
-	m.Rest = r.Rest
+	m.Rest = r.BodyPipe
 	return m
 }
 
@@ -64,7 +64,7 @@
 			return fmt.Errorf("%q holds what is no visible character", text)
 		}
 	}
-	if r.Method == "GET" && (len(r.Body) > 0 || r.Open) {
+	if r.Method == "GET" && (len(r.Body) > 0 || r.IsStreamed) {
 		return fmt.Errorf("a GET has no body")
 	}
 	return nil
@@ -77,9 +77,9 @@
 // another that is open, nor its idempotency key.
 func Open(s Streams, c *downstream.Conn, a admission.RequestArrived, r *http1.Request, o core.Owner) bool {
 	req := core.Request{RequestArrived: a, Key: r.Headers.Get("Request-Id"), Order: r.Headers.Get("Idempotency-Key"),
-		Owner: o, Open: r.Open}
-	req.RequestArrived.Open = r.Open
-	if !r.Open { // else its time has not begun
+		Owner: o, Open: r.IsStreamed}
+	req.RequestArrived.Open = r.IsStreamed
+	if !r.IsStreamed { // else its time has not begun
 		req.ExpiresIn = max(0, a.ExpiresIn-c.Waited())
 	}
 	m := Message(r)
--- a/internal/front/openapi/openapi.go
+++ b/internal/front/openapi/openapi.go
@@ -85,7 +85,7 @@
 		problem(c, 404, nil, "class "+class.Name+" is not served any more")
 		return
 	}
-	if r.Open && slices.ContainsFunc(m.Route.Required, func(q routes.Field) bool { return q.In == routes.InBody }) {
+	if r.IsStreamed && slices.ContainsFunc(m.Route.Required, func(q routes.Field) bool { return q.In == routes.InBody }) {
 		problem(c, 413, nil, "a body whose fields are to be checked is too long")
 		return
 	}
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -158,7 +158,7 @@
 		if errors.Is(err, unix.EINTR) {
 			continue
 		}
-		if errors.Is(err, unix.ETOOMANYREFS) || loop.OutOfResources(err) { // the other side, or the machine, has yet to make room
+		if errors.Is(err, unix.ETOOMANYREFS) || loop.IsOutOfResources(err) { // the other side, or the machine, has yet to make room
 			break
 		}
 		if err != nil { // the other side has ended; reading tells so, after what it has still said
@@ -173,11 +173,11 @@
 		c.queue = c.queue[1:]
 	}
 	if len(c.queue) > 0 {
-		c.src.Want(loop.In | loop.Out | loop.Hangup)
+		c.src.SetEvents(loop.In | loop.Out | loop.Hangup)
 		return
 	}
 	c.queue = nil
-	c.src.Want(loop.In | loop.Hangup)
+	c.src.SetEvents(loop.In | loop.Hangup)
 	if c.dry != nil {
 		c.loop.After(0, c.dried)
 	}
@@ -202,7 +202,7 @@
 		switch {
 		case errors.Is(err, unix.EINTR):
 			continue
-		case loop.OutOfResources(err): // nothing is there, or no memory for it yet
+		case loop.IsOutOfResources(err): // nothing is there, or no memory for it yet
 			return false
 		case errors.Is(err, unix.ECONNRESET): // it has died with something unread: no less an end
 			c.lose(io.EOF)
@@ -260,6 +260,6 @@
 func (c *Conn) lose(err error) {
 	closeAll(c.fds)
 	c.fds, c.part, c.gone = nil, nil, true
-	c.src.Mute()
+	c.src.Unwatch()
 	c.sink.Lost(err)
 }
--- a/internal/handover/convert.go
+++ b/internal/handover/convert.go
@@ -197,9 +197,9 @@
 // Client makes a message of a client connection.
 func Client(s downstream.State) *pb.ClientConnection {
 	p := s.Parser
-	m := &pb.Parser{Buffered: p.Buffered, InBody: p.InBody, Framing: int32(p.Framing), Left: int64(p.Left),
-		Chunk: int32(p.Chunk), Body: p.Body, Trail: int64(p.Trail), Method: p.Method, Target: p.Target, Close: p.Close,
-		Continues: p.Continues, Scanned: int64(p.Scanned), HasStart: p.HasStart}
+	m := &pb.Parser{Buffered: p.Buffered, InBody: p.InBody, Framing: int32(p.Framing), Left: int64(p.BytesLeft),
+		Chunk: int32(p.ChunkState), Body: p.Body, Trail: int64(p.TrailerBytes), Method: p.Method, Target: p.Target, Close: p.Close,
+		Continues: p.ExpectsContinue, Scanned: int64(p.Scanned), HasStart: p.HasStartLine}
 	for _, h := range p.Headers {
 		m.Headers = append(m.Headers, &pb.Header{Name: h.Name, Value: h.Value})
 	}
@@ -211,10 +211,10 @@
 func FromClient(m *pb.ClientConnection) downstream.State {
 	p := m.GetParser()
 	s := downstream.State{Listener: m.GetListener(), Out: m.GetOut(), Since: d(m.GetSince()), Opened: d(m.GetOpened()),
-		Served: m.GetServed(), Parser: http1.State{Buffered: p.GetBuffered(), InBody: p.GetInBody(),
-			Framing: int(p.GetFraming()), Left: int(p.GetLeft()), Chunk: int(p.GetChunk()), Body: p.GetBody(),
-			Trail: int(p.GetTrail()), Method: p.GetMethod(), Target: p.GetTarget(), Close: p.GetClose(),
-			Continues: p.GetContinues(), Scanned: int(p.GetScanned()), HasStart: p.GetHasStart()}}
+		Served: m.GetServed(), Parser: http1.RequestParserState{Buffered: p.GetBuffered(), InBody: p.GetInBody(),
+			Framing: int(p.GetFraming()), BytesLeft: int(p.GetLeft()), ChunkState: int(p.GetChunk()), Body: p.GetBody(),
+			TrailerBytes: int(p.GetTrail()), Method: p.GetMethod(), Target: p.GetTarget(), Close: p.GetClose(),
+			ExpectsContinue: p.GetContinues(), Scanned: int(p.GetScanned()), HasStartLine: p.GetHasStart()}}
 	for _, h := range p.GetHeaders() {
 		s.Parser.Headers = append(s.Parser.Headers, http1.Header{Name: h.GetName(), Value: h.GetValue()})
 	}
--- a/internal/net/controlclient/connection.go
+++ b/internal/net/controlclient/connection.go
@@ -50,7 +50,7 @@
 // reset ends the connection so that the replica can't take it for the end of this process. It is safe on nil.
 func (c *connection) reset() {
 	if c != nil {
-		c.source.Reset()
+		c.source.ResetOnClose()
 		c.close()
 	}
 }
@@ -58,7 +58,7 @@
 // Ready goes on with the connection.
 func (c *connection) Ready(events uint32) {
 	if !c.up {
-		if err := loop.Dialled(c.source.FD()); err != nil {
+		if err := loop.DialResult(c.source.FD()); err != nil {
 			c.client.failed(err)
 			return
 		}
@@ -96,11 +96,11 @@
 	case len(c.out) > c.client.lim.ControlQueue:
 		c.client.failed(errUnread)
 	case len(c.out) > 0:
-		c.source.Want(loop.In | loop.Out | loop.Hangup)
+		c.source.SetEvents(loop.In | loop.Out | loop.Hangup)
 	case c.ending:
 		c.endSending()
 	default:
-		c.source.Want(loop.In | loop.Hangup)
+		c.source.SetEvents(loop.In | loop.Hangup)
 	}
 }
 
@@ -112,16 +112,16 @@
 }
 
 func (c *connection) endSending() {
-	if err := loop.EndSending(c.source.FD()); err != nil {
+	if err := loop.CloseWrite(c.source.FD()); err != nil {
 		c.client.failed(err)
 		return
 	}
-	c.source.Want(loop.In | loop.Hangup)
+	c.source.SetEvents(loop.In | loop.Hangup)
 }
 
 // read takes what one read brings: whatever a replica sends, the other connections have their turns.
 func (c *connection) read() {
-	buf := c.client.loop.Buf()
+	buf := c.client.loop.ReadBuffer()
 	n, err := loop.Read(c.source.FD(), buf)
 	if errors.Is(err, loop.ErrAgain) {
 		return
--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -241,7 +241,7 @@
 // Ready goes on with what the connection was about.
 func (k *conn) Ready(events uint32) {
 	if !k.up {
-		if err := loop.Dialled(k.src.FD()); err != nil {
+		if err := loop.DialResult(k.src.FD()); err != nil {
 			k.fail(err.Error())
 			return
 		}
@@ -267,14 +267,14 @@
 		return
 	}
 	if len(k.out) > 0 {
-		k.src.Want(loop.In | loop.Out | loop.Hangup)
+		k.src.SetEvents(loop.In | loop.Out | loop.Hangup)
 		return
 	}
-	k.src.Want(loop.In | loop.Hangup)
+	k.src.SetEvents(loop.In | loop.Hangup)
 }
 
 func (k *conn) read() {
-	buf := k.c.loop.Buf()
+	buf := k.c.loop.ReadBuffer()
 	n, err := loop.Read(k.src.FD(), buf)
 	if err == loop.ErrAgain {
 		return
--- a/internal/net/discovery/boot.go
+++ b/internal/net/discovery/boot.go
@@ -18,7 +18,7 @@
 	}
 	now := w.loop.Now()
 	boot := e.Started
-	if step := w.loop.Offset(); step.Abs() >= clockStepped {
+	if step := w.loop.ClockOffset(); step.Abs() >= clockStepped {
 		if after := e.Started + step; after > boot && after <= now || boot > now {
 			boot = after
 		}
--- a/internal/net/discovery/boot_test.go
+++ b/internal/net/discovery/boot_test.go
@@ -17,7 +17,7 @@
 		for _, follows := range []bool{true, false} { // whether the host's clock was stepped, too
 			l, err := loop.New()
 			require.NoError(t, err)
-			l.SetOffset(-step) // the wall clock is ahead of the loop's by the step
+			l.SetClockOffset(-step) // the wall clock is ahead of the loop's by the step
 			w := &Watcher{loop: l, known: map[string]Entry{}}
 			now, age := l.Now(), 500*time.Millisecond
 			started := now - age
@@ -30,7 +30,7 @@
 			require.GreaterOrEqual(t, boot, now-age-10*time.Millisecond, "step %v, the host's clock follows: %v", step, follows)
 			e.Boot = boot
 			w.known["h"] = e
-			l.SetOffset(0)
+			l.SetClockOffset(0)
 			e.Boot = e.Started
 			require.Equal(t, boot, w.boot(e), "the same start as before")
 		}
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -231,7 +231,7 @@
 	w.next = nil
 	err := x.open()
 	switch {
-	case loop.OutOfResources(err): // of this machine: discovery was not asked, and is not spared by waiting
+	case loop.IsOutOfResources(err): // of this machine: discovery was not asked, and is not spared by waiting
 		w.tell(err.Error())
 		w.again = w.loop.After(w.lim.BackoffFirst, w.dial)
 		return
@@ -360,7 +360,7 @@
 // Ready goes on with the watch.
 func (x *watch) Ready(events uint32) {
 	if !x.up {
-		if err := loop.Dialled(x.src.FD()); err != nil {
+		if err := loop.DialResult(x.src.FD()); err != nil {
 			x.fail(err.Error())
 			return
 		}
@@ -374,7 +374,7 @@
 			return
 		}
 		if x.out = x.out[n:]; len(x.out) == 0 {
-			x.src.Want(loop.In | loop.Hangup)
+			x.src.SetEvents(loop.In | loop.Hangup)
 		}
 	}
 	if events&(loop.In|loop.Hangup) != 0 {
@@ -384,7 +384,7 @@
 
 // read takes what one read brings: whatever discovery sends, the other connections have their turns.
 func (x *watch) read() {
-	buf := x.w.loop.Buf()
+	buf := x.w.loop.ReadBuffer()
 	n, err := loop.Read(x.src.FD(), buf)
 	if errors.Is(err, loop.ErrAgain) {
 		return
@@ -408,7 +408,7 @@
 		x.fail(fmt.Sprintf("watch ended with status %d", resp.Status))
 		return
 	}
-	if status, body := x.parser.Partial(); status == 200 {
+	if status, body := x.parser.TakePartialBody(); status == 200 {
 		x.lines(body)
 	}
 }
--- a/internal/net/downstream/ahead.go
+++ b/internal/net/downstream/ahead.go
@@ -12,6 +12,6 @@
 	if c.dumped == 0 && (!c.busy || c.up != nil || c.parser.Buffered()+more <= c.most()) {
 		return false
 	}
-	c.dumped, c.last = c.dumped+c.parser.Dump()+more, true
+	c.dumped, c.last = c.dumped+c.parser.DiscardBuffered()+more, true
 	return true
 }
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -69,8 +69,8 @@
 			c.malformed(408, "request not whole in time")
 		case s.held: // not read, so what it has not shown is not its fault
 		case c.busy || c.lingering:
-		case c.parser.Begun():
-			if now-c.since > s.lim.RequestTime(c.parser.Body()) {
+		case c.parser.HasMessageStarted():
+			if now-c.since > s.lim.RequestTime(c.parser.BodyBytesRead()) {
 				c.malformed(408, "request not whole in time")
 			}
 		case !c.served && now-c.opened > s.lim.FirstTime, now-c.since > s.lim.DownstreamIdle:
@@ -129,14 +129,14 @@
 func (c *Conn) setIdle() {
 	c.since = c.s.loop.Now()
 	c.moved = c.since
-	c.parser.Rest()
+	c.parser.ReleaseIdleBuffers()
 	c.list()
 }
 
 // list enters a connection on which nothing is owed among those that may have to make room.
 func (c *Conn) list() {
 	switch {
-	case c.parser.Begun():
+	case c.parser.HasMessageStarted():
 		c.s.begun.push(c)
 	case c.served:
 		c.s.idle.push(c)
@@ -155,9 +155,9 @@
 		return
 	}
 	switch {
-	case events&loop.Broken != 0: // whatever of it is not read yet
+	case events&loop.HangupOrError != 0: // whatever of it is not read yet
 		c.gone(closedReset)
-	case events&loop.Ended != 0 && c.stuck():
+	case events&loop.ReadHangup != 0 && c.stuck():
 		c.left()
 	case c.s.held && !c.busy: // what has come is read by whoever goes on with the connection
 	case events&(loop.In|loop.Hangup) != 0:
@@ -169,7 +169,7 @@
 func (c *Conn) gone(why closeReason) {
 	busy := c.busy
 	if c.up != nil {
-		c.up.pipe.End(false)
+		c.up.pipe.CloseWrite(false)
 		c.noUpload()
 	}
 	c.drop(why)
@@ -187,7 +187,7 @@
 	c.src.Close()
 	c.dropUpload()
 	if c.down != nil {
-		c.down.pipe.Drop()
+		c.down.pipe.CloseRead()
 		c.down = nil
 	}
 	c.unlist()
--- a/internal/net/downstream/end.go
+++ b/internal/net/downstream/end.go
@@ -28,7 +28,7 @@
 }
 
 func (c *Conn) endSending() {
-	if err := loop.EndSending(c.src.FD()); err != nil {
+	if err := loop.CloseWrite(c.src.FD()); err != nil {
 		c.drop(closeReason(err.Error()))
 		return
 	}
@@ -38,12 +38,12 @@
 // discard reads what still comes, one read a turn and not without end: a client that sends on and on must not
 // hold the loop.
 func (c *Conn) discard() {
-	n, err := loop.Read(c.src.FD(), c.s.loop.Buf())
+	n, err := loop.Read(c.src.FD(), c.s.loop.ReadBuffer())
 	c.dropped += n
 	switch {
 	case errors.Is(err, loop.ErrAgain):
 	case errors.Is(err, io.EOF) && len(c.out) > 0:
-		c.src.Want(loop.Out) // the client has ended its side and still takes the answer
+		c.src.SetEvents(loop.Out) // the client has ended its side and still takes the answer
 	case err != nil, c.dropped > c.s.lim.LingerBytes && !c.unread, c.dropped > c.s.lim.BodyBytes+c.s.lim.LingerBytes:
 		c.drop(closedAfterEnd)
 	}
@@ -78,7 +78,7 @@
 	for _, ln := range s.listeners {
 		// Another process of this ingress may hold the socket, too. Closed here alone, it would stay in our epoll
 		// and be told of for as long as anybody waits to be accepted.
-		ln.src.Mute()
+		ln.src.Unwatch()
 		ln.src.Close()
 	}
 	s.endIdle()
@@ -97,7 +97,7 @@
 		return
 	}
 	c.read()
-	if !c.busy && !c.lingering && !c.parser.Begun() {
+	if !c.busy && !c.lingering && !c.parser.HasMessageStarted() {
 		c.finish(why)
 	}
 }
@@ -112,7 +112,7 @@
 // CutRelays ends the connections whose answers are still on their way and would pass for whole as the process ends.
 func (s *Server) CutRelays() {
 	for c := range s.conns {
-		if c.down != nil && c.down.framing == http1.ByClose {
+		if c.down != nil && c.down.framing == http1.FramedByClose {
 			c.abort()
 		}
 	}
--- a/internal/net/downstream/end_test.go
+++ b/internal/net/downstream/end_test.go
@@ -28,7 +28,7 @@
 	s := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	f := &auto{s: s, after: -1}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
-	where, err := loop.Address(s.listeners[0].src.FD())
+	where, err := loop.LocalAddress(s.listeners[0].src.FD())
 	require.NoError(t, err)
 	ask := func(c net.Conn) {
 		_, err := io.WriteString(c, "GET /x HTTP/1.1\r\n\r\n")
@@ -78,7 +78,7 @@
 	f := &waits{}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
 	ln := s.listeners[0]
-	where, err := loop.Address(ln.src.FD())
+	where, err := loop.LocalAddress(ln.src.FD())
 	require.NoError(t, err)
 	ask := func() {
 		_, err := io.WriteString(dial(t, where), "GET /x HTTP/1.1\r\n\r\n")
@@ -121,7 +121,7 @@
 	s := New(l, lim, slog.New(slog.DiscardHandler))
 	f := &holds{}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
-	where, err := loop.Address(s.listeners[0].src.FD())
+	where, err := loop.LocalAddress(s.listeners[0].src.FD())
 	require.NoError(t, err)
 	c := dial(t, where)
 	_, err = io.WriteString(c, "POST /x HTTP/1.1\r\nContent-Length: 500000\r\n\r\n"+strings.Repeat("x", 4*lim.Window(0)))
@@ -143,7 +143,7 @@
 	s = New(l, lim, slog.New(slog.DiscardHandler))
 	f = &auto{s: s, after: -1}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
-	where, err := loop.Address(s.listeners[0].src.FD())
+	where, err := loop.LocalAddress(s.listeners[0].src.FD())
 	require.NoError(t, err)
 	c := dial(t, where)
 	ask = func() {
--- a/internal/net/downstream/flow.go
+++ b/internal/net/downstream/flow.go
@@ -19,17 +19,17 @@
 
 // begin hands on an open request: its front may send it on before its body has come.
 func (c *Conn) begin(req *http1.Request) {
-	u := &upload{pipe: flow.New(c.s.lim.Window(c.s.uploads), req.Length), since: c.s.loop.Now()}
-	u.pipe.Put(req.Body) // it is held there alone
-	c.parser.Slim()
-	req.Body, req.Rest, c.up = nil, u.pipe, u
+	u := &upload{pipe: flow.New(c.s.lim.Window(c.s.uploads), req.ContentLength), since: c.s.loop.Now()}
+	u.pipe.Append(req.Body) // it is held there alone
+	c.parser.ReleaseBodyBuffers()
+	req.Body, req.BodyPipe, c.up = nil, u.pipe, u
 	c.s.uploads++
-	u.pipe.OnRoom = c.want
+	u.pipe.OnFreeSpace = c.want
 	c.ln.front.Request(c, req)
 	if c.up == nil {
 		return
 	}
-	if c.parser.WantsContinue() {
+	if c.parser.TakeExpectContinue() {
 		c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	c.upload()
@@ -37,22 +37,22 @@
 
 // upload passes on what has come of the body, as far as there is room.
 func (c *Conn) upload() {
-	if c.up == nil || c.src.FD() < 0 || c.up.pipe.Room() == 0 && c.parser.Buffered() > 0 {
+	if c.up == nil || c.src.FD() < 0 || c.up.pipe.FreeSpace() == 0 && c.parser.Buffered() > 0 {
 		return
 	}
 	u := c.up
-	b, whole, err := c.parser.Pull()
+	b, whole, err := c.parser.NextBodyPart()
 	if err != nil {
 		c.cut()
 		c.complain(err)
 		return
 	}
 	u.got += len(b)
-	u.pipe.Put(b)
-	c.parser.Slim()
+	u.pipe.Append(b)
+	c.parser.ReleaseBodyBuffers()
 	if whole {
 		c.noUpload()
-		u.pipe.End(true)
+		u.pipe.CloseWrite(true)
 		if c.busy {
 			c.ln.front.Whole(c)
 		}
@@ -60,7 +60,7 @@
 }
 
 // stuck tells whether more of a body has come than there is room for, so that its client's end is not read for long.
-func (c *Conn) stuck() bool { return c.up != nil && c.up.pipe.Room() == 0 }
+func (c *Conn) stuck() bool { return c.up != nil && c.up.pipe.FreeSpace() == 0 }
 
 // left: the client has ended its side behind more of a body than there is room for. It is gone from now on, not once all of
 // that has been read; what has come is read and dropped, since to close on it would reset the connection.
@@ -80,7 +80,7 @@
 func (c *Conn) cut() {
 	u := c.up
 	c.noUpload()
-	u.pipe.End(false)
+	u.pipe.CloseWrite(false)
 	if c.busy {
 		c.ln.front.Left(c)
 	}
@@ -89,7 +89,7 @@
 // slow tells whether a body comes slower than it may. Time for which nobody takes it is not its client's.
 func (c *Conn) slow(now time.Duration) bool {
 	u := c.up
-	if u.pipe.Room() == 0 {
+	if u.pipe.FreeSpace() == 0 {
 		u.since += sweepEvery
 		return false
 	}
@@ -109,7 +109,7 @@
 // gives is never cut, however long after the client's time: of a long answer the first bytes count.
 func (c *Conn) Relay(status int, h http1.Headers, rest *flow.Pipe, done func(whole bool)) {
 	if c.src.FD() < 0 || !c.busy {
-		rest.Drop()
+		rest.CloseRead()
 		return
 	}
 	c.Stream = 0
@@ -118,15 +118,15 @@
 	c.last = c.last || c.s.draining || c.up != nil
 	d := &download{pipe: rest, done: done, moved: c.s.loop.Now()}
 	switch {
-	case rest.Length >= 0:
+	case rest.ContentLength >= 0:
 	case c.old:
-		d.framing, c.last = http1.ByClose, true
+		d.framing, c.last = http1.FramedByClose, true
 	default:
-		d.framing = http1.ByChunks
+		d.framing = http1.FramedByChunks
 	}
 	c.dropUpload()
 	c.down = d
-	b := http1.AppendOpenResponse(nil, status, h, rest.Length, d.framing, c.last)
+	b := http1.AppendResponseHead(nil, status, h, rest.ContentLength, d.framing, c.last)
 	if !c.write(b) {
 		return
 	}
@@ -143,9 +143,9 @@
 	if len(c.out) == 0 {
 		d.moved = c.s.loop.Now()
 	}
-	if b := d.pipe.Next(); len(b) > 0 && len(c.out) == 0 {
+	if b := d.pipe.Bytes(); len(b) > 0 && len(c.out) == 0 {
 		n := len(b)
-		if d.framing == http1.ByChunks {
+		if d.framing == http1.FramedByChunks {
 			if !c.write(http1.AppendChunk(make([]byte, 0, n+16), b)) {
 				return
 			}
@@ -156,15 +156,15 @@
 				return
 			}
 		}
-		d.pipe.Took(n)
+		d.pipe.Consume(n)
 		c.want()
 	}
 	switch {
-	case d.pipe.Broken() && len(d.pipe.Next()) == 0:
+	case d.pipe.IsTruncated() && len(d.pipe.Bytes()) == 0:
 		c.abort()
-	case d.pipe.Whole() && c.down == d:
+	case d.pipe.IsComplete() && c.down == d:
 		c.down = nil
-		if d.framing == http1.ByChunks && !c.write(http1.AppendLastChunk(nil)) {
+		if d.framing == http1.FramedByChunks && !c.write(http1.AppendLastChunk(nil)) {
 			return
 		}
 		c.busy = false
@@ -175,8 +175,8 @@
 
 // abort ends a connection whose answer can't be finished. One whose end would be taken for the answer's is reset.
 func (c *Conn) abort() {
-	if c.down.framing == http1.ByClose {
-		c.src.Reset()
+	if c.down.framing == http1.FramedByClose {
+		c.src.ResetOnClose()
 	}
 	done := c.down.done
 	c.drop(closedRelayCut)
@@ -186,7 +186,7 @@
 // dropUpload lets go of the rest of a request that has its answer. It is still read, and goes nowhere.
 func (c *Conn) dropUpload() {
 	if c.up != nil {
-		c.up.pipe.Drop()
+		c.up.pipe.CloseRead()
 		c.noUpload()
 		c.unread = true
 	}
--- a/internal/net/downstream/handover.go
+++ b/internal/net/downstream/handover.go
@@ -18,7 +18,7 @@
 	Out           []byte
 	Since, Opened time.Duration
 	Served        bool
-	Parser        http1.State
+	Parser        http1.RequestParserState
 }
 
 // Addresses are those of the listeners, in the order in which they were opened.
@@ -45,7 +45,7 @@
 func (s *Server) Hold() {
 	s.held = true
 	for _, ln := range s.listeners {
-		ln.src.Want(0)
+		ln.src.SetEvents(0)
 	}
 	for c := range s.conns {
 		c.want()
--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -24,7 +24,7 @@
 // late is how long a connection that is accepted now may have waited.
 func (ln *listener) late() time.Duration {
 	if ln.waiting == 0 {
-		return ln.s.loop.Late()
+		return ln.s.loop.MaxReadDelay()
 	}
 	return ln.s.loop.Now() - ln.waiting
 }
@@ -33,7 +33,7 @@
 func (ln *listener) leave() {
 	ln.watched = ln.s.loop.Now()
 	if ln.waiting == 0 {
-		ln.waiting = ln.watched - ln.s.loop.Late()
+		ln.waiting = ln.watched - ln.s.loop.MaxReadDelay()
 	}
 }
 
@@ -42,14 +42,14 @@
 
 // expire forgets that connections may wait where none was told of at once: those that come now have just come.
 func (ln *listener) expire() {
-	if !ln.s.paused && ln.s.loop.Now()-ln.watched > ln.s.loop.Late()+toldAtOnce {
+	if !ln.s.paused && ln.s.loop.Now()-ln.watched > ln.s.loop.MaxReadDelay()+toldAtOnce {
 		ln.waiting = 0
 	}
 }
 
 // Listen opens a listener for a front.
 func (s *Server) Listen(addr string, f Front) error {
-	fd, err := loop.ListenBeside(addr)
+	fd, err := loop.ListenReusePort(addr)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 // After a time in which the process stood still all are taken: what they have sent meanwhile is as old as that.
 func (ln *listener) Ready(uint32) {
 	most := ln.s.lim.Accepts
-	if ln.s.loop.Late() > 0 {
+	if ln.s.loop.MaxReadDelay() > 0 {
 		most = ln.s.lim.Downstream
 	}
 	ln.accept(most)
@@ -95,7 +95,7 @@
 			ln.waiting = 0
 			return
 		}
-		if loop.OutOfDescriptors(err) && s.makeRoom() { // they are this process's: one less helps
+		if loop.IsOutOfDescriptors(err) && s.makeRoom() { // they are this process's: one less helps
 			continue
 		}
 		if err == nil {
--- a/internal/net/downstream/read.go
+++ b/internal/net/downstream/read.go
@@ -12,7 +12,7 @@
 
 // read takes what one read brings, and no more than there is room for: the others have their turns, and hundreds that
 // begin long bodies at one instant must not hold the first piece of each at its largest.
-func (c *Conn) read() { c.readLate(c.s.loop.Late()) }
+func (c *Conn) read() { c.readLate(c.s.loop.MaxReadDelay()) }
 
 // lateReads is how much more is read, in reads, of what had to wait: its client's end may be right behind, and it had its
 // time to go.
@@ -36,9 +36,9 @@
 func (c *Conn) take(late time.Duration) (got, stands bool) {
 	most := c.s.lim.HeadBytes
 	if c.up != nil {
-		most = max(1, c.up.pipe.Room())
+		most = max(1, c.up.pipe.FreeSpace())
 	}
-	buf := c.s.loop.Buf()
+	buf := c.s.loop.ReadBuffer()
 	n, err := loop.Read(c.src.FD(), buf[:min(len(buf), most)])
 	if err != nil && !errors.Is(err, loop.ErrAgain) { // gone, whether with EOF or a reset
 		c.gone(closeReason(err.Error()))
@@ -48,14 +48,14 @@
 		return false, true
 	}
 	c.moved = c.s.loop.Now()
-	if !c.busy && !c.parser.Begun() {
+	if !c.busy && !c.parser.HasMessageStarted() {
 		c.since = c.moved
 	}
 	d := 0
 	if c.up != nil {
-		d = c.parser.Direct(buf[:n])
+		d = c.parser.TakeRawBody(buf[:n])
 		c.up.got += d
-		c.up.pipe.Put(buf[:d])
+		c.up.pipe.Append(buf[:d])
 	}
 	if d < n && !c.tooMuch(n-d) {
 		c.parser.Feed(buf[d:n])
@@ -82,23 +82,23 @@
 			return
 		}
 		if req == nil {
-			if c.parser.WantsContinue() {
+			if c.parser.TakeExpectContinue() {
 				c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 			}
 			break
 		}
 		c.came = c.arrivals.of(c.parser.Buffered(), c.Now())
-		c.busy, c.head, c.old = true, req.Method == "HEAD", req.Old
+		c.busy, c.head, c.old = true, req.Method == "HEAD", req.IsHTTP10
 		c.last = c.last || req.Close
 		c.traceRead(req)
 		c.unlist()
-		if req.Open {
+		if req.IsStreamed {
 			c.begin(req)
 			continue
 		}
 		c.ln.front.Request(c, req)
 	}
-	if !c.busy && !c.lingering && c.src.FD() >= 0 && c.parser.Begun() {
+	if !c.busy && !c.lingering && c.src.FD() >= 0 && c.parser.HasMessageStarted() {
 		c.s.begun.push(c)
 	}
 	c.want()
@@ -126,17 +126,17 @@
 	case c.lingering:
 		events |= loop.In
 	case c.up != nil:
-		if events = loop.Hangup; c.up.pipe.Room() > 0 { // else only its end is of use now
+		if events = loop.Hangup; c.up.pipe.FreeSpace() > 0 { // else only its end is of use now
 			events |= loop.In
 		}
 	case c.dumped > c.s.lim.LingerBytes:
 	case c.busy, c.parser.Buffered() <= c.most():
 		events |= loop.In
 	}
-	if len(c.out) > 0 || c.down != nil && len(c.down.pipe.Next()) > 0 {
+	if len(c.out) > 0 || c.down != nil && len(c.down.pipe.Bytes()) > 0 {
 		events |= loop.Out
 	}
-	c.src.Want(events)
+	c.src.SetEvents(events)
 }
 
 func (c *Conn) malformed(status int, what string) {
--- a/internal/net/downstream/room.go
+++ b/internal/net/downstream/room.go
@@ -75,7 +75,7 @@
 		s.log.Warn("accepting paused", "connections", len(s.conns), "cause", why)
 	}
 	for _, ln := range s.listeners {
-		ln.src.Want(0)
+		ln.src.SetEvents(0)
 	}
 	s.loop.After(s.lim.FreshTime, s.resume)
 }
@@ -94,6 +94,6 @@
 func (s *Server) listen() {
 	for _, ln := range s.listeners {
 		ln.watched = s.loop.Now()
-		ln.src.Want(loop.In)
+		ln.src.SetEvents(loop.In)
 	}
 }
--- a/internal/net/downstream/trace.go
+++ b/internal/net/downstream/trace.go
@@ -28,7 +28,7 @@
 func (c *Conn) traceRead(r *http1.Request) {
 	if c.s.debugs {
 		c.s.log.Debug("request read", "connection", c.number, "request", r.Headers.Get("Request-Id"), "waited", c.Waited(),
-			"late", c.s.loop.Late())
+			"late", c.s.loop.MaxReadDelay())
 	}
 }
 
--- a/internal/net/flow/flow.go
+++ b/internal/net/flow/flow.go
@@ -4,9 +4,9 @@
 
 // Pipe belongs to the loop's goroutine. One side puts and ends, the other takes and may drop.
 type Pipe struct {
-	Length int64  // of the whole body, -1 where it is not told ahead
-	OnData func() // the taker's: there is more, or it has ended. It must not be taken for leave to call back at once
-	OnRoom func() // the putter's: there is room, or nobody takes any more. The same holds
+	ContentLength int64  // of the whole body, -1 where it is not told ahead
+	OnData        func() // the taker's: there is more, or it has ended. It must not be taken for leave to call back at once
+	OnFreeSpace   func() // the putter's: there is room, or nobody takes any more. The same holds
 
 	most    int
 	room    []byte // what buf is a part of, kept as long as the pipe is
@@ -18,18 +18,18 @@
 }
 
 // New returns an empty pipe with a window in bytes.
-func New(window int, length int64) *Pipe { return &Pipe{most: window, Length: length} }
+func New(window int, length int64) *Pipe { return &Pipe{most: window, ContentLength: length} }
 
-// Room tells how many bytes may be put.
-func (p *Pipe) Room() int {
+// FreeSpace tells how many bytes may be put.
+func (p *Pipe) FreeSpace() int {
 	if p.dropped {
 		return p.most // they go nowhere
 	}
 	return max(0, p.most-len(p.buf))
 }
 
-// Put appends bytes. They are copied.
-func (p *Pipe) Put(b []byte) {
+// Append appends bytes. They are copied.
+func (p *Pipe) Append(b []byte) {
 	if p.dropped || len(b) == 0 {
 		return
 	}
@@ -43,8 +43,8 @@
 	p.tell()
 }
 
-// End tells that no more comes, and whether that was all.
-func (p *Pipe) End(whole bool) {
+// CloseWrite tells that no more comes, and whether that was all.
+func (p *Pipe) CloseWrite(whole bool) {
 	if p.whole || p.broken {
 		return
 	}
@@ -58,11 +58,11 @@
 	}
 }
 
-// Next returns what may be taken; it is good until Took.
-func (p *Pipe) Next() []byte { return p.buf }
+// Bytes returns what may be taken; it is good until Took.
+func (p *Pipe) Bytes() []byte { return p.buf }
 
-// Took tells how many bytes of Next were taken.
-func (p *Pipe) Took(n int) {
+// Consume tells how many bytes of Next were taken.
+func (p *Pipe) Consume(n int) {
 	if n == 0 {
 		return
 	}
@@ -73,30 +73,30 @@
 		}
 		p.buf = p.room[:0]
 	}
-	if p.OnRoom != nil {
-		p.OnRoom()
+	if p.OnFreeSpace != nil {
+		p.OnFreeSpace()
 	}
 }
 
-// Taken tells whether any byte has been: what was is not to be had again.
-func (p *Pipe) Taken() bool { return p.taken > 0 }
+// HasConsumed tells whether any byte has been: what was is not to be had again.
+func (p *Pipe) HasConsumed() bool { return p.taken > 0 }
 
-// Whole tells whether all has come and been taken.
-func (p *Pipe) Whole() bool { return p.whole && len(p.buf) == 0 }
+// IsComplete tells whether all has come and been taken.
+func (p *Pipe) IsComplete() bool { return p.whole && len(p.buf) == 0 }
 
-// Broken tells whether it has ended before its end.
-func (p *Pipe) Broken() bool { return p.broken }
+// IsTruncated tells whether it has ended before its end.
+func (p *Pipe) IsTruncated() bool { return p.broken }
 
-// Drop tells that nobody takes any more. It is safe on nil.
-func (p *Pipe) Drop() {
+// CloseRead tells that nobody takes any more. It is safe on nil.
+func (p *Pipe) CloseRead() {
 	if p == nil || p.dropped {
 		return
 	}
 	p.dropped, p.room, p.buf, p.OnData = true, nil, nil, nil
-	if p.OnRoom != nil {
-		p.OnRoom()
+	if p.OnFreeSpace != nil {
+		p.OnFreeSpace()
 	}
 }
 
-// Dropped tells whether nobody takes any more.
-func (p *Pipe) Dropped() bool { return p.dropped }
+// IsReadClosed tells whether nobody takes any more.
+func (p *Pipe) IsReadClosed() bool { return p.dropped }
--- a/internal/net/flow/flow_test.go
+++ b/internal/net/flow/flow_test.go
@@ -17,49 +17,49 @@
 		told := 0
 		p.OnData = func() { told++ }
 		for left := body; ; {
-			if n := min(rapid.IntRange(0, 30).Draw(t, "put"), p.Room(), len(left)); n > 0 {
-				p.Put(left[:n])
+			if n := min(rapid.IntRange(0, 30).Draw(t, "put"), p.FreeSpace(), len(left)); n > 0 {
+				p.Append(left[:n])
 				left = left[n:]
 			}
-			require.LessOrEqual(t, len(p.Next()), window)
+			require.LessOrEqual(t, len(p.Bytes()), window)
 			if len(left) == 0 {
-				p.End(true)
+				p.CloseWrite(true)
 			}
-			n := min(rapid.IntRange(0, 30).Draw(t, "take"), len(p.Next()))
-			got = append(got, p.Next()[:n]...)
-			p.Took(n)
-			if p.Whole() {
+			n := min(rapid.IntRange(0, 30).Draw(t, "take"), len(p.Bytes()))
+			got = append(got, p.Bytes()[:n]...)
+			p.Consume(n)
+			if p.IsComplete() {
 				break
 			}
 		}
 		require.Equal(t, string(body), string(got))
-		require.Equal(t, len(body) > 0, p.Taken())
+		require.Equal(t, len(body) > 0, p.HasConsumed())
 		require.Positive(t, told)
 	})
 }
 
 func TestABrokenPipeIsNeverWhole(t *testing.T) {
 	p := New(4, -1)
-	p.Put([]byte("ab"))
-	p.End(false)
-	p.End(true)
-	p.Took(2)
-	require.True(t, p.Broken())
-	require.False(t, p.Whole())
+	p.Append([]byte("ab"))
+	p.CloseWrite(false)
+	p.CloseWrite(true)
+	p.Consume(2)
+	require.True(t, p.IsTruncated())
+	require.False(t, p.IsComplete())
 }
 
 // What is put when nobody takes any more is held nowhere, and the putter is not kept waiting.
 func TestDrop(t *testing.T) {
 	p := New(2, -1)
 	room := 0
-	p.OnRoom = func() { room++ }
-	p.Put([]byte("ab"))
-	require.Zero(t, p.Room())
-	p.Drop()
-	p.Drop()
+	p.OnFreeSpace = func() { room++ }
+	p.Append([]byte("ab"))
+	require.Zero(t, p.FreeSpace())
+	p.CloseRead()
+	p.CloseRead()
 	require.Equal(t, 1, room)
-	p.Put([]byte("cd"))
-	require.Empty(t, p.Next())
-	require.Equal(t, 2, p.Room())
-	(*Pipe)(nil).Drop()
+	p.Append([]byte("cd"))
+	require.Empty(t, p.Bytes())
+	require.Equal(t, 2, p.FreeSpace())
+	(*Pipe)(nil).CloseRead()
 }
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -55,13 +55,13 @@
 // A ParseError says what is wrong with a message, and the status that answers it.
 type ParseError struct {
 	Status int
-	What   string
+	Reason string
 }
 
-func (e *ParseError) Error() string { return e.What }
+func (e *ParseError) Error() string { return e.Reason }
 
 func bad(status int, format string, args ...any) error {
-	return &ParseError{Status: status, What: fmt.Sprintf(format, args...)}
+	return &ParseError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
 // Request is one request: whole, or, if Open, with a body of which more comes.
@@ -70,10 +70,10 @@
 	Headers        Headers
 	Body           []byte     // good until the parser's next call
 	Close          bool       // the client wants the connection closed after the answer
-	Old            bool       // HTTP/1.0: it knows no chunks
-	Open           bool       // Body is only its beginning; see Pull
-	Length         int64      // of the whole body, -1 where it is not told ahead
-	Rest           *flow.Pipe // what comes after Body, put there by who reads it; nil unless Open
+	IsHTTP10       bool       // HTTP/1.0: it knows no chunks
+	IsStreamed     bool       // Body is only its beginning; see Pull
+	ContentLength  int64      // of the whole body, -1 where it is not told ahead
+	BodyPipe       *flow.Pipe // what comes after Body, put there by who reads it; nil unless Open
 }
 
 // Path is the target without its query.
@@ -84,12 +84,12 @@
 
 // Response is one response: whole, or, if Open, with a body of which more comes.
 type Response struct {
-	Status  int
-	Headers Headers
-	Body    []byte // good until the parser's next call
-	Close   bool   // the connection ends with it
-	Open    bool   // Body is only its beginning; see Pull
-	Length  int64  // of the whole body, -1 where it is not told ahead
+	Status        int
+	Headers       Headers
+	Body          []byte // good until the parser's next call
+	Close         bool   // the connection ends with it
+	IsStreamed    bool   // Body is only its beginning; see Pull
+	ContentLength int64  // of the whole body, -1 where it is not told ahead
 }
 
 // framing is how the end of a body is told.
@@ -145,9 +145,9 @@
 // keepMost is what a connection may keep of its buffers while it is idle.
 const keepMost = 4 << 10
 
-// Rest lets go of what a long message needed. It is for a connection that goes idle, and ends the use of
+// ReleaseIdleBuffers lets go of what a long message needed. It is for a connection that goes idle, and ends the use of
 // the last message's body.
-func (r *reader) Rest() {
+func (r *reader) ReleaseIdleBuffers() {
 	if len(r.buf) == 0 && cap(r.room) > keepMost {
 		r.room, r.buf = nil, nil
 	}
@@ -159,18 +159,18 @@
 // Buffered tells how many bytes wait to be parsed.
 func (r *reader) Buffered() int { return len(r.buf) }
 
-// Dump lets go of what waits to be parsed, and tells how much that was.
-func (r *reader) Dump() int {
+// DiscardBuffered lets go of what waits to be parsed, and tells how much that was.
+func (r *reader) DiscardBuffered() int {
 	n := len(r.buf)
 	r.take(n)
 	return n
 }
 
-// Body tells how many bytes of the present message's body have been read.
-func (r *reader) Body() int { return r.passed + len(r.body) }
+// BodyBytesRead tells how many bytes of the present message's body have been read.
+func (r *reader) BodyBytesRead() int { return r.passed + len(r.body) }
 
-// Begun tells whether part of a message has come.
-func (r *reader) Begun() bool { return r.inBody || len(r.buf) > 0 }
+// HasMessageStarted tells whether part of a message has come.
+func (r *reader) HasMessageStarted() bool { return r.inBody || len(r.buf) > 0 }
 
 func (r *reader) take(n int) {
 	if r.buf = r.buf[n:]; len(r.buf) == 0 {
@@ -364,8 +364,8 @@
 	return int64(r.passed + len(r.body) + r.left)
 }
 
-// Pull takes what has come of an open body since the last call, and tells whether that was the end of it.
-func (r *reader) Pull() (b []byte, whole bool, err error) {
+// NextBodyPart takes what has come of an open body since the last call, and tells whether that was the end of it.
+func (r *reader) NextBodyPart() (b []byte, whole bool, err error) {
 	r.passed += len(r.body)
 	r.body = r.body[:0]
 	if whole = r.ended; !whole {
@@ -377,9 +377,9 @@
 	return r.body, whole, err
 }
 
-// Direct tells how many of these bytes, which have come and were not fed, are the next of an open body: all that need
+// TakeRawBody tells how many of these bytes, which have come and were not fed, are the next of an open body: all that need
 // not be looked at. They are taken for pulled.
-func (r *reader) Direct(b []byte) (n int) {
+func (r *reader) TakeRawBody(b []byte) (n int) {
 	if !r.open || r.ended || len(r.buf) > 0 || r.framing == chunked {
 		return 0
 	}
@@ -394,8 +394,8 @@
 	return n
 }
 
-// Slim lets go of what an open body's pieces needed, between two of them.
-func (r *reader) Slim() {
+// ReleaseBodyBuffers lets go of what an open body's pieces needed, between two of them.
+func (r *reader) ReleaseBodyBuffers() {
 	if len(r.buf) == 0 && r.scanned == 0 {
 		r.room, r.buf = nil, nil
 	}
@@ -433,7 +433,7 @@
 		if err := p.frame(h, false); err != nil {
 			return nil, err
 		}
-		p.req = &Request{Method: method, Target: target, Headers: h, Old: proto == "HTTP/1.0", Close: h.hasToken("Connection", "close") ||
+		p.req = &Request{Method: method, Target: target, Headers: h, IsHTTP10: proto == "HTTP/1.0", Close: h.hasToken("Connection", "close") ||
 			proto == "HTTP/1.0" && !h.hasToken("Connection", "keep-alive")}
 		p.continues = proto == "HTTP/1.1" && strings.EqualFold(h.Get("Expect"), "100-continue")
 	}
@@ -442,18 +442,18 @@
 		return nil, err
 	}
 	req := p.req
-	p.req, req.Body, req.Length = nil, p.body, p.length()
+	p.req, req.Body, req.ContentLength = nil, p.body, p.length()
 	if p.long() { // also if it came in one piece: what is long does not depend on how it was cut
-		p.open, p.ended, req.Open = true, whole, true
+		p.open, p.ended, req.IsStreamed = true, whole, true
 	} else {
 		p.inBody, p.continues = false, false
 	}
 	return req, nil
 }
 
-// WantsContinue tells, once for each request, that its client waits for a "100 Continue" before it
+// TakeExpectContinue tells, once for each request, that its client waits for a "100 Continue" before it
 // sends the body.
-func (p *RequestParser) WantsContinue() bool {
+func (p *RequestParser) TakeExpectContinue() bool {
 	want := p.continues && p.inBody
 	p.continues = false
 	return want
--- a/internal/net/http1/http1_test.go
+++ b/internal/net/http1/http1_test.go
@@ -88,8 +88,8 @@
 	r, err := p.Next()
 	require.Nil(t, r)
 	require.NoError(t, err)
-	require.True(t, p.WantsContinue())
-	require.False(t, p.WantsContinue())
+	require.True(t, p.TakeExpectContinue())
+	require.False(t, p.TakeExpectContinue())
 	p.Feed([]byte("ok"))
 	r, err = p.Next()
 	require.NoError(t, err)
@@ -117,7 +117,7 @@
 			}
 		}
 		require.Equal(t, []string{`200 "hi" false`, `503 "" false`, `204 "" true`}, got, "in pieces of %d", size)
-		last := p.End()
+		last := p.FinishAtEOF()
 		require.NotNil(t, last)
 		require.Equal(t, "to the end", string(last.Body))
 		require.True(t, last.Close)
@@ -130,7 +130,7 @@
 	r, err := p.Next()
 	require.NoError(t, err)
 	require.Nil(t, r)
-	require.Nil(t, p.End(), "a sized body that was cut is no answer")
+	require.Nil(t, p.FinishAtEOF(), "a sized body that was cut is no answer")
 	for _, text := range []string{"HTTP/1.1 20 OK\r\n\r\n", "SSH-2.0-x\r\n\r\n", "HTTP/1.1 abc\r\n\r\n"} {
 		p := NewResponseParser(headMost, bodyMost, 0)
 		p.Feed([]byte(text))
@@ -144,13 +144,13 @@
 	p.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab\n\r\n2\r\nc"))
 	_, err := p.Next()
 	require.NoError(t, err)
-	status, body := p.Partial()
+	status, body := p.TakePartialBody()
 	require.Equal(t, 200, status)
 	require.Equal(t, "ab\nc", string(body))
 	p.Feed([]byte("\n\r\n"))
 	_, err = p.Next()
 	require.NoError(t, err)
-	_, body = p.Partial()
+	_, body = p.TakePartialBody()
 	require.Equal(t, "\n", string(body))
 }
 
@@ -194,7 +194,7 @@
 			}
 			require.LessOrEqual(t, len(r.Body), bodyMost)
 		}
-		p.End()
+		p.FinishAtEOF()
 	})
 }
 
@@ -213,6 +213,6 @@
 			require.Same(t, last, &p.buf[len(p.buf)-1])
 		}
 	}
-	p.Rest()
+	p.ReleaseIdleBuffers()
 	require.Nil(t, p.room)
 }
--- a/internal/net/http1/open_test.go
+++ b/internal/net/http1/open_test.go
@@ -24,7 +24,7 @@
 		text = text[n:]
 		for {
 			if r != nil {
-				b, whole, err := p.Pull()
+				b, whole, err := p.NextBodyPart()
 				if err != nil {
 					return out, err
 				}
@@ -39,12 +39,12 @@
 				}
 				break
 			}
-			if body = append([]byte(nil), r.Body...); len(body) > 4 && !r.Open {
+			if body = append([]byte(nil), r.Body...); len(body) > 4 && !r.IsStreamed {
 				return out, fmt.Errorf("held whole though it is %d long", len(body))
-			} else if !r.Open {
+			} else if !r.IsStreamed {
 				done()
-			} else if r.Length >= 0 && r.Length <= 4 {
-				return out, fmt.Errorf("open though it is only %d long", r.Length)
+			} else if r.ContentLength >= 0 && r.ContentLength <= 4 {
+				return out, fmt.Errorf("open though it is only %d long", r.ContentLength)
 			}
 		}
 	}
@@ -102,29 +102,29 @@
 		return p, r
 	}
 	p, r := read(head + "Content-Length: 9\r\n\r\nabc")
-	require.True(t, r.Open && r.Length == 9 && string(r.Body) == "abc")
+	require.True(t, r.IsStreamed && r.ContentLength == 9 && string(r.Body) == "abc")
 	p.Feed([]byte("defghi"))
-	b, whole, err := p.Pull()
+	b, whole, err := p.NextBodyPart()
 	require.NoError(t, err)
 	require.True(t, whole)
 	require.Equal(t, "defghi", string(b))
 
 	p, r = read(head + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
 	require.Nil(t, r)
-	require.True(t, p.Unbounded())
-	r = p.Early()
-	require.True(t, r.Open && r.Length == -1 && string(r.Body) == "abc")
-	require.False(t, p.EndsHere(), "it ends with its last chunk, not with the connection")
-	require.Nil(t, p.End())
+	require.True(t, p.HasUnknownLength())
+	r = p.StartStreaming()
+	require.True(t, r.IsStreamed && r.ContentLength == -1 && string(r.Body) == "abc")
+	require.False(t, p.EndsWithConnection(), "it ends with its last chunk, not with the connection")
+	require.Nil(t, p.FinishAtEOF())
 
 	p, r = read(head + "\r\nabcdef")
-	require.True(t, r.Open && r.Close)
-	require.True(t, p.EndsHere())
+	require.True(t, r.IsStreamed && r.Close)
+	require.True(t, p.EndsWithConnection())
 
 	p, r = read(head + "Content-Length: 3\r\n\r\nab")
 	require.Nil(t, r)
-	require.False(t, p.Unbounded(), "short ones are waited for")
+	require.False(t, p.HasUnknownLength(), "short ones are waited for")
 
 	_, r = read("HTTP/1.1 500 No\r\nContent-Length: 9\r\n\r\nabc")
-	require.True(t, !r.Open && r.Close && r.Status == 500)
+	require.True(t, !r.IsStreamed && r.Close && r.Status == 500)
 }
--- a/internal/net/http1/response.go
+++ b/internal/net/http1/response.go
@@ -52,49 +52,49 @@
 		p.resp.Close = true
 		return p.done(), nil
 	case p.long():
-		return p.Early(), nil
+		return p.StartStreaming(), nil
 	}
 	return nil, nil
 }
 
-// Early returns a response of which the body has not wholly come, open, as if it were a long one. It is for one of
+// StartStreaming returns a response of which the body has not wholly come, open, as if it were a long one. It is for one of
 // which nobody can tell how long it will be. Without a head it is nil.
-func (p *ResponseParser) Early() *Response {
+func (p *ResponseParser) StartStreaming() *Response {
 	if p.resp == nil || p.open {
 		return nil
 	}
 	resp := p.resp
 	p.resp, p.open = nil, true
-	resp.Body, resp.Open, resp.Length = p.body, true, p.length()
+	resp.Body, resp.IsStreamed, resp.ContentLength = p.body, true, p.length()
 	return resp
 }
 
-// Unbounded tells whether a good answer's body is being read of which nobody can tell how long it will be.
-func (p *ResponseParser) Unbounded() bool {
+// HasUnknownLength tells whether a good answer's body is being read of which nobody can tell how long it will be.
+func (p *ResponseParser) HasUnknownLength() bool {
 	return p.inBody && !p.open && p.framing != sized && p.resp != nil && p.resp.Status == 200
 }
 
 func (p *ResponseParser) done() *Response {
 	resp := p.resp
-	resp.Length = p.length()
+	resp.ContentLength = p.length()
 	p.inBody, p.resp, resp.Body = false, nil, p.body
 	return resp
 }
 
-// EndsHere tells whether an open body ends with its connection, which has just ended in an orderly way.
-func (p *ResponseParser) EndsHere() bool { return p.open && p.framing == untilClose }
+// EndsWithConnection tells whether an open body ends with its connection, which has just ended in an orderly way.
+func (p *ResponseParser) EndsWithConnection() bool { return p.open && p.framing == untilClose }
 
-// End is told that the connection has ended; it returns the response that this completes, if any.
-func (p *ResponseParser) End() *Response {
+// FinishAtEOF is told that the connection has ended; it returns the response that this completes, if any.
+func (p *ResponseParser) FinishAtEOF() *Response {
 	if p.inBody && p.framing == untilClose {
 		return p.done()
 	}
 	return nil
 }
 
-// Partial takes what has come so far of a body that is read as it comes, and its status; 0 before
+// TakePartialBody takes what has come so far of a body that is read as it comes, and its status; 0 before
 // the head is whole.
-func (p *ResponseParser) Partial() (status int, body []byte) {
+func (p *ResponseParser) TakePartialBody() (status int, body []byte) {
 	if p.resp == nil {
 		return 0, nil
 	}
--- a/internal/net/http1/state_test.go
+++ b/internal/net/http1/state_test.go
@@ -30,15 +30,15 @@
 		got := read(p, nil)
 		next, err := RestoreRequestParser(p.State(), 1000, 1000, 0)
 		require.NoError(t, err)
-		require.Equal(t, p.WantsContinue(), next.WantsContinue())
+		require.Equal(t, p.TakeExpectContinue(), next.TakeExpectContinue())
 		next.Feed([]byte(text[cut:]))
 		require.Equal(t, []string{"POST/a?bhelloh", "POST/cabcde", "GET/d", "close"}, read(next, got), "cut at %d", cut)
 	}
 }
 
 func TestAStateThatNoParserCanBeIn(t *testing.T) {
-	for _, s := range []State{{Scanned: 1}, {Left: -1}, {InBody: true}, {HasStart: true}, {Framing: 2}, {Framing: -1}, {Chunk: 9},
-		{Trail: -1}, {Body: make([]byte, 2000)}, {Left: 2000}} {
+	for _, s := range []RequestParserState{{Scanned: 1}, {BytesLeft: -1}, {InBody: true}, {HasStartLine: true}, {Framing: 2}, {Framing: -1}, {ChunkState: 9},
+		{TrailerBytes: -1}, {Body: make([]byte, 2000)}, {BytesLeft: 2000}} {
 		_, err := RestoreRequestParser(s, 1000, 1000, 0)
 		require.Error(t, err, "%+v", s)
 	}
--- a/internal/net/http1/write.go
+++ b/internal/net/http1/write.go
@@ -16,9 +16,9 @@
 	return append(b, body...)
 }
 
-// AppendOpenRequest appends the head of a request whose body follows; where no length is told ahead (below 0), in
+// AppendRequestHead appends the head of a request whose body follows; where no length is told ahead (below 0), in
 // chunks.
-func AppendOpenRequest(b []byte, method, target, host string, h Headers, length int64) []byte {
+func AppendRequestHead(b []byte, method, target, host string, h Headers, length int64) []byte {
 	b = appendLine(b, method, target, host, h)
 	if length >= 0 {
 		return append(appendLength(b, length), "\r\n"...)
@@ -49,18 +49,18 @@
 type Framing int
 
 const (
-	BySize   Framing = iota // told ahead
-	ByChunks                // with an empty chunk
-	ByClose                 // with the connection
+	FramedByLength Framing = iota // told ahead
+	FramedByChunks                // with an empty chunk
+	FramedByClose                 // with the connection
 )
 
-// AppendOpenResponse appends the head of a response whose body follows.
-func AppendOpenResponse(b []byte, status int, h Headers, length int64, f Framing, closing bool) []byte {
+// AppendResponseHead appends the head of a response whose body follows.
+func AppendResponseHead(b []byte, status int, h Headers, length int64, f Framing, closing bool) []byte {
 	b = appendStatus(b, status, h, closing)
 	switch f {
-	case BySize:
+	case FramedByLength:
 		b = appendLength(b, length)
-	case ByChunks:
+	case FramedByChunks:
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	}
 	return append(b, "\r\n"...)
--- a/internal/net/loop/datagram.go
+++ b/internal/net/loop/datagram.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// ListenDatagrams opens a socket for datagrams at an address. Where the machine is short of something it tries again for
+// ListenUDP opens a socket for datagrams at an address. Where the machine is short of something it tries again for
 // some seconds.
-func ListenDatagrams(addr string) (int, error) {
+func ListenUDP(addr string) (int, error) {
 	return retryListen(func() (int, error) { return listenDatagrams(addr) })
 }
 
@@ -28,8 +28,8 @@
 	return fd, nil
 }
 
-// Receive reads one datagram; ErrAgain when there is none. Of one longer than b the rest is dropped.
-func Receive(fd int, b []byte) (int, error) {
+// ReceiveUDP reads one datagram; ErrAgain when there is none. Of one longer than b the rest is dropped.
+func ReceiveUDP(fd int, b []byte) (int, error) {
 	for {
 		n, err := system.receiveFrom(fd, b)
 		if !errors.Is(err, unix.EINTR) {
@@ -38,17 +38,17 @@
 	}
 }
 
-// To is an address that datagrams are sent to.
-type To struct{ sa unix.Sockaddr }
+// UDPAddress is an address that datagrams are sent to.
+type UDPAddress struct{ sa unix.Sockaddr }
 
-// ParseTo reads one, of the form ip:port.
-func ParseTo(addr string) (To, error) {
+// ParseUDPAddress reads one, of the form ip:port.
+func ParseUDPAddress(addr string) (UDPAddress, error) {
 	sa, _, err := address(addr)
-	return To{sa}, err
+	return UDPAddress{sa}, err
 }
 
-// SendTo sends one datagram. One that there is no room for is lost, as any may be.
-func SendTo(fd int, b []byte, to To) error {
+// SendUDP sends one datagram. One that there is no room for is lost, as any may be.
+func SendUDP(fd int, b []byte, to UDPAddress) error {
 	for {
 		err := system.sendTo(fd, b, to.sa)
 		if !errors.Is(err, unix.EINTR) {
--- a/internal/net/loop/injected_faults.go
+++ b/internal/net/loop/injected_faults.go
@@ -14,13 +14,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// FaultVariable names the environment variable that tells a fault-injecting build what to fail: pairs "name=value" with
+// FaultsEnvVar names the environment variable that tells a fault-injecting build what to fail: pairs "name=value" with
 // commas between. seed is of the random numbers; accept, shortage (of
 // accept for want of something on the machine), socket, connect, interrupt, short and broken are the parts of the
 // calls that fail, from 0 to 1; from and until bound the time in which they do, counted from the start of the process;
 // step sets the wall clock by so much at the time from. Connections of the local port spare are not broken: their loss is
 // seen by clients, which no ingress can make good.
-const FaultVariable = "FERRYFRONT_FAULTS"
+const FaultsEnvVar = "FERRYFRONT_FAULTS"
 
 // injector decides which calls fail. It is called by the loop's goroutine and by those that post to it.
 type injector struct {
@@ -34,13 +34,13 @@
 }
 
 func init() {
-	text := os.Getenv(FaultVariable)
+	text := os.Getenv(FaultsEnvVar)
 	if text == "" {
 		return
 	}
 	f, err := parseFaults(text)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "%s: %v\n", FaultVariable, err)
+		fmt.Fprintf(os.Stderr, "%s: %v\n", FaultsEnvVar, err)
 		os.Exit(2)
 	}
 	f.install()
--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -15,11 +15,11 @@
 
 // What a descriptor is watched for, and what it is told.
 const (
-	In     = unix.EPOLLIN
-	Out    = unix.EPOLLOUT
-	Ended  = unix.EPOLLRDHUP // the peer has ended its sending; what it sent before may still wait to be read
-	Hangup = Ended | unix.EPOLLHUP | unix.EPOLLERR
-	Broken = unix.EPOLLHUP | unix.EPOLLERR // told whatever is watched for
+	In            = unix.EPOLLIN
+	Out           = unix.EPOLLOUT
+	ReadHangup    = unix.EPOLLRDHUP // the peer has ended its sending; what it sent before may still wait to be read
+	Hangup        = ReadHangup | unix.EPOLLHUP | unix.EPOLLERR
+	HangupOrError = unix.EPOLLHUP | unix.EPOLLERR // told whatever is watched for
 )
 
 // Handler is told what a descriptor is ready for.
@@ -128,34 +128,34 @@
 	return max(l.now, (l.base + time.Since(l.start)).Truncate(time.Microsecond))
 }
 
-// Late is how long what is read in this turn may have waited to be read: 0 unless the process stood still, as when it was
+// MaxReadDelay is how long what is read in this turn may have waited to be read: 0 unless the process stood still, as when it was
 // stopped and continued, and has not read all since. The time that a peer gives for an answer began when it sent its
 // request.
-func (l *Loop) Late() time.Duration {
+func (l *Loop) MaxReadDelay() time.Duration {
 	if l.stalled == 0 {
 		return 0
 	}
 	return l.now - l.stalled
 }
 
-// Stalled tells whether the process stood still within this turn: what was found at its beginning may not be so any more,
+// HasStalled tells whether the process stood still within this turn: what was found at its beginning may not be so any more,
 // and nothing should be begun that rests on it.
-func (l *Loop) Stalled() bool { return l.clock()-l.now > stalledAfter/2 }
+func (l *Loop) HasStalled() bool { return l.clock()-l.now > stalledAfter/2 }
 
-// Offset is how far the loop's clock is from the wall clock, which may have been set since the start.
-func (l *Loop) Offset() time.Duration {
+// ClockOffset is how far the loop's clock is from the wall clock, which may have been set since the start.
+func (l *Loop) ClockOffset() time.Duration {
 	return l.base + time.Since(l.start) - time.Duration(system.wallClock().UnixNano())
 }
 
-// SetOffset goes on with the clock of another process, told by its offset. Time never goes back.
-func (l *Loop) SetOffset(d time.Duration) {
+// SetClockOffset goes on with the clock of another process, told by its offset. Time never goes back.
+func (l *Loop) SetClockOffset(d time.Duration) {
 	l.base = time.Duration(system.wallClock().UnixNano()) + d - time.Since(l.start)
 	l.tick()
 	l.polled = l.now // it is the clock that was moved, the process has not stood still
 }
 
-// Buf is room to read into, good until the handler returns.
-func (l *Loop) Buf() []byte { return l.buf }
+// ReadBuffer is room to read into, good until the handler returns.
+func (l *Loop) ReadBuffer() []byte { return l.buf }
 
 // Watch has a handler told of a descriptor.
 func (l *Loop) Watch(fd int, events uint32, h Handler) (*Source, error) {
@@ -172,18 +172,18 @@
 	return s, nil
 }
 
-// First has a descriptor served before all others of its turn.
-func (s *Source) First() { s.order, s.l.firsts = first, true }
+// ServeFirst has a descriptor served before all others of its turn.
+func (s *Source) ServeFirst() { s.order, s.l.firsts = first, true }
 
-// Last has a descriptor served after all others of its turn, until Usual: what it begins must not overlook news that waits
+// ServeLast has a descriptor served after all others of its turn, until Usual: what it begins must not overlook news that waits
 // to be read at one of them.
-func (s *Source) Last() { s.order = last }
+func (s *Source) ServeLast() { s.order = last }
 
-// Usual ends First or Last.
-func (s *Source) Usual() { s.order = usual }
+// ServeNormally ends First or Last.
+func (s *Source) ServeNormally() { s.order = usual }
 
-// Want changes what a descriptor is watched for.
-func (s *Source) Want(events uint32) {
+// SetEvents changes what a descriptor is watched for.
+func (s *Source) SetEvents(events uint32) {
 	if s.fd < 0 || s.events == events {
 		return
 	}
@@ -204,8 +204,8 @@
 	s.fd = -1
 }
 
-// Reset has a following Close reset the connection: its peer must not take the end for an orderly one.
-func (s *Source) Reset() {
+// ResetOnClose has a following Close reset the connection: its peer must not take the end for an orderly one.
+func (s *Source) ResetOnClose() {
 	if s.fd >= 0 { // without it the end is an ordinary one
 		_ = unix.SetsockoptLinger(s.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
@@ -218,14 +218,14 @@
 		return -1
 	}
 	fd := s.fd
-	s.Mute()
+	s.Unwatch()
 	s.l.sources[fd] = nil
 	s.fd = -1
 	return fd
 }
 
-// Mute has a descriptor told of no more, not even of its end, and leaves it open.
-func (s *Source) Mute() {
+// Unwatch has a descriptor told of no more, not even of its end, and leaves it open.
+func (s *Source) Unwatch() {
 	if s.fd >= 0 {
 		// It can fail only for a descriptor that is not watched any more.
 		_ = unix.EpollCtl(s.l.epoll, unix.EPOLL_CTL_DEL, s.fd, nil)
@@ -275,8 +275,8 @@
 // Stop ends Run after this turn.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Restart lets Run be called again after Stop.
-func (l *Loop) Restart() { l.stopped = false }
+// ClearStop lets Run be called again after Stop.
+func (l *Loop) ClearStop() { l.stopped = false }
 
 // OnTurnStart has fn called at the start of each turn, right after the clock was read and before any handler, posted
 // function or timer: what holds only until some time, such as a lease, can be given up before the turn's events use it,
--- a/internal/net/loop/loop_test.go
+++ b/internal/net/loop/loop_test.go
@@ -113,11 +113,11 @@
 		require.NoError(t, err)
 		src, err := l.Watch(ours, In, handler(func(uint32) {
 			note(name)
-			_, _ = Read(ours, l.Buf())
+			_, _ = Read(ours, l.ReadBuffer())
 		}))
 		require.NoError(t, err)
 		if name == "first" {
-			src.First()
+			src.ServeFirst()
 		}
 	}
 	l.After(0, func() { note("timer") })
@@ -137,7 +137,7 @@
 	})))
 	require.Equal(t, []string{"start", "first", "other", "posted", "timer"}, order)
 	require.GreaterOrEqual(t, began-before, 20*time.Millisecond)
-	l.Restart()
+	l.ClearStop()
 	l.OnTurnStart(nil)
 	l.After(0, func() {})
 	require.NoError(t, l.Run(turns(func(time.Duration) time.Duration {
--- a/internal/net/loop/sock.go
+++ b/internal/net/loop/sock.go
@@ -62,9 +62,9 @@
 	return retryListen(func() (int, error) { return listen(addr, false) })
 }
 
-// ListenBeside opens a listening socket at an address where another process of the same user may listen, too, if
+// ListenReusePort opens a listening socket at an address where another process of the same user may listen, too, if
 // it has opened its socket in this way. Where the system knows of no such thing, it listens alone.
-func ListenBeside(addr string) (int, error) {
+func ListenReusePort(addr string) (int, error) {
 	return retryListen(func() (int, error) { return listen(addr, true) })
 }
 
@@ -99,7 +99,7 @@
 const acceptTries = 16
 
 // Accept takes one waiting connection; ErrAgain when there is none. Its other errors are such that it should be called
-// again after a while, see [OutOfDescriptors].
+// again after a while, see [IsOutOfDescriptors].
 func Accept(fd int) (c int, err error) {
 	for range acceptTries {
 		c, err = system.accept(fd)
@@ -140,8 +140,8 @@
 	return fd, nil
 }
 
-// Dialled tells, once the descriptor is writable, whether it is up.
-func Dialled(fd int) error {
+// DialResult tells, once the descriptor is writable, whether it is up.
+func DialResult(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
 		return err
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// Address is where a socket is bound.
-func Address(fd int) (string, error) {
+// LocalAddress is where a socket is bound.
+func LocalAddress(fd int) (string, error) {
 	sa, err := unix.Getsockname(fd)
 	if err != nil {
 		return "", err
@@ -173,5 +173,5 @@
 // CloseFD closes a descriptor that nobody watches.
 func CloseFD(fd int) { _ = unix.Close(fd) }
 
-// EndSending tells the peer that nothing more comes, and leaves what it sends readable.
-func EndSending(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) }
+// CloseWrite tells the peer that nothing more comes, and leaves what it sends readable.
+func CloseWrite(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) }
--- a/internal/net/loop/system.go
+++ b/internal/net/loop/system.go
@@ -42,12 +42,12 @@
 	wallClock: time.Now,
 }
 
-// OutOfDescriptors tells whether an error is for want of descriptors of this process: to close one of its own helps.
-func OutOfDescriptors(err error) bool { return errors.Is(err, unix.EMFILE) }
+// IsOutOfDescriptors tells whether an error is for want of descriptors of this process: to close one of its own helps.
+func IsOutOfDescriptors(err error) bool { return errors.Is(err, unix.EMFILE) }
 
-// OutOfResources tells whether an error is for want of something that the machine may have again in a moment, and that
+// IsOutOfResources tells whether an error is for want of something that the machine may have again in a moment, and that
 // tells nothing of the peer: a call that failed so is worth repeating.
-func OutOfResources(err error) bool {
+func IsOutOfResources(err error) bool {
 	for _, transient := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL,
 		unix.ECONNABORTED, unix.EAGAIN} {
 		if errors.Is(err, transient) {
@@ -64,7 +64,7 @@
 // meet, too.
 func retryDial(begin func() (int, error)) (fd int, err error) {
 	for range dialTries {
-		if fd, err = begin(); err == nil || !(OutOfResources(err) || errors.Is(err, unix.ENETUNREACH)) {
+		if fd, err = begin(); err == nil || !(IsOutOfResources(err) || errors.Is(err, unix.ENETUNREACH)) {
 			break
 		}
 	}
@@ -83,7 +83,7 @@
 	began := time.Now()
 	for {
 		fd, err := open()
-		if err == nil || !OutOfResources(err) || errors.Is(err, unix.EADDRNOTAVAIL) || time.Since(began) > listenRetry {
+		if err == nil || !IsOutOfResources(err) || errors.Is(err, unix.EADDRNOTAVAIL) || time.Since(began) > listenRetry {
 			return fd, err
 		}
 		time.Sleep(listenEvery)
--- a/internal/net/loop/system_test.go
+++ b/internal/net/loop/system_test.go
@@ -33,7 +33,7 @@
 	ln, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	defer CloseFD(ln)
-	addr, err := Address(ln)
+	addr, err := LocalAddress(ln)
 	require.NoError(t, err)
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -55,7 +55,7 @@
 	ln, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	defer CloseFD(ln)
-	addr, err := Address(ln)
+	addr, err := LocalAddress(ln)
 	require.NoError(t, err)
 	for _, short := range []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ECONNABORTED, unix.ENOBUFS} {
 		t.Run(short.Error(), func(t *testing.T) {
@@ -78,7 +78,7 @@
 			_, err = Dial(addr)
 			require.ErrorIs(t, err, short)
 			require.Equal(t, dialTries, calls)
-			require.Equal(t, short != unix.ENETUNREACH, OutOfResources(err), "a network that can't be reached may be the peer's")
+			require.Equal(t, short != unix.ENETUNREACH, IsOutOfResources(err), "a network that can't be reached may be the peer's")
 		})
 	}
 }
@@ -131,15 +131,15 @@
 		got = append(got, b[:n]...)
 	}
 	require.Equal(t, "abc", string(got))
-	from, err := ListenDatagrams("127.0.0.1:0")
+	from, err := ListenUDP("127.0.0.1:0")
 	require.NoError(t, err)
 	defer CloseFD(from)
-	addr, err := Address(from)
+	addr, err := LocalAddress(from)
 	require.NoError(t, err)
-	to, err := ParseTo(addr)
+	to, err := ParseUDPAddress(addr)
 	require.NoError(t, err)
 	interrupted = 0
-	require.NoError(t, SendTo(from, []byte("x"), to))
+	require.NoError(t, SendUDP(from, []byte("x"), to))
 }
 
 // An interrupted wait is no more than a turn without descriptors.
@@ -171,15 +171,15 @@
 	before := l.Now()
 	for i := range 4 {
 		l.After(time.Duration(i+1)*waitMost/2, func() {
-			late = append(late, l.Late())
+			late = append(late, l.MaxReadDelay())
 			switch len(late) {
 			case 1:
 				step = time.Hour
 			case 2:
 				step = -time.Hour
-				require.False(t, l.Stalled())
+				require.False(t, l.HasStalled())
 				time.Sleep(2 * stalledAfter) // as if stopped
-				require.True(t, l.Stalled())
+				require.True(t, l.HasStalled())
 			case 4:
 				l.Stop()
 			}
@@ -190,10 +190,10 @@
 	require.Zero(t, late[1])
 	require.GreaterOrEqual(t, late[2], 2*stalledAfter, "timers that fell due meanwhile fire in the next turn")
 	require.Less(t, l.Now()-before, time.Minute)
-	require.InDelta(t, float64(time.Hour), float64(l.Offset()), float64(time.Second), "the loop's clock did not follow")
-	l.SetOffset(2 * time.Hour)
-	l.Restart()
-	l.After(0, func() { require.Zero(t, l.Late(), "another process's clock was taken on"); l.Stop() })
+	require.InDelta(t, float64(time.Hour), float64(l.ClockOffset()), float64(time.Second), "the loop's clock did not follow")
+	l.SetClockOffset(2 * time.Hour)
+	l.ClearStop()
+	l.After(0, func() { require.Zero(t, l.MaxReadDelay(), "another process's clock was taken on"); l.Stop() })
 	require.NoError(t, l.Run(turns(func(time.Duration) time.Duration { return 0 })))
 }
 
@@ -208,13 +208,13 @@
 		require.NoError(t, err)
 		src, err := l.Watch(ours, In, handler(func(uint32) {
 			order = append(order, name)
-			_, _ = Read(ours, l.Buf())
+			_, _ = Read(ours, l.ReadBuffer())
 		}))
 		require.NoError(t, err)
 		return src
 	}
 	connecting := watch("connecting")
-	connecting.Last()
+	connecting.ServeLast()
 	watch("client")
 	watch("list")
 	once := func() {
@@ -233,8 +233,8 @@
 	var order []string
 	_, err = l.Watch(ours, In, handler(func(uint32) {
 		order = append(order, "news")
-		require.Positive(t, l.Late())
-		_, _ = Read(ours, l.Buf())
+		require.Positive(t, l.MaxReadDelay())
+		_, _ = Read(ours, l.ReadBuffer())
 	}))
 	require.NoError(t, err)
 	l.After(2*stalledAfter, func() { order = append(order, "timer"); l.Stop() })
--- a/internal/net/mgmt/mgmt.go
+++ b/internal/net/mgmt/mgmt.go
@@ -34,7 +34,7 @@
 // Open listens at an address.
 func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, addr string, o Handler) (*Endpoint, error) {
 	d := &Endpoint{loop: l, lim: lim, log: log, handler: o}
-	fd, err := loop.ListenBeside(addr) // a successor opens it before we close it
+	fd, err := loop.ListenReusePort(addr) // a successor opens it before we close it
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 		loop.CloseFD(fd)
 		return nil, err
 	}
-	d.ln.First()
+	d.ln.ServeFirst()
 	return d, nil
 }
 
@@ -79,7 +79,7 @@
 			loop.CloseFD(fd)
 			return
 		}
-		c.src.First()
+		c.src.ServeFirst()
 		c.timer = d.loop.After(d.lim.CallerTime, c.close)
 		d.calls = append(d.calls, c)
 	}
@@ -103,14 +103,14 @@
 	if events&(loop.In|loop.Hangup) == 0 {
 		return
 	}
-	buf := c.d.loop.Buf()
+	buf := c.d.loop.ReadBuffer()
 	n, err := loop.Read(c.src.FD(), buf)
 	if errors.Is(err, loop.ErrAgain) {
 		return
 	}
 	if err != nil { // it has ended its side; one that still waits for its answer gets it
-		if c.done && len(c.out) > 0 && events&loop.Broken == 0 {
-			c.src.Want(loop.Out)
+		if c.done && len(c.out) > 0 && events&loop.HangupOrError == 0 {
+			c.src.SetEvents(loop.Out)
 			return
 		}
 		c.close()
@@ -156,16 +156,16 @@
 		return false
 	}
 	if c.out = c.out[n:]; len(c.out) > 0 {
-		c.src.Want(loop.In | loop.Out | loop.Hangup)
+		c.src.SetEvents(loop.In | loop.Out | loop.Hangup)
 		return true
 	}
 	// To close on bytes not read would reset the connection and could destroy the answer on its way, so the
 	// caller's own end is waited for.
-	if err := loop.EndSending(c.src.FD()); err != nil {
+	if err := loop.CloseWrite(c.src.FD()); err != nil {
 		c.close()
 		return false
 	}
-	c.src.Want(loop.In | loop.Hangup)
+	c.src.SetEvents(loop.In | loop.Hangup)
 	return true
 }
 
--- a/internal/net/nettest/nettest.go
+++ b/internal/net/nettest/nettest.go
@@ -64,6 +64,6 @@
 	}
 	l.After(0, look)
 	require.NoError(t, l.Run(still{}))
-	l.Restart()
+	l.ClearStop()
 	require.True(t, done)
 }
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -29,7 +29,7 @@
 	log    *slog.Logger
 	node   *membership.Node
 	src    *loop.Source
-	addrs  map[string]loop.To
+	addrs  map[string]loop.UDPAddress
 	timer  *loop.Timer
 	every  time.Duration
 	counts Counts
@@ -58,18 +58,18 @@
 
 // Open begins to listen, and joins by all the others.
 func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, node *membership.Node, c Config) (*Peers, error) {
-	p := &Peers{loop: l, lim: lim, log: log, node: node, addrs: map[string]loop.To{}, every: c.Every, change: c.Change,
+	p := &Peers{loop: l, lim: lim, log: log, node: node, addrs: map[string]loop.UDPAddress{}, every: c.Every, change: c.Change,
 		mark: c.Mark, other: c.Other, reach: c.Reach}
 	var seeds []string
 	for name, addr := range c.Addrs {
-		to, err := loop.ParseTo(addr)
+		to, err := loop.ParseUDPAddress(addr)
 		if err != nil {
 			return nil, fmt.Errorf("peers.%s: %w", name, err)
 		}
 		p.addrs[name] = to
 		seeds = append(seeds, name)
 	}
-	fd, err := loop.ListenDatagrams(c.Listen)
+	fd, err := loop.ListenUDP(c.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
@@ -115,9 +115,9 @@
 	if s := now.Truncate(time.Second); s != p.second {
 		p.second, p.taken = s, 0
 	}
-	buf := p.loop.Buf()[:membership.Datagram+1]
+	buf := p.loop.ReadBuffer()[:membership.Datagram+1]
 	for range p.lim.Datagrams {
-		n, err := loop.Receive(p.src.FD(), buf)
+		n, err := loop.ReceiveUDP(p.src.FD(), buf)
 		if errors.Is(err, loop.ErrAgain) {
 			break
 		}
@@ -189,7 +189,7 @@
 	if p.reach != nil && !p.reach(name) {
 		return
 	}
-	if err := loop.SendTo(p.src.FD(), b, to); err != nil {
+	if err := loop.SendUDP(p.src.FD(), b, to); err != nil {
 		p.counts.Dropped++ // as if lost on its way
 		return
 	}
--- a/internal/net/upstream/flow.go
+++ b/internal/net/upstream/flow.go
@@ -13,7 +13,7 @@
 
 // Gone tells whether part of the body has been written and is held nowhere any more: such a message can't be sent
 // again.
-func (m *Message) Gone() bool { return m.Rest != nil && m.Rest.Taken() }
+func (m *Message) Gone() bool { return m.Rest != nil && m.Rest.HasConsumed() }
 
 // Rest is what still comes of an answer.
 func Rest(a core.Answer) *flow.Pipe {
@@ -45,24 +45,24 @@
 	if c.body == nil {
 		return false, nil
 	}
-	b := c.body.Next()
-	if c.body.Length >= 0 {
+	b := c.body.Bytes()
+	if c.body.ContentLength >= 0 {
 		n, err := loop.Write(c.src.FD(), b)
 		if n > 0 {
 			c.took = c.p.loop.Now()
 		}
-		c.body.Took(n)
-		if c.body.Whole() {
+		c.body.Consume(n)
+		if c.body.IsComplete() {
 			c.detach()
 		}
 		return false, err
 	}
-	if len(b) == 0 && !c.body.Whole() {
+	if len(b) == 0 && !c.body.IsComplete() {
 		return false, nil
 	}
 	c.out = http1.AppendChunk(make([]byte, 0, len(b)+24), b)
-	c.body.Took(len(b))
-	if c.body.Whole() {
+	c.body.Consume(len(b))
+	if c.body.IsComplete() {
 		c.out = http1.AppendLastChunk(c.out)
 		c.detach()
 	}
@@ -83,21 +83,21 @@
 	ref := c.ref
 	c.early.Stop()
 	delete(c.p.out, ref)
-	pipe := flow.New(c.p.lim.Window(len(c.p.relays)), resp.Length)
+	pipe := flow.New(c.p.lim.Window(len(c.p.relays)), resp.ContentLength)
 	c.relay = &relay{pipe: pipe, moved: c.p.loop.Now()}
 	c.closes = resp.Close || len(c.out) > 0 || c.body != nil
 	c.detach()
 	c.p.relays[c] = struct{}{}
-	pipe.OnRoom = func() {
-		if pipe.Dropped() {
+	pipe.OnFreeSpace = func() {
+		if pipe.IsReadClosed() {
 			c.unrelay()
 			c.close(errTakerLeft)
 			return
 		}
 		c.watch()
 	}
-	pipe.Put(resp.Body)
-	c.parser.Slim()
+	pipe.Append(resp.Body)
+	c.parser.ReleaseBodyBuffers()
 	c.p.ended(ref, c.probe, outcome(resp), core.Answer{ContentType: resp.Headers.Get("Content-Type"), Rest: pipe})
 	if c.relay != nil {
 		c.pull()
@@ -106,15 +106,15 @@
 
 // pull moves on what has come of the answer.
 func (c *conn) pull() {
-	b, whole, err := c.parser.Pull()
+	b, whole, err := c.parser.NextBodyPart()
 	if err != nil {
 		c.fail(err)
 		return
 	}
 	r := c.relay
 	r.moved = c.p.loop.Now()
-	r.pipe.Put(b)
-	c.parser.Slim()
+	r.pipe.Append(b)
+	c.parser.ReleaseBodyBuffers()
 	if whole && c.relay == r {
 		c.relayed()
 		return
@@ -127,11 +127,11 @@
 	if c.relay == nil || c.src.FD() < 0 {
 		return
 	}
-	if c.relay.pipe.Room() == 0 {
-		c.src.Want(0) // a reset is told all the same
+	if c.relay.pipe.FreeSpace() == 0 {
+		c.src.SetEvents(0) // a reset is told all the same
 		return
 	}
-	c.src.Want(loop.In | loop.Hangup)
+	c.src.SetEvents(loop.In | loop.Hangup)
 }
 
 // relayed ends an answer that has come whole. The connection is free for the next request.
@@ -143,12 +143,12 @@
 	} else {
 		c.rest()
 	}
-	pipe.End(true)
-	c.parser.Rest()
+	pipe.CloseWrite(true)
+	c.parser.ReleaseIdleBuffers()
 }
 
 func (c *conn) unrelay() {
-	c.relay.pipe.OnRoom = nil
+	c.relay.pipe.OnFreeSpace = nil
 	c.relay, c.busy = nil, false
 	delete(c.p.relays, c)
 }
@@ -157,14 +157,14 @@
 // request's body.
 func (p *Pool) silent(now time.Duration) {
 	for c := range p.relays {
-		if c.relay.pipe.Room() == 0 {
+		if c.relay.pipe.FreeSpace() == 0 {
 			c.relay.moved = now
 		} else if now-c.relay.moved > p.lim.FlowSilence {
 			c.fail(errSilent)
 		}
 	}
 	for _, c := range p.out {
-		if c.body == nil || len(c.out) == 0 && len(c.body.Next()) == 0 { // whole, or its client is waited for, which has a time of its own
+		if c.body == nil || len(c.out) == 0 && len(c.body.Bytes()) == 0 { // whole, or its client is waited for, which has a time of its own
 			c.took = now
 		} else if c.up && now-c.took > p.lim.FlowSilence {
 			c.fail(errSilent)
--- a/internal/net/upstream/flow_test.go
+++ b/internal/net/upstream/flow_test.go
@@ -50,8 +50,8 @@
 func TestAHostThatTakesNothingOfABody(t *testing.T) {
 	l, p, sink := pool(t, func(net.Conn) {})
 	rest := flow.New(64<<10, 64<<20)
-	fill := func() { rest.Put(make([]byte, rest.Room())) }
-	rest.OnRoom = func() { l.After(0, fill) }
+	fill := func() { rest.Append(make([]byte, rest.FreeSpace())) }
+	rest.OnFreeSpace = func() { l.After(0, fill) }
 	fill()
 	m := &Message{Method: "POST", Target: "/", Rest: rest}
 	p.Start(core.Ref{Stream: 1}, "h", m, time.Minute)
@@ -68,8 +68,8 @@
 	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 })
 	require.Equal(t, []admission.Outcome{admission.OK}, sink.outcomes)
 	rest := Rest(sink.answers[0])
-	require.Equal(t, int64(100000), rest.Length)
-	nettest.Until(t, l, rest.Broken)
+	require.Equal(t, int64(100000), rest.ContentLength)
+	nettest.Until(t, l, rest.IsTruncated)
 	require.Zero(t, p.Connections())
 }
 
@@ -80,9 +80,9 @@
 		_, _ = c.Write(make([]byte, 10000000))
 	})
 	p.Start(core.Ref{Stream: 1}, "h", &Message{Method: "GET", Target: "/"}, time.Minute)
-	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 && len(Rest(sink.answers[0]).Next()) > 0 })
+	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 && len(Rest(sink.answers[0]).Bytes()) > 0 })
 	require.Equal(t, 1, p.Connections())
-	Rest(sink.answers[0]).Drop()
+	Rest(sink.answers[0]).CloseRead()
 	require.Zero(t, p.Connections())
 }
 
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -47,7 +47,7 @@
 		p.ended(ref, probe, admission.Unreachable, core.Answer{})
 		return
 	}
-	if h.leaving || p.loop.Stalled() { // it was chosen before that was told, or before the process stood still
+	if h.leaving || p.loop.HasStalled() { // it was chosen before that was told, or before the process stood still
 		p.ended(ref, probe, admission.NotSent, core.Answer{})
 		return
 	}
@@ -73,7 +73,7 @@
 // dialOutcome tells what a connection that could not be begun says. What this machine is short of says nothing of the host,
 // which must not be ejected for it.
 func dialOutcome(err error) admission.Outcome {
-	if loop.OutOfResources(err) {
+	if loop.IsOutOfResources(err) {
 		return admission.NotSent
 	}
 	return admission.Unreachable
@@ -84,7 +84,7 @@
 		return nil, errFull
 	}
 	fd, err := loop.Dial(h.addr)
-	if loop.OutOfDescriptors(err) && p.makeRoom() {
+	if loop.IsOutOfDescriptors(err) && p.makeRoom() {
 		fd, err = loop.Dial(h.addr)
 	}
 	if err != nil {
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	p.conns++
-	c.src.Last() // what it brings is no more than that a request can be written
+	c.src.ServeLast() // what it brings is no more than that a request can be written
 	c.dialing = p.loop.After(p.lim.DialLimit, func() { c.fail(io.ErrNoProgress) })
 	return c, nil
 }
@@ -131,7 +131,7 @@
 	}
 	b := make([]byte, 0, 512+len(m.Body))
 	if m.Rest != nil {
-		c.out = http1.AppendOpenRequest(b, m.Method, m.Target, "service.internal", headers, m.Rest.Length)
+		c.out = http1.AppendRequestHead(b, m.Method, m.Target, "service.internal", headers, m.Rest.ContentLength)
 	} else {
 		c.out = http1.AppendRequest(b, m.Method, m.Target, "service.internal", headers, m.Body)
 	}
@@ -139,10 +139,10 @@
 
 // connected writes the request that waited for the connection, unless its time is up.
 func (c *conn) connected() {
-	if c.p.loop.Stalled() { // what has come of clients and lists meanwhile goes first, in the next turn
+	if c.p.loop.HasStalled() { // what has come of clients and lists meanwhile goes first, in the next turn
 		return
 	}
-	err := loop.Dialled(c.src.FD())
+	err := loop.DialResult(c.src.FD())
 	if err == nil && c.p.loop.Now() >= c.ends {
 		err = errLate
 	}
@@ -151,7 +151,7 @@
 		return
 	}
 	c.up = true
-	c.src.Usual()
+	c.src.ServeNormally()
 	c.dialing.Stop()
 	c.compose()
 	c.flush()
@@ -168,7 +168,7 @@
 			return
 		}
 		if len(c.out) > 0 {
-			c.src.Want(loop.In | loop.Out | loop.Hangup)
+			c.src.SetEvents(loop.In | loop.Out | loop.Hangup)
 			return
 		}
 		again, err := c.draw()
@@ -182,10 +182,10 @@
 	}
 	if c.body != nil { // more comes, or the host has yet to take some
 		events := uint32(loop.In | loop.Hangup)
-		if len(c.body.Next()) > 0 {
+		if len(c.body.Bytes()) > 0 {
 			events |= loop.Out
 		}
-		c.src.Want(events)
+		c.src.SetEvents(events)
 		return
 	}
 	if c.out != nil && !c.probe {
@@ -193,5 +193,5 @@
 		c.wrote = c.p.loop.Now()
 	}
 	c.out = nil
-	c.src.Want(loop.In | loop.Hangup)
+	c.src.SetEvents(loop.In | loop.Hangup)
 }
--- a/internal/net/upstream/response.go
+++ b/internal/net/upstream/response.go
@@ -15,24 +15,24 @@
 // What comes back of a request.
 
 func (c *conn) read() {
-	buf := c.p.loop.Buf()
+	buf := c.p.loop.ReadBuffer()
 	for {
 		if c.relay != nil { // no more than there is room for
-			buf = buf[:min(len(buf), max(1, c.relay.pipe.Room()))]
+			buf = buf[:min(len(buf), max(1, c.relay.pipe.FreeSpace()))]
 		}
 		n, err := loop.Read(c.src.FD(), buf)
 		if errors.Is(err, loop.ErrAgain) {
 			return
 		}
 		if err != nil {
-			if errors.Is(err, io.EOF) && c.relay != nil && c.parser.EndsHere() {
+			if errors.Is(err, io.EOF) && c.relay != nil && c.parser.EndsWithConnection() {
 				c.closes = true
 				c.relayed()
 				return
 			}
 			if errors.Is(err, io.EOF) && c.busy && c.relay == nil && len(c.out) == 0 {
 				// That it was cut off there can't be told from an answer without a length that ends as it must.
-				if resp := c.parser.End(); resp != nil {
+				if resp := c.parser.FinishAtEOF(); resp != nil {
 					c.answer(resp)
 					return
 				}
@@ -46,8 +46,8 @@
 			return
 		}
 		if c.relay != nil { // the others have their turns
-			d := c.parser.Direct(buf[:n])
-			c.relay.pipe.Put(buf[:d])
+			d := c.parser.TakeRawBody(buf[:n])
+			c.relay.pipe.Append(buf[:d])
 			if c.relay == nil { // its client has left with that
 				return
 			}
@@ -63,16 +63,16 @@
 		case err != nil:
 			c.fail(err)
 			return
-		case resp != nil && resp.Open:
+		case resp != nil && resp.IsStreamed:
 			c.open(resp)
 			return
 		case resp != nil:
 			c.answer(resp)
 			return
-		case c.early == nil && c.parser.Unbounded():
+		case c.early == nil && c.parser.HasUnknownLength():
 			// What is so short that its last byte counts is soon here; of what is long the first bytes count.
 			c.early = c.p.loop.After(c.p.lim.FlowEarly, func() {
-				if resp := c.parser.Early(); resp != nil && c.busy && c.src.FD() >= 0 {
+				if resp := c.parser.StartStreaming(); resp != nil && c.busy && c.src.FD() >= 0 {
 					c.open(resp)
 				}
 			})
@@ -105,7 +105,7 @@
 		c.rest()
 	}
 	c.p.ended(ref, probe, outcome(resp), answer)
-	c.parser.Rest()
+	c.parser.ReleaseIdleBuffers()
 }
 
 // billed reads the true units of a good answer from X-Units-Charged: a whole number from 1 up, else 0,
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -95,7 +95,7 @@
 // quiet tells whether nothing has come of a connection at rest, not even its end, which may wait to be read in
 // this turn: a request written now would be lost, or what belongs to no request be taken for its answer.
 func (c *conn) quiet() bool {
-	_, err := loop.Read(c.src.FD(), c.p.loop.Buf()[:1])
+	_, err := loop.Read(c.src.FD(), c.p.loop.ReadBuffer()[:1])
 	if err == nil {
 		c.p.noisyAt = c.p.loop.Now()
 	}
--- a/internal/net/upstream/upstream.go
+++ b/internal/net/upstream/upstream.go
@@ -168,7 +168,7 @@
 		pipe := c.relay.pipe
 		c.unrelay()
 		c.close(cause)
-		pipe.End(false)
+		pipe.CloseWrite(false)
 		return
 	}
 	o := admission.Broken
