--- a/internal/net/loop/injected_faults.go
+++ b/internal/net/loop/injected_faults.go
@@ -14,23 +14,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// FaultsEnvVar names the environment variable that tells a fault-injecting build what to fail: pairs "name=value" with
-// commas between. seed is of the random numbers; accept, shortage (of
-// accept for want of something on the machine), socket, connect, interrupt, short and broken are the parts of the
-// calls that fail, from 0 to 1; from and until bound the time in which they do, counted from the start of the process;
-// step sets the wall clock by so much at the time from. Connections of the local port spare are not broken: their loss is
-// seen by clients, which no ingress can make good.
+// FaultsEnvVar names the environment variable that configures the faults of a build with the tag faultinject. Its value is a
+// list of name=value pairs separated by commas:
+//
+//   - seed: the seed of the random numbers, 1 by default.
+//   - accept, shortage (accept failing for a lack of resources on the machine), socket, connect, interrupt, short and broken:
+//     the probability from 0 to 1 that a call of this kind fails.
+//   - from, until: the time since the start of the process between which faults are injected, as Go durations; 0 and one hour
+//     by default.
+//   - step: how far the wall clock is set forward at the time from, as a Go duration.
+//   - spare: a local port whose connections are not broken. Clients notice a broken connection of their own, and no ingress
+//     can make up for it.
+//
+// A malformed value ends the process with exit status 2.
 const FaultsEnvVar = "FERRYFRONT_FAULTS"
 
-// injector decides which calls fail. It is called by the loop's goroutine and by those that post to it.
+// injector decides which calls fail. It is called by the loop's goroutine and by goroutines that post to the loop.
 type injector struct {
-	mu          sync.Mutex
-	rng         *rand.Rand
-	parts       map[string]float64
-	began       time.Time
-	from, until time.Duration
-	step        time.Duration
-	spare       int
+	mu            sync.Mutex // guards random
+	random        *rand.Rand
+	probabilities map[string]float64 // by kind of fault
+	startedAt     time.Time
+	from, until   time.Duration // since startedAt
+	clockStep     time.Duration // added to the wall clock at the time from
+	sparedPort    int
 }
 
 func init() {
@@ -46,8 +53,9 @@
 	f.install()
 }
 
+// parseFaults parses the value of FaultsEnvVar.
 func parseFaults(text string) (*injector, error) {
-	f := &injector{parts: map[string]float64{}, began: time.Now(), until: time.Hour}
+	f := &injector{probabilities: map[string]float64{}, startedAt: time.Now(), until: time.Hour}
 	seed := uint64(1)
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
@@ -60,102 +68,103 @@
 		case "until":
 			f.until, err = time.ParseDuration(value)
 		case "step":
-			f.step, err = time.ParseDuration(value)
+			f.clockStep, err = time.ParseDuration(value)
 		case "spare":
-			f.spare, err = strconv.Atoi(value)
+			f.sparedPort, err = strconv.Atoi(value)
 		case "accept", "shortage", "socket", "connect", "interrupt", "short", "broken":
-			f.parts[name], err = strconv.ParseFloat(value, 64)
+			f.probabilities[name], err = strconv.ParseFloat(value, 64)
 		default:
-			err = fmt.Errorf("no fault %q", name)
+			err = fmt.Errorf("unknown fault %q", name)
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
-	f.rng = rand.New(rand.NewPCG(seed, seed))
+	f.random = rand.New(rand.NewPCG(seed, seed))
 	return f, nil
 }
 
-// fails tells whether a call of a kind is to fail now.
-func (f *injector) fails(kind string) bool {
+// shouldFail reports whether a call of a kind is to fail now.
+func (f *injector) shouldFail(kind string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if since := time.Since(f.began); since < f.from || since > f.until {
+	if since := time.Since(f.startedAt); since < f.from || since > f.until {
 		return false
 	}
-	return f.rng.Float64() < f.parts[kind]
+	return f.random.Float64() < f.probabilities[kind]
 }
 
-// one returns one of some errors.
-func (f *injector) one(of ...unix.Errno) unix.Errno {
+// randomError returns one of the given errors.
+func (f *injector) randomError(errs ...unix.Errno) unix.Errno {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return of[f.rng.IntN(len(of))]
+	return errs[f.random.IntN(len(errs))]
 }
 
-// some returns the beginning of a buffer, of a byte at least.
-func (f *injector) some(b []byte) []byte {
+// randomPrefix returns a beginning of b, at least one byte long.
+func (f *injector) randomPrefix(b []byte) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return b[:1+f.rng.IntN(len(b))]
+	return b[:1+f.random.IntN(len(b))]
 }
 
+// install replaces the calls of system with failing ones. It must be called before any loop runs.
 func (f *injector) install() {
-	real := system
+	original := system
 	system.accept = func(listener int) (int, error) {
-		if f.fails("shortage") {
-			return -1, f.one(unix.ENFILE, unix.ENOBUFS)
+		if f.shouldFail("shortage") {
+			return -1, f.randomError(unix.ENFILE, unix.ENOBUFS)
 		}
-		if f.fails("accept") {
-			return -1, f.one(unix.ECONNABORTED, unix.ENFILE, unix.ENOBUFS, unix.EINTR, unix.EMFILE)
+		if f.shouldFail("accept") {
+			return -1, f.randomError(unix.ECONNABORTED, unix.ENFILE, unix.ENOBUFS, unix.EINTR, unix.EMFILE)
 		}
-		return real.accept(listener)
+		return original.accept(listener)
 	}
 	system.socket = func(family, kind int) (int, error) {
-		if f.fails("socket") {
-			return -1, f.one(unix.ENFILE, unix.ENOBUFS)
+		if f.shouldFail("socket") {
+			return -1, f.randomError(unix.ENFILE, unix.ENOBUFS)
 		}
-		return real.socket(family, kind)
+		return original.socket(family, kind)
 	}
 	system.connect = func(fd int, to unix.Sockaddr) error {
-		if f.fails("connect") {
-			return f.one(unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ECONNABORTED)
+		if f.shouldFail("connect") {
+			return f.randomError(unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ECONNABORTED)
 		}
-		return real.connect(fd, to)
+		return original.connect(fd, to)
 	}
-	system.read = f.transfer(real.read)
-	system.write = f.transfer(real.write)
+	system.read = f.transfer(original.read)
+	system.write = f.transfer(original.write)
 	system.wait = func(epoll int, ready []unix.EpollEvent, milliseconds int) (int, error) {
-		if f.fails("interrupt") {
+		if f.shouldFail("interrupt") {
 			return -1, unix.EINTR
 		}
-		return real.wait(epoll, ready, milliseconds)
+		return original.wait(epoll, ready, milliseconds)
 	}
 	system.wallClock = func() time.Time {
-		now := real.wallClock()
-		if time.Since(f.began) > f.from {
-			return now.Add(f.step)
+		now := original.wallClock()
+		if time.Since(f.startedAt) > f.from {
+			return now.Add(f.clockStep)
 		}
 		return now
 	}
 }
 
-// transfer wraps read or write: it is interrupted, does a part, or finds the connection broken.
-func (f *injector) transfer(real func(int, []byte) (int, error)) func(int, []byte) (int, error) {
+// transfer wraps read or write: the call is interrupted, transfers only a part, or finds the connection broken.
+func (f *injector) transfer(original func(int, []byte) (int, error)) func(int, []byte) (int, error) {
 	return func(fd int, b []byte) (int, error) {
 		switch {
-		case f.fails("interrupt"):
+		case f.shouldFail("interrupt"):
 			return -1, unix.EINTR
-		case f.fails("broken") && isConnection(fd) && localPort(fd) != f.spare:
-			return -1, f.one(unix.ETIMEDOUT, unix.EHOSTUNREACH)
-		case len(b) > 1 && f.fails("short") && isConnection(fd):
-			return real(fd, f.some(b))
+		case f.shouldFail("broken") && isConnection(fd) && localPort(fd) != f.sparedPort:
+			return -1, f.randomError(unix.ETIMEDOUT, unix.EHOSTUNREACH)
+		case len(b) > 1 && f.shouldFail("short") && isConnection(fd):
+			return original(fd, f.randomPrefix(b))
 		}
-		return real(fd, b)
+		return original(fd, b)
 	}
 }
 
-// localPort is that of a socket over IPv4, 0 of any other descriptor.
+// localPort returns the local port of an IPv4 socket, 0 for any other descriptor.
 func localPort(fd int) int {
 	if sa, err := unix.Getsockname(fd); err == nil {
 		if sa, ok := sa.(*unix.SockaddrInet4); ok {
@@ -165,7 +174,7 @@
 	return 0
 }
 
-// isConnection tells a TCP connection from the descriptors of the loop's own.
+// isConnection reports whether a descriptor is a connected socket, not one of the loop's own descriptors.
 func isConnection(fd int) bool {
 	_, err := unix.Getpeername(fd)
 	return err == nil
--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -1,5 +1,7 @@
-// Package loop is the daemon's event loop: epoll, timers, and a way in for other
-// goroutines. One goroutine runs it and owns everything that it calls.
+// Package loop is the daemon's event loop: epoll, timers and functions posted by other goroutines. One goroutine calls
+// [Loop.Run]; it owns the loop, its sources and timers, and every handler and callback runs on it. A turn is one iteration
+// of the loop. Only [Loop.Post] and [Loop.Close] may be called from other goroutines. Apart from opening listeners
+// ([Listen], [ListenReusePort], [ListenUDP]), nothing here blocks but the loop's own wait for events.
 package loop
 
 import (
@@ -13,81 +15,88 @@
 	"ferryfront.example/ferryfront/internal/timerq"
 )
 
-// What a descriptor is watched for, and what it is told.
+// Events that a descriptor is watched for and that its handler receives: bits of epoll's event mask.
 const (
-	In            = unix.EPOLLIN
-	Out           = unix.EPOLLOUT
-	ReadHangup    = unix.EPOLLRDHUP // the peer has ended its sending; what it sent before may still wait to be read
-	Hangup        = ReadHangup | unix.EPOLLHUP | unix.EPOLLERR
-	HangupOrError = unix.EPOLLHUP | unix.EPOLLERR // told whatever is watched for
+	// In: there is data to read, or a connection to accept.
+	In = unix.EPOLLIN
+	// Out: there is space to write, or a connection attempt has ended.
+	Out = unix.EPOLLOUT
+	// ReadHangup: the peer has closed its sending direction. Data that it sent before may still be unread.
+	ReadHangup = unix.EPOLLRDHUP
+	// Hangup: the peer has closed its sending direction or the whole connection, or the connection has failed.
+	Hangup = ReadHangup | unix.EPOLLHUP | unix.EPOLLERR
+	// HangupOrError: the connection is closed in both directions or has failed. It is reported whether watched for or not.
+	HangupOrError = unix.EPOLLHUP | unix.EPOLLERR
 )
 
-// Handler is told what a descriptor is ready for.
+// Handler is called on the loop's goroutine with the events that a descriptor is ready for.
 type Handler interface{ Ready(events uint32) }
 
-// Source is one watched descriptor.
+// Source is one watched descriptor. It belongs to the loop's goroutine.
 type Source struct {
-	l       *Loop
-	fd      int
-	gen     int32
-	handler Handler
-	events  uint32
-	order   order
+	loop       *Loop
+	fd         int   // -1 once closed or detached
+	generation int32 // distinguishes this source from earlier ones of the same descriptor number
+	handler    Handler
+	events     uint32
+	order      serveOrder
 }
 
-// order is when in a turn a descriptor is served.
-type order int
+// serveOrder is when a descriptor is served in a turn, relative to the others.
+type serveOrder int
 
 const (
-	usual order = iota
-	first
-	last
+	orderNormal serveOrder = iota
+	orderFirst
+	orderLast
 )
 
-// Timer is a function called once, unless stopped.
+// Timer calls a function once, unless it is stopped before.
 type Timer struct{ fn func() }
 
-// Stop keeps a timer from firing. It is safe on nil.
+// Stop keeps a timer from firing. It is safe on nil and on a timer that has fired.
 func (t *Timer) Stop() {
 	if t != nil {
 		t.fn = nil
 	}
 }
 
-// Loop gathers what is ready and calls the owners.
+// Loop waits for descriptors to become ready and calls their handlers, posted functions and due timers.
 type Loop struct {
-	epoll, wake int
-	sources     []*Source // by descriptor
-	gen         int32
-	ready       []unix.EpollEvent
-	timers      timerq.Queue[*Timer]
-	firsts      bool          // some source is to be served first
-	lasts       bool          // some source of this turn is to be served last
-	polled      time.Duration // when the last turn's descriptors were gathered
-	stalled     time.Duration // when the process began to stand still, until all that came meanwhile is read; 0: it did not
-	turnStart   func(now time.Duration)
-	posted      chan func()
-	buf         []byte
-	start       time.Time
-	base, now   time.Duration
-	stopped     bool
-
-	waking sync.Mutex // held while wake is used by other goroutines, or closed
-	closed bool
+	// wakeFD is an eventfd that ends the wait for events when a function is posted.
+	epollFD, wakeFD int
+	sources         []*Source // by descriptor
+	lastGeneration  int32
+	ready           []unix.EpollEvent // the events of this turn
+	timers          timerq.Queue[*Timer]
+	hasFirst        bool          // some source was set to be served first
+	hasLast         bool          // some source of this turn is to be served last
+	polledAt        time.Duration // when the events of the last turn were collected
+	stalledSince    time.Duration // when the process began to stall, until all that arrived meanwhile is read; 0: no stall
+	turnStart       func(now time.Duration)
+	posted          chan func()
+	readBuffer      []byte
+	startedAt       time.Time
+	// clockBase is the time at startedAt, now the time of this turn, both since the Unix epoch.
+	clockBase, now time.Duration
+	isStopped      bool
+
+	wakeMutex sync.Mutex // held while wakeFD is closed or used by another goroutine
+	isClosed  bool       // guarded by wakeMutex
 }
 
-// readyMost is how many descriptors are gathered in a turn: about all that a process may hold. After a time in which it
-// stood still each may have something, and what is to be known first must not be left for the turn after.
-const readyMost = 1024
+// maxEventsPerTurn is about as many descriptors as a process may hold. After a stall each of them may be ready, and those
+// to be served first must not be left for the next turn.
+const maxEventsPerTurn = 1024
 
-// waitMost bounds the wait for descriptors. A wait that lasts visibly longer was one in which the process stood still.
-const waitMost = 100 * time.Millisecond
+// maxWait bounds the wait for events, so that a wait that takes visibly longer shows a stall of the process.
+const maxWait = 100 * time.Millisecond
 
-// stalledAfter is the time between two gatherings from which on the process is taken to have stood still. With waitMost,
-// what is not noticed is within the slack of deadlines (0.15 s).
-const stalledAfter = waitMost + 25*time.Millisecond
+// stallThreshold is the time between two collections of events above which the process counts as having stalled. A stall
+// that goes unnoticed is thus shorter than the slack of deadlines (0.15 s).
+const stallThreshold = maxWait + 25*time.Millisecond
 
-// New opens a loop.
+// New opens a loop. It fails where the process or the system has no descriptors left.
 func New() (*Loop, error) {
 	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -97,72 +106,75 @@
 	if err != nil {
 		return nil, fmt.Errorf("eventfd: %w", errors.Join(err, unix.Close(epoll)))
 	}
-	l := &Loop{epoll: epoll, wake: wake, ready: make([]unix.EpollEvent, readyMost), posted: make(chan func(), 64),
-		buf: make([]byte, 64<<10), start: time.Now()}
-	// All machines cut the counter's windows from the same time: the wall clock at the start, from
-	// then on the monotonic one, so that no step of the wall clock is ever seen.
-	l.base = time.Duration(system.wallClock().UnixNano())
-	l.now = l.base.Truncate(time.Microsecond)
-	l.polled = l.now
-	if _, err := l.Watch(wake, In, wakeUp{l}); err != nil {
+	l := &Loop{epollFD: epoll, wakeFD: wake, ready: make([]unix.EpollEvent, maxEventsPerTurn), posted: make(chan func(), 64),
+		readBuffer: make([]byte, 64<<10), startedAt: time.Now()}
+	// The windows of the shared counter begin at the same time on all machines, so the clock starts from the wall clock.
+	// From then on it is monotonic, and a step of the wall clock does not change it.
+	l.clockBase = time.Duration(system.wallClock().UnixNano())
+	l.now = l.clockBase.Truncate(time.Microsecond)
+	l.polledAt = l.now
+	if _, err := l.Watch(wake, In, wakeHandler{l}); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-type wakeUp struct{ l *Loop }
+// wakeHandler handles the eventfd that Post writes to.
+type wakeHandler struct{ loop *Loop }
 
-// Ready empties the eventfd; what was posted is run by the turn itself.
-func (w wakeUp) Ready(uint32) {
+// Ready empties the eventfd. Run calls the posted functions later in the same turn.
+func (w wakeHandler) Ready(uint32) {
 	var b [8]byte
-	_, _ = Read(w.l.wake, b[:])
+	_, _ = Read(w.loop.wakeFD, b[:])
 }
 
-// Now is the time of this turn: whole microseconds since the Unix epoch.
+// Now returns the time of this turn: whole microseconds since the Unix epoch. It does not change within a turn.
 func (l *Loop) Now() time.Duration { return l.now }
 
-func (l *Loop) tick() { l.now = l.clock() }
+// updateNow sets the time of the turn.
+func (l *Loop) updateNow() { l.now = l.readClock() }
 
-// clock reads the clock anew.
-func (l *Loop) clock() time.Duration {
-	return max(l.now, (l.base + time.Since(l.start)).Truncate(time.Microsecond))
+// readClock returns the current time of the loop's clock, never earlier than that of the turn.
+func (l *Loop) readClock() time.Duration {
+	return max(l.now, (l.clockBase + time.Since(l.startedAt)).Truncate(time.Microsecond))
 }
 
-// MaxReadDelay is how long what is read in this turn may have waited to be read: 0 unless the process stood still, as when it was
-// stopped and continued, and has not read all since. The time that a peer gives for an answer began when it sent its
-// request.
+// MaxReadDelay returns how long data read in this turn may have waited to be read. It is 0 unless the process stalled, as
+// when it was stopped and continued, and has not read all that arrived meanwhile. A deadline that a peer sets counts from
+// when it sent its request, so this delay is part of it.
 func (l *Loop) MaxReadDelay() time.Duration {
-	if l.stalled == 0 {
+	if l.stalledSince == 0 {
 		return 0
 	}
-	return l.now - l.stalled
+	return l.now - l.stalledSince
 }
 
-// HasStalled tells whether the process stood still within this turn: what was found at its beginning may not be so any more,
-// and nothing should be begun that rests on it.
-func (l *Loop) HasStalled() bool { return l.clock()-l.now > stalledAfter/2 }
+// HasStalled reports whether the process has stalled within this turn. What was read at the start of the turn may then be
+// out of date, and nothing that depends on it should be started.
+func (l *Loop) HasStalled() bool { return l.readClock()-l.now > stallThreshold/2 }
 
-// ClockOffset is how far the loop's clock is from the wall clock, which may have been set since the start.
+// ClockOffset returns how far the loop's clock is ahead of the wall clock, which may have been set since the start.
 func (l *Loop) ClockOffset() time.Duration {
-	return l.base + time.Since(l.start) - time.Duration(system.wallClock().UnixNano())
+	return l.clockBase + time.Since(l.startedAt) - time.Duration(system.wallClock().UnixNano())
 }
 
-// SetClockOffset goes on with the clock of another process, told by its offset. Time never goes back.
+// SetClockOffset continues the clock of another process, given its ClockOffset. Now never goes back.
 func (l *Loop) SetClockOffset(d time.Duration) {
-	l.base = time.Duration(system.wallClock().UnixNano()) + d - time.Since(l.start)
-	l.tick()
-	l.polled = l.now // it is the clock that was moved, the process has not stood still
+	l.clockBase = time.Duration(system.wallClock().UnixNano()) + d - time.Since(l.startedAt)
+	l.updateNow()
+	l.polledAt = l.now // the change of the clock must not count as a stall
 }
 
-// ReadBuffer is room to read into, good until the handler returns.
-func (l *Loop) ReadBuffer() []byte { return l.buf }
+// ReadBuffer returns a buffer to read into that all handlers share. Its content is valid until the handler returns.
+func (l *Loop) ReadBuffer() []byte { return l.readBuffer }
 
-// Watch has a handler told of a descriptor.
+// Watch registers a handler for events of a descriptor. The descriptor belongs to the source until Close or Detach; if
+// Watch fails, it stays open and the caller's.
 func (l *Loop) Watch(fd int, events uint32, h Handler) (*Source, error) {
-	l.gen++
-	s := &Source{l: l, fd: fd, gen: l.gen, handler: h, events: events}
-	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: s.gen}
-	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
+	l.lastGeneration++
+	s := &Source{loop: l, fd: fd, generation: l.lastGeneration, handler: h, events: events}
+	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: s.generation}
+	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
 		return nil, fmt.Errorf("watch descriptor %d: %w", fd, err)
 	}
 	for len(l.sources) <= fd {
@@ -172,144 +184,149 @@
 	return s, nil
 }
 
-// ServeFirst has a descriptor served before all others of its turn.
-func (s *Source) ServeFirst() { s.order, s.l.firsts = first, true }
+// ServeFirst has the handler called before all others of a turn.
+func (s *Source) ServeFirst() { s.order, s.loop.hasFirst = orderFirst, true }
 
-// ServeLast has a descriptor served after all others of its turn, until Usual: what it begins must not overlook news that waits
-// to be read at one of them.
-func (s *Source) ServeLast() { s.order = last }
+// ServeLast has the handler called after all others of a turn, until ServeNormally. It is for a handler that starts
+// something which data still unread at another descriptor may forbid.
+func (s *Source) ServeLast() { s.order = orderLast }
 
-// ServeNormally ends First or Last.
-func (s *Source) ServeNormally() { s.order = usual }
+// ServeNormally ends the effect of ServeFirst or ServeLast.
+func (s *Source) ServeNormally() { s.order = orderNormal }
 
-// SetEvents changes what a descriptor is watched for.
+// SetEvents changes the events that a descriptor is watched for. On a closed source it does nothing.
 func (s *Source) SetEvents(events uint32) {
 	if s.fd < 0 || s.events == events {
 		return
 	}
 	s.events = events
-	ev := unix.EpollEvent{Events: events, Fd: int32(s.fd), Pad: s.gen}
-	// It can fail only for a descriptor that is not watched, and this one is.
-	_ = unix.EpollCtl(s.l.epoll, unix.EPOLL_CTL_MOD, s.fd, &ev)
+	ev := unix.EpollEvent{Events: events, Fd: int32(s.fd), Pad: s.generation}
+	// It fails only for a descriptor that is not watched, and this one is.
+	_ = unix.EpollCtl(s.loop.epollFD, unix.EPOLL_CTL_MOD, s.fd, &ev)
 }
 
-// Close closes the descriptor. Events already gathered for it reach nobody: its number may
-// serve another connection within the same turn, which the generation tells apart.
+// Close closes the descriptor. Events already collected for it are dropped: another connection may get the same
+// descriptor number within the turn, and the generation distinguishes the two. It is safe on nil and on a closed source.
 func (s *Source) Close() {
 	if s == nil || s.fd < 0 {
 		return
 	}
-	s.l.sources[s.fd] = nil
+	s.loop.sources[s.fd] = nil
 	_ = unix.Close(s.fd)
 	s.fd = -1
 }
 
-// ResetOnClose has a following Close reset the connection: its peer must not take the end for an orderly one.
+// ResetOnClose makes a following Close reset the TCP connection, so that the peer does not take it for an orderly end.
+// If the socket option can't be set, the close is an ordinary one.
 func (s *Source) ResetOnClose() {
-	if s.fd >= 0 { // without it the end is an ordinary one
+	if s.fd >= 0 {
 		_ = unix.SetsockoptLinger(s.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 }
 
-// Detach stops watching a descriptor and leaves it open; it is the caller's from then on. Closing alone takes
-// it out of epoll only when no other process holds it.
+// Detach stops watching a descriptor and returns it, still open, to the caller, who owns it from then on. It returns -1
+// for a nil or closed source. The descriptor is removed from epoll explicitly: closing it would remove it only if no other
+// process held it.
 func (s *Source) Detach() int {
 	if s == nil || s.fd < 0 {
 		return -1
 	}
 	fd := s.fd
 	s.Unwatch()
-	s.l.sources[fd] = nil
+	s.loop.sources[fd] = nil
 	s.fd = -1
 	return fd
 }
 
-// Unwatch has a descriptor told of no more, not even of its end, and leaves it open.
+// Unwatch removes a descriptor from epoll and leaves it open. No further events are collected for it, not even a hangup;
+// SetEvents does not undo it.
 func (s *Source) Unwatch() {
 	if s.fd >= 0 {
-		// It can fail only for a descriptor that is not watched any more.
-		_ = unix.EpollCtl(s.l.epoll, unix.EPOLL_CTL_DEL, s.fd, nil)
+		// It fails only for a descriptor that is no longer watched.
+		_ = unix.EpollCtl(s.loop.epollFD, unix.EPOLL_CTL_DEL, s.fd, nil)
 	}
 }
 
-// FD is the descriptor, -1 once closed.
+// FD returns the descriptor, -1 once it is closed or detached.
 func (s *Source) FD() int { return s.fd }
 
-// At calls fn in the first turn at or after a time.
+// At calls fn in the first turn at or after a time, given since the Unix epoch as by Now.
 func (l *Loop) At(at time.Duration, fn func()) *Timer {
 	t := &Timer{fn: fn}
 	l.timers.Push(at, t)
 	return t
 }
 
-// After calls fn in the first turn so much later than this one.
+// After calls fn in the first turn at least d after the time of this one.
 func (l *Loop) After(d time.Duration, fn func()) *Timer { return l.At(l.now+d, fn) }
 
-// Post has fn called within a turn; it is the one method for other goroutines.
+// Post has fn called on the loop's goroutine, in the current turn or the next. It may be called from other goroutines, and
+// blocks while 64 posted functions wait; on the loop's goroutine it would then block for ever.
 func (l *Loop) Post(fn func()) {
 	l.posted <- fn
-	l.waking.Lock()
-	defer l.waking.Unlock()
-	if l.closed {
+	l.wakeMutex.Lock()
+	defer l.wakeMutex.Unlock()
+	if l.isClosed {
 		return
 	}
 	one := [8]byte{1}
-	_, _ = Write(l.wake, one[:])
+	_, _ = Write(l.wakeFD, one[:])
 }
 
-// Close closes every descriptor that is watched, and the loop's own. It is for a loop that has ended in a process that
-// goes on; what is posted from then on is not called.
+// Close closes every watched descriptor and the loop's own. It is for a loop whose Run has ended in a process that goes
+// on. Functions posted afterwards are not called.
 func (l *Loop) Close() {
-	l.waking.Lock()
-	defer l.waking.Unlock()
-	if l.closed {
+	l.wakeMutex.Lock()
+	defer l.wakeMutex.Unlock()
+	if l.isClosed {
 		return
 	}
-	l.closed = true
+	l.isClosed = true
 	for _, s := range l.sources {
-		s.Close() // the eventfd, too
+		s.Close() // among them the eventfd
 	}
-	_ = unix.Close(l.epoll)
+	_ = unix.Close(l.epollFD)
 }
 
-// Stop ends Run after this turn.
-func (l *Loop) Stop() { l.stopped = true }
+// Stop makes Run return after this turn.
+func (l *Loop) Stop() { l.isStopped = true }
 
-// ClearStop lets Run be called again after Stop.
-func (l *Loop) ClearStop() { l.stopped = false }
+// ClearStop allows Run to be called again after Stop.
+func (l *Loop) ClearStop() { l.isStopped = false }
 
-// OnTurnStart has fn called at the start of each turn, right after the clock was read and before any handler, posted
-// function or timer: what holds only until some time, such as a lease, can be given up before the turn's events use it,
-// also after the process was stopped and continued. There is one such function; nil: none.
+// OnTurnStart sets the function that is called at the start of each turn, after the clock is read and before any handler,
+// posted function or timer. What is valid only until some time, such as a lease, can be given up there before an event of
+// the turn relies on it, also after the process was stopped and continued. There is one such function; nil removes it.
 func (l *Loop) OnTurnStart(fn func(now time.Duration)) { l.turnStart = fn }
 
-// Turner is called at the end of each turn. It tells when it next needs one: 0 for never.
+// Turner is called at the end of each turn. Turn returns the time of the next turn it needs, since the Unix epoch, or 0 if
+// it needs none.
 type Turner interface {
 	Turn(now time.Duration) (next time.Duration)
 }
 
-// Run takes turns until Stop: gather what is ready, tell the handlers, fire timers, then one call
-// of the Turner.
+// Run runs turns until Stop: it waits for events, calls the handlers, the posted functions and the due timers, then the
+// Turner. It returns an error only if the wait fails for another reason than an interruption.
 func (l *Loop) Run(t Turner) error {
 	var next time.Duration
-	for !l.stopped {
-		asked := l.clock()
-		n, err := l.gather(l.wait(next))
+	for !l.isStopped {
+		waitStart := l.readClock()
+		n, err := l.pollEvents(l.waitMilliseconds(next))
 		if err != nil {
 			return fmt.Errorf("epoll: %w", err)
 		}
-		l.tick()
-		l.gathered(n, l.now-asked)
+		l.updateNow()
+		l.updateStall(n, l.now-waitStart)
 		if l.turnStart != nil {
 			l.turnStart(l.now)
 		}
 		l.serveAll(l.ready[:n])
-		for more := true; more; {
+		for hasPosted := true; hasPosted; {
 			select {
 			case fn := <-l.posted:
 				fn()
 			default:
-				more = false
+				hasPosted = false
 			}
 		}
 		for {
@@ -326,15 +343,15 @@
 	return nil
 }
 
-// gatherTries is how often in a row a wait may be interrupted before the turn goes on without descriptors.
-const gatherTries = 100
+// maxWaitAttempts bounds how often in a row a wait may be interrupted before the turn goes on without events.
+const maxWaitAttempts = 100
 
-// gather waits for descriptors, for so many milliseconds at the most. A wait that was interrupted is followed by a look at
-// what is ready: it is interrupted when the process goes on after it was stopped, and a turn without the news that has come
-// meanwhile would begin what that forbids.
-func (l *Loop) gather(milliseconds int) (n int, err error) {
-	for range gatherTries {
-		if n, err = system.wait(l.epoll, l.ready, milliseconds); !errors.Is(err, unix.EINTR) {
+// pollEvents waits for events, at most the given time, and returns how many there are. After an interruption it polls
+// again without waiting: a process that is continued after a stop is interrupted so, and a turn that had not read what
+// arrived meanwhile would start work that the unread data forbids.
+func (l *Loop) pollEvents(milliseconds int) (n int, err error) {
+	for range maxWaitAttempts {
+		if n, err = system.wait(l.epollFD, l.ready, milliseconds); !errors.Is(err, unix.EINTR) {
 			return max(n, 0), err
 		}
 		milliseconds = 0
@@ -342,57 +359,58 @@
 	return 0, nil
 }
 
-// blocked is the time that a wait takes at least which found nothing ready at first.
-const blocked = time.Millisecond
+// minBlockingWait is the least time that a wait takes which at first found nothing ready.
+const minBlockingWait = time.Millisecond
 
-// gathered notes when a turn's descriptors were gathered, so many after such a wait, and whether the process stood still
-// before that. It has read all that came meanwhile once there is nothing ready.
-func (l *Loop) gathered(n int, waited time.Duration) {
+// updateStall records when the events of a turn were collected, n of them after a wait of the given time, and whether the
+// process stalled before that. A stall is over once a wait finds nothing ready: all that arrived meanwhile has been read.
+func (l *Loop) updateStall(n int, waited time.Duration) {
 	switch {
-	case l.now-l.polled > stalledAfter:
-		l.stalled = l.polled
-	case n == 0 || waited >= blocked:
-		l.stalled = 0
+	case l.now-l.polledAt > stallThreshold:
+		l.stalledSince = l.polledAt
+	case n == 0 || waited >= minBlockingWait:
+		l.stalledSince = 0
 	}
-	l.polled = l.now
+	l.polledAt = l.now
 }
 
-// serveAll tells the handlers of what is ready: those that go first, the usual ones, those that go last.
+// serveAll calls the handlers of all ready descriptors in their serveOrder.
 func (l *Loop) serveAll(ready []unix.EpollEvent) {
-	if l.firsts {
-		l.serve(ready, first)
+	if l.hasFirst {
+		l.serve(ready, orderFirst)
 	}
-	l.lasts = false
-	l.serve(ready, usual)
-	if l.lasts {
-		l.serve(ready, last)
+	l.hasLast = false
+	l.serve(ready, orderNormal)
+	if l.hasLast {
+		l.serve(ready, orderLast)
 	}
 }
 
-// serve tells the handlers of what is ready, of those of one order.
-func (l *Loop) serve(ready []unix.EpollEvent, which order) {
+// serve calls the handlers of those ready descriptors that have the given order.
+func (l *Loop) serve(ready []unix.EpollEvent, order serveOrder) {
 	for _, ev := range ready {
 		s := l.sources[ev.Fd]
-		if s == nil || s.gen != ev.Pad {
+		if s == nil || s.generation != ev.Pad {
 			continue
 		}
-		if s.order == which {
+		if s.order == order {
 			s.handler.Ready(ev.Events)
-		} else if s.order == last {
-			l.lasts = true
+		} else if s.order == orderLast {
+			l.hasLast = true
 		}
 	}
 }
 
-// wait is how long to wait for descriptors, in milliseconds.
-func (l *Loop) wait(next time.Duration) int {
-	l.timers.Skip(func(t *Timer) bool { return t.fn != nil }) // a stopped one is not worth a turn
+// waitMilliseconds returns how long to wait for events: until the next timer or the time the Turner asked for (0: none),
+// at most maxWait, rounded up to whole milliseconds.
+func (l *Loop) waitMilliseconds(next time.Duration) int {
+	l.timers.Skip(func(t *Timer) bool { return t.fn != nil }) // a stopped timer needs no turn
 	if at, ok := l.timers.Next(); ok && (next == 0 || at < next) {
 		next = at
 	}
-	left := waitMost
+	wait := maxWait
 	if next != 0 {
-		left = min(left, next-l.clock())
+		wait = min(wait, next-l.readClock())
 	}
-	return int(max(0, left+time.Millisecond-1) / time.Millisecond)
+	return int(max(0, wait+time.Millisecond-1) / time.Millisecond)
 }
--- a/internal/net/loop/loop_test.go
+++ b/internal/net/loop/loop_test.go
@@ -8,54 +8,56 @@
 	"golang.org/x/sys/unix"
 )
 
-// turns ends each turn by a function.
-type turns func(now time.Duration) time.Duration
+// turnerFunc is a Turner made of a function.
+type turnerFunc func(now time.Duration) time.Duration
 
-func (f turns) Turn(now time.Duration) time.Duration { return f(now) }
+func (f turnerFunc) Turn(now time.Duration) time.Duration { return f(now) }
 
-type handler func(events uint32)
+// handlerFunc is a Handler made of a function.
+type handlerFunc func(events uint32)
 
-func (f handler) Ready(events uint32) { f(events) }
+func (f handlerFunc) Ready(events uint32) { f(events) }
 
-func pair(t *testing.T) (ours, theirs int) {
+// socketPair returns the two ends of a non-blocking stream socket.
+func socketPair(t *testing.T) (local, remote int) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	return fds[0], fds[1]
 }
 
-// Two descriptors are ready in one turn, and the first handler closes the other's; a new one may get the same
-// number at once. What was gathered for the closed one must reach neither.
-func TestEventsOfADescriptorClosedInTheSameTurn(t *testing.T) {
+// Two descriptors are ready in one turn, and the first handler closes the other one. A new descriptor may then get the same
+// number at once. The event collected for the closed descriptor must reach neither handler.
+func TestEventsOfDescriptorClosedInSameTurn(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
 	var sources [2]*Source
-	reached, strayed := 0, false
+	calls, misdelivered := 0, false
 	for i := range sources {
-		ours, theirs := pair(t)
-		_, err := Write(theirs, []byte("x"))
+		local, remote := socketPair(t)
+		_, err := Write(remote, []byte("x"))
 		require.NoError(t, err)
-		sources[i], err = l.Watch(ours, In, handler(func(uint32) {
-			reached++
+		sources[i], err = l.Watch(local, In, handlerFunc(func(uint32) {
+			calls++
 			other := sources[1-i]
 			number := other.FD()
 			other.Close()
-			fresh, _ := pair(t)
-			require.Equal(t, number, fresh, "the kernel gives out the lowest free number")
-			_, err := l.Watch(fresh, In, handler(func(uint32) { strayed = true }))
+			fresh, _ := socketPair(t)
+			require.Equal(t, number, fresh, "the kernel assigns the lowest free number")
+			_, err := l.Watch(fresh, In, handlerFunc(func(uint32) { misdelivered = true }))
 			require.NoError(t, err)
 			sources[i].Close()
 		}))
 		require.NoError(t, err)
 	}
-	require.NoError(t, l.Run(turns(func(time.Duration) time.Duration {
+	require.NoError(t, l.Run(turnerFunc(func(time.Duration) time.Duration {
 		l.Stop()
 		return 0
 	})))
-	require.Equal(t, 1, reached)
-	require.False(t, strayed)
+	require.Equal(t, 1, calls)
+	require.False(t, misdelivered)
 }
 
-func TestTheClockStandsWithinATurnAndCountsFromTheEpoch(t *testing.T) {
+func TestNowIsConstantWithinTurnAndSinceEpoch(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
 	var seen []time.Duration
@@ -63,7 +65,7 @@
 	stopped.Stop()
 	l.After(2*time.Millisecond, func() { seen = append(seen, l.Now()) })
 	go l.Post(func() { require.Equal(t, l.Now(), l.Now()) })
-	require.NoError(t, l.Run(turns(func(now time.Duration) time.Duration {
+	require.NoError(t, l.Run(turnerFunc(func(now time.Duration) time.Duration {
 		require.Zero(t, now%time.Microsecond)
 		if len(seen) > 0 {
 			l.Stop()
@@ -73,83 +75,84 @@
 	require.WithinDuration(t, time.Now(), time.Unix(0, int64(seen[0])), time.Minute)
 }
 
-// A loop that has ended gives up every descriptor that it watched, and takes what is posted late without harm: another
-// descriptor may have the number of its own by then.
-func TestAClosedLoopHoldsNoDescriptor(t *testing.T) {
+// Close closes every watched descriptor. A function posted afterwards must not write to the loop's old eventfd: another
+// descriptor may have its number by then.
+func TestClosedLoopHoldsNoDescriptor(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
-	ours, theirs := pair(t)
-	_, err = l.Watch(ours, In, handler(func(uint32) {}))
+	local, remote := socketPair(t)
+	_, err = l.Watch(local, In, handlerFunc(func(uint32) {}))
 	require.NoError(t, err)
 	l.Stop()
-	require.NoError(t, l.Run(turns(func(time.Duration) time.Duration { return 0 })))
+	require.NoError(t, l.Run(turnerFunc(func(time.Duration) time.Duration { return 0 })))
 	l.Close()
 	l.Close()
-	_, err = Write(theirs, []byte("x"))
+	_, err = Write(remote, []byte("x"))
 	require.ErrorIs(t, err, unix.EPIPE)
-	var again []int
-	for range 3 { // of epoll, eventfd and the pair
-		fd, other := pair(t)
-		again = append(again, fd, other)
+	var reused []int
+	for range 3 { // as many as epoll, the eventfd and the socket pair had
+		fd, other := socketPair(t)
+		reused = append(reused, fd, other)
 	}
 	l.Post(func() { t.Error("called") })
 	var b [8]byte
-	for _, fd := range again {
+	for _, fd := range reused {
 		_, err := Read(fd, b[:])
 		require.ErrorIs(t, err, ErrAgain)
 	}
 }
 
-// The function of the turn's start runs with the turn's time, before handlers that go first, before others, posted
-// functions and timers, also where a turn comes long after the last one.
-func TestTheTurnsStartComesBeforeAllElse(t *testing.T) {
+// The OnTurnStart function runs with the turn's time, before handlers set to ServeFirst, other handlers, posted functions and
+// timers, also in a turn that comes long after the previous one.
+func TestOnTurnStartRunsFirst(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
 	var order []string
-	note := func(what string) { order = append(order, what) }
+	record := func(step string) { order = append(order, step) }
 	for _, name := range []string{"first", "other"} {
-		ours, theirs := pair(t)
-		_, err := Write(theirs, []byte("x"))
+		local, remote := socketPair(t)
+		_, err := Write(remote, []byte("x"))
 		require.NoError(t, err)
-		src, err := l.Watch(ours, In, handler(func(uint32) {
-			note(name)
-			_, _ = Read(ours, l.ReadBuffer())
+		src, err := l.Watch(local, In, handlerFunc(func(uint32) {
+			record(name)
+			_, _ = Read(local, l.ReadBuffer())
 		}))
 		require.NoError(t, err)
 		if name == "first" {
 			src.ServeFirst()
 		}
 	}
-	l.After(0, func() { note("timer") })
-	l.Post(func() { note("posted") })
-	var began time.Duration
+	l.After(0, func() { record("timer") })
+	l.Post(func() { record("posted") })
+	var turnStart time.Duration
 	l.OnTurnStart(func(now time.Duration) {
-		note("start")
+		record("start")
 		require.Equal(t, l.Now(), now)
-		began = now
+		turnStart = now
 	})
 	before := l.Now()
-	time.Sleep(20 * time.Millisecond) // as if stopped
-	require.NoError(t, l.Run(turns(func(now time.Duration) time.Duration {
-		require.Equal(t, began, now)
+	time.Sleep(20 * time.Millisecond) // as if the process had been stopped
+	require.NoError(t, l.Run(turnerFunc(func(now time.Duration) time.Duration {
+		require.Equal(t, turnStart, now)
 		l.Stop()
 		return 0
 	})))
 	require.Equal(t, []string{"start", "first", "other", "posted", "timer"}, order)
-	require.GreaterOrEqual(t, began-before, 20*time.Millisecond)
+	require.GreaterOrEqual(t, turnStart-before, 20*time.Millisecond)
 	l.ClearStop()
 	l.OnTurnStart(nil)
 	l.After(0, func() {})
-	require.NoError(t, l.Run(turns(func(time.Duration) time.Duration {
+	require.NoError(t, l.Run(turnerFunc(func(time.Duration) time.Duration {
 		l.Stop()
 		return 0
 	})))
-	require.Equal(t, 1, countOf(order, "start"))
+	require.Equal(t, 1, countEqual(order, "start"))
 }
 
-func countOf(list []string, what string) (n int) {
+// countEqual returns how many strings of a list equal value.
+func countEqual(list []string, value string) (n int) {
 	for _, s := range list {
-		if s == what {
+		if s == value {
 			n++
 		}
 	}
--- a/internal/net/loop/system.go
+++ b/internal/net/loop/system.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// systemCalls are the calls of the operating system that may fail for a moment, or do less than they were asked to, and
-// the wall clock. They stand in one place so that a fault-injecting build can put its own there, see injected_faults.go.
+// systemCalls holds the wall clock and the system calls that may fail temporarily or do less than asked. A fault-injecting
+// build replaces them, see injected_faults.go.
 type systemCalls struct {
 	accept      func(listener int) (int, error)
 	socket      func(family, kind int) (int, error)
@@ -21,7 +21,7 @@
 	wallClock   func() time.Time
 }
 
-// system is what the package calls. Only a fault-injecting build and tests replace parts of it, before any loop runs.
+// system holds the calls that the package uses. Only a fault-injecting build and tests replace them, before any loop runs.
 var system = systemCalls{
 	accept: func(listener int) (int, error) {
 		fd, _, err := unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -42,11 +42,12 @@
 	wallClock: time.Now,
 }
 
-// IsOutOfDescriptors tells whether an error is for want of descriptors of this process: to close one of its own helps.
+// IsOutOfDescriptors reports whether a call failed because this process has no descriptors left, so that closing one of its
+// own helps.
 func IsOutOfDescriptors(err error) bool { return errors.Is(err, unix.EMFILE) }
 
-// IsOutOfResources tells whether an error is for want of something that the machine may have again in a moment, and that
-// tells nothing of the peer: a call that failed so is worth repeating.
+// IsOutOfResources reports whether a call failed for a temporary lack of resources on this machine. Such an error says
+// nothing about the peer, and the call is worth repeating.
 func IsOutOfResources(err error) bool {
 	for _, transient := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL,
 		unix.ECONNABORTED, unix.EAGAIN} {
@@ -57,35 +58,36 @@
 	return false
 }
 
-// dialTries is how often a connection is begun that fails for a reason of this machine, in one go.
-const dialTries = 3
+// maxDialAttempts bounds how often a connection is started in immediate succession that fails for a local reason.
+const maxDialAttempts = 3
 
-// retryDial calls a function that begins a connection until it succeeds, or fails for a reason that another call would
-// meet, too.
-func retryDial(begin func() (int, error)) (fd int, err error) {
-	for range dialTries {
-		if fd, err = begin(); err == nil || !(IsOutOfResources(err) || errors.Is(err, unix.ENETUNREACH)) {
+// retryDial calls start, which starts a connection, until it succeeds, fails for a reason that a repetition would meet
+// again, or maxDialAttempts are used up.
+func retryDial(start func() (int, error)) (fd int, err error) {
+	for range maxDialAttempts {
+		if fd, err = start(); err == nil || !(IsOutOfResources(err) || errors.Is(err, unix.ENETUNREACH)) {
 			break
 		}
 	}
 	return fd, err
 }
 
-// listenRetry is for how long a listener is tried to be opened that can't be for a reason of this machine, and how often.
 const (
-	listenRetry = 5 * time.Second
-	listenEvery = 20 * time.Millisecond
+	// listenRetryTimeout bounds how long opening a listener is retried that fails for a temporary local reason.
+	listenRetryTimeout = 5 * time.Second
+	// listenRetryInterval is the delay between two of these attempts.
+	listenRetryInterval = 20 * time.Millisecond
 )
 
-// retryListen calls a function that opens a listener until it succeeds, fails for a lasting reason, or time is up. It
-// blocks, which is harmless where listeners are opened: at a start.
+// retryListen calls open, which opens a listener, until it succeeds, fails for a lasting reason, or listenRetryTimeout is
+// over. It blocks, which does no harm because listeners are opened only while the process starts.
 func retryListen(open func() (int, error)) (int, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	for {
 		fd, err := open()
-		if err == nil || !IsOutOfResources(err) || errors.Is(err, unix.EADDRNOTAVAIL) || time.Since(began) > listenRetry {
+		if err == nil || !IsOutOfResources(err) || errors.Is(err, unix.EADDRNOTAVAIL) || time.Since(startedAt) > listenRetryTimeout {
 			return fd, err
 		}
-		time.Sleep(listenEvery)
+		time.Sleep(listenRetryInterval)
 	}
 }
