--- a/internal/net/flow/flow.go
+++ b/internal/net/flow/flow.go
@@ -1,102 +1,113 @@
-// Package flow carries a body from the connection that it is read from to the one that it is written to, piece by
-// piece and with back-pressure: it never holds more than its window.
+// Package flow passes a message body on from the connection that it is read from (the writer of a pipe) to the connection
+// that it is written to (its reader), with back-pressure. A pipe is a buffer in memory without I/O of its own. It belongs to
+// the event loop's goroutine, never blocks and is not safe for concurrent use.
 package flow
 
-// Pipe belongs to the loop's goroutine. One side puts and ends, the other takes and may drop.
+// Pipe buffers the part of a body that has arrived and is not passed on yet. One side calls Append and CloseWrite, the
+// other Bytes, Consume and CloseRead.
 type Pipe struct {
-	ContentLength int64  // of the whole body, -1 where it is not told ahead
-	OnData        func() // the taker's: there is more, or it has ended. It must not be taken for leave to call back at once
-	OnFreeSpace   func() // the putter's: there is room, or nobody takes any more. The same holds
+	// ContentLength is the length of the whole body in bytes, -1 if it is not known in advance.
+	ContentLength int64
+	// OnData is the reader's callback for new bytes and for the end of the body. It runs within Append or CloseWrite. It may
+	// read and consume, but must not append or close the writing side.
+	OnData func()
+	// OnFreeSpace is the writer's callback for free space and for the reader's CloseRead. It runs within Consume or
+	// CloseRead and must not append at once.
+	OnFreeSpace func()
 
-	most    int
-	room    []byte // what buf is a part of, kept as long as the pipe is
-	buf     []byte
-	taken   int64
-	whole   bool // ended well
-	broken  bool // ended before its end
-	dropped bool
+	window       int    // bytes that the writer may have unread in the pipe
+	storage      []byte // the memory that unread is a part of; reused as long as the pipe exists
+	unread       []byte
+	consumed     int64 // bytes
+	isComplete   bool  // the writer has closed after the last byte
+	isTruncated  bool  // the writer has closed before the last byte
+	isReadClosed bool
 }
 
-// New returns an empty pipe with a window in bytes.
-func New(window int, length int64) *Pipe { return &Pipe{most: window, ContentLength: length} }
+// New returns an empty pipe. window is in bytes, length is that of the whole body, -1 if it is not known in advance.
+func New(window int, length int64) *Pipe { return &Pipe{window: window, ContentLength: length} }
 
-// FreeSpace tells how many bytes may be put.
+// FreeSpace returns how many bytes the writer may append to stay within the window. Once the reader has closed it is always
+// the whole window, because appended bytes are discarded.
 func (p *Pipe) FreeSpace() int {
-	if p.dropped {
-		return p.most // they go nowhere
+	if p.isReadClosed {
+		return p.window
 	}
-	return max(0, p.most-len(p.buf))
+	return max(0, p.window-len(p.unread))
 }
 
-// Append appends bytes. They are copied.
+// Append copies b to the end of the pipe. It does not enforce the window: the writer observes FreeSpace.
 func (p *Pipe) Append(b []byte) {
-	if p.dropped || len(b) == 0 {
+	if p.isReadClosed || len(b) == 0 {
 		return
 	}
-	if len(p.buf)+len(b) > cap(p.buf) { // what was taken makes room, or more is needed
-		if most := cap(p.room); len(p.buf)+len(b) > most {
-			p.room = make([]byte, 0, max(len(p.buf)+len(b), min(p.most, 2*most)))
+	if len(p.unread)+len(b) > cap(p.unread) { // reuse the space of consumed bytes, or allocate more
+		if capacity := cap(p.storage); len(p.unread)+len(b) > capacity {
+			p.storage = make([]byte, 0, max(len(p.unread)+len(b), min(p.window, 2*capacity)))
 		}
-		p.buf = append(p.room[:0], p.buf...)
+		p.unread = append(p.storage[:0], p.unread...)
 	}
-	p.buf = append(p.buf, b...)
-	p.tell()
+	p.unread = append(p.unread, b...)
+	p.notifyReader()
 }
 
-// CloseWrite tells that no more comes, and whether that was all.
-func (p *Pipe) CloseWrite(whole bool) {
-	if p.whole || p.broken {
+// CloseWrite marks the end of the data. isComplete is false if the body ended before its last byte. Only the first call has
+// an effect.
+func (p *Pipe) CloseWrite(isComplete bool) {
+	if p.isComplete || p.isTruncated {
 		return
 	}
-	p.whole, p.broken = whole, !whole
-	p.tell()
+	p.isComplete, p.isTruncated = isComplete, !isComplete
+	p.notifyReader()
 }
 
-func (p *Pipe) tell() {
-	if p.OnData != nil && !p.dropped {
+func (p *Pipe) notifyReader() {
+	if p.OnData != nil && !p.isReadClosed {
 		p.OnData()
 	}
 }
 
-// Bytes returns what may be taken; it is good until Took.
-func (p *Pipe) Bytes() []byte { return p.buf }
+// Bytes returns the bytes that are not consumed yet. They are valid until the next call of Append, Consume or CloseRead.
+func (p *Pipe) Bytes() []byte { return p.unread }
 
-// Consume tells how many bytes of Next were taken.
+// Consume removes the first n bytes that Bytes returns.
 func (p *Pipe) Consume(n int) {
 	if n == 0 {
 		return
 	}
-	p.taken += int64(n)
-	if p.buf = p.buf[n:]; len(p.buf) == 0 {
-		if cap(p.room) > p.most { // of what came before the pipe was there
-			p.room = nil
+	p.consumed += int64(n)
+	if p.unread = p.unread[n:]; len(p.unread) == 0 {
+		if cap(p.storage) > p.window { // it held a part that was read before the pipe existed
+			p.storage = nil
 		}
-		p.buf = p.room[:0]
+		p.unread = p.storage[:0]
 	}
 	if p.OnFreeSpace != nil {
 		p.OnFreeSpace()
 	}
 }
 
-// HasConsumed tells whether any byte has been: what was is not to be had again.
-func (p *Pipe) HasConsumed() bool { return p.taken > 0 }
+// HasConsumed reports whether any byte was consumed. The pipe does not keep consumed bytes, so the body can't be sent again
+// from its start.
+func (p *Pipe) HasConsumed() bool { return p.consumed > 0 }
 
-// IsComplete tells whether all has come and been taken.
-func (p *Pipe) IsComplete() bool { return p.whole && len(p.buf) == 0 }
+// IsComplete reports whether the whole body was appended and consumed.
+func (p *Pipe) IsComplete() bool { return p.isComplete && len(p.unread) == 0 }
 
-// IsTruncated tells whether it has ended before its end.
-func (p *Pipe) IsTruncated() bool { return p.broken }
+// IsTruncated reports whether the writer has closed before the last byte of the body. Bytes may still be unread.
+func (p *Pipe) IsTruncated() bool { return p.isTruncated }
 
-// CloseRead tells that nobody takes any more. It is safe on nil.
+// CloseRead discards the unread bytes and all that are appended later, and calls OnFreeSpace. Only the first call has an
+// effect. It is safe on nil.
 func (p *Pipe) CloseRead() {
-	if p == nil || p.dropped {
+	if p == nil || p.isReadClosed {
 		return
 	}
-	p.dropped, p.room, p.buf, p.OnData = true, nil, nil, nil
+	p.isReadClosed, p.storage, p.unread, p.OnData = true, nil, nil, nil
 	if p.OnFreeSpace != nil {
 		p.OnFreeSpace()
 	}
 }
 
-// IsReadClosed tells whether nobody takes any more.
-func (p *Pipe) IsReadClosed() bool { return p.dropped }
+// IsReadClosed reports whether the reader has closed.
+func (p *Pipe) IsReadClosed() bool { return p.isReadClosed }
--- a/internal/net/flow/flow_test.go
+++ b/internal/net/flow/flow_test.go
@@ -7,25 +7,26 @@
 	"pgregory.net/rapid"
 )
 
-// However pieces are put and taken, all comes out once and in order, and the window holds.
-func TestAllComesOutInOrder(t *testing.T) {
+// However a body is split when it is appended and consumed, it comes out once and in order, and the pipe never holds more
+// than its window.
+func TestBodyPassesInOrderWithinWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		window := rapid.IntRange(1, 20).Draw(t, "window")
 		body := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "body")
 		p := New(window, int64(len(body)))
 		var got []byte
-		told := 0
-		p.OnData = func() { told++ }
-		for left := body; ; {
-			if n := min(rapid.IntRange(0, 30).Draw(t, "put"), p.FreeSpace(), len(left)); n > 0 {
-				p.Append(left[:n])
-				left = left[n:]
+		calls := 0
+		p.OnData = func() { calls++ }
+		for rest := body; ; {
+			if n := min(rapid.IntRange(0, 30).Draw(t, "append"), p.FreeSpace(), len(rest)); n > 0 {
+				p.Append(rest[:n])
+				rest = rest[n:]
 			}
 			require.LessOrEqual(t, len(p.Bytes()), window)
-			if len(left) == 0 {
+			if len(rest) == 0 {
 				p.CloseWrite(true)
 			}
-			n := min(rapid.IntRange(0, 30).Draw(t, "take"), len(p.Bytes()))
+			n := min(rapid.IntRange(0, 30).Draw(t, "consume"), len(p.Bytes()))
 			got = append(got, p.Bytes()[:n]...)
 			p.Consume(n)
 			if p.IsComplete() {
@@ -34,11 +35,11 @@
 		}
 		require.Equal(t, string(body), string(got))
 		require.Equal(t, len(body) > 0, p.HasConsumed())
-		require.Positive(t, told)
+		require.Positive(t, calls)
 	})
 }
 
-func TestABrokenPipeIsNeverWhole(t *testing.T) {
+func TestTruncatedPipeIsNeverComplete(t *testing.T) {
 	p := New(4, -1)
 	p.Append([]byte("ab"))
 	p.CloseWrite(false)
@@ -48,16 +49,17 @@
 	require.False(t, p.IsComplete())
 }
 
-// What is put when nobody takes any more is held nowhere, and the putter is not kept waiting.
-func TestDrop(t *testing.T) {
+// After CloseRead, appended bytes are not kept, and the writer always has free space: it must not wait for a reader that is
+// gone.
+func TestCloseRead(t *testing.T) {
 	p := New(2, -1)
-	room := 0
-	p.OnFreeSpace = func() { room++ }
+	calls := 0
+	p.OnFreeSpace = func() { calls++ }
 	p.Append([]byte("ab"))
 	require.Zero(t, p.FreeSpace())
 	p.CloseRead()
 	p.CloseRead()
-	require.Equal(t, 1, room)
+	require.Equal(t, 1, calls)
 	p.Append([]byte("cd"))
 	require.Empty(t, p.Bytes())
 	require.Equal(t, 2, p.FreeSpace())
--- a/internal/net/http1/http1_test.go
+++ b/internal/net/http1/http1_test.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	headMost = 2048
-	bodyMost = 1024
+	maxHeadSize = 2048
+	maxBodySize = 1024
 )
 
-// requests feeds a text in pieces of a size and returns what came out, printed.
-func requests(text string, size int) (out []string, err error) {
-	p := NewRequestParser(headMost, bodyMost, 0)
+// parseRequests feeds a text in pieces of the given size and returns the requests, formatted.
+func parseRequests(text string, size int) (out []string, err error) {
+	p := NewRequestParser(maxHeadSize, maxBodySize, 0)
 	for len(text) > 0 {
 		n := min(size, len(text))
 		p.Feed([]byte(text[:n]))
@@ -35,24 +35,24 @@
 }
 
 const (
-	plainPost = "POST /api/1?x=%20 HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nRequest-Id:  ab \r\n\r\nhello"
-	chunkPost = "POST / HTTP/1.1\nTransfer-Encoding: Chunked\n\n5;ext=1\r\nhello\r\n1\r\n!\r\n0\r\nTrailer: x\r\n\r\n"
-	oldGet    = "\r\nGET /a HTTP/1.0\r\n\r\n"
+	plainPost   = "POST /api/1?x=%20 HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nRequest-Id:  ab \r\n\r\nhello"
+	chunkedPost = "POST / HTTP/1.1\nTransfer-Encoding: Chunked\n\n5;ext=1\r\nhello\r\n1\r\n!\r\n0\r\nTrailer: x\r\n\r\n"
+	http10Get   = "\r\nGET /a HTTP/1.0\r\n\r\n"
 )
 
-// Bytes come in any split: every one must give the same requests.
-func TestRequestsInAnySplit(t *testing.T) {
-	text := plainPost + chunkPost + oldGet
+// However the input is split, the requests are the same.
+func TestRequestsSplitAnywhere(t *testing.T) {
+	text := plainPost + chunkedPost + http10Get
 	want := []string{`POST /api/1?x=%20 [{Host h} {Content-Length 5} {Request-Id ab}] "hello" false`,
 		`POST / [{Transfer-Encoding Chunked}] "hello!" false`, `GET /a [] "" true`}
 	for size := 1; size <= len(text); size++ {
-		got, err := requests(text, size)
-		require.NoError(t, err, "in pieces of %d", size)
-		require.Equal(t, want, got, "in pieces of %d", size)
+		got, err := parseRequests(text, size)
+		require.NoError(t, err, "pieces of %d bytes", size)
+		require.Equal(t, want, got, "pieces of %d bytes", size)
 	}
 }
 
-func TestMalformedRequestsAreRefused(t *testing.T) {
+func TestMalformedRequests(t *testing.T) {
 	for text, status := range map[string]int{
 		"nonsense\r\n\r\n":                                                                  400,
 		"GET  / HTTP/1.1\r\n\r\n":                                                           400,
@@ -71,10 +71,10 @@
 		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1", 5000): 400,
 		"POST / HTTP/1.1\r\nContent-Length: 1025\r\n\r\n":                                   413,
 		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n401\r\n":                      413,
-		"GET / HTTP/1.1\r\nA: " + strings.Repeat("b", headMost):                             431,
+		"GET / HTTP/1.1\r\nA: " + strings.Repeat("b", maxHeadSize):                          431,
 	} {
 		for _, size := range []int{1, len(text)} {
-			_, err := requests(text, size)
+			_, err := parseRequests(text, size)
 			var pe *ParseError
 			require.ErrorAs(t, err, &pe, "%.60q", text)
 			require.Equal(t, status, pe.Status, "%.60q: %v", text, err)
@@ -82,8 +82,8 @@
 	}
 }
 
-func TestClientThatWaitsIsToldToGoOnOnce(t *testing.T) {
-	p := NewRequestParser(headMost, bodyMost, 0)
+func TestExpectContinueIsReportedOnce(t *testing.T) {
+	p := NewRequestParser(maxHeadSize, maxBodySize, 0)
 	p.Feed([]byte("POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"))
 	r, err := p.Next()
 	require.Nil(t, r)
@@ -96,12 +96,12 @@
 	require.Equal(t, "ok", string(r.Body))
 }
 
-func TestResponsesInAnySplit(t *testing.T) {
+func TestResponsesSplitAnywhere(t *testing.T) {
 	text := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi" +
 		"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" +
 		"HTTP/1.1 204 None\r\nConnection: Keep-Alive, Close\r\n\r\n" + "HTTP/1.1 200 OK\r\n\r\nto the end"
 	for size := 1; size <= len(text); size++ {
-		p := NewResponseParser(headMost, bodyMost, 0)
+		p := NewResponseParser(maxHeadSize, maxBodySize, 0)
 		var got []string
 		for rest := text; len(rest) > 0; {
 			n := min(size, len(rest))
@@ -116,7 +116,7 @@
 				got = append(got, fmt.Sprintf("%d %q %v", r.Status, r.Body, r.Close))
 			}
 		}
-		require.Equal(t, []string{`200 "hi" false`, `503 "" false`, `204 "" true`}, got, "in pieces of %d", size)
+		require.Equal(t, []string{`200 "hi" false`, `503 "" false`, `204 "" true`}, got, "pieces of %d bytes", size)
 		last := p.FinishAtEOF()
 		require.NotNil(t, last)
 		require.Equal(t, "to the end", string(last.Body))
@@ -124,23 +124,23 @@
 	}
 }
 
-func TestCutOrGarbledResponsesAreNone(t *testing.T) {
-	p := NewResponseParser(headMost, bodyMost, 0)
+func TestTruncatedAndMalformedResponses(t *testing.T) {
+	p := NewResponseParser(maxHeadSize, maxBodySize, 0)
 	p.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut"))
 	r, err := p.Next()
 	require.NoError(t, err)
 	require.Nil(t, r)
-	require.Nil(t, p.FinishAtEOF(), "a sized body that was cut is no answer")
+	require.Nil(t, p.FinishAtEOF(), "a body shorter than its Content-Length is no response")
 	for _, text := range []string{"HTTP/1.1 20 OK\r\n\r\n", "SSH-2.0-x\r\n\r\n", "HTTP/1.1 abc\r\n\r\n"} {
-		p := NewResponseParser(headMost, bodyMost, 0)
+		p := NewResponseParser(maxHeadSize, maxBodySize, 0)
 		p.Feed([]byte(text))
 		_, err := p.Next()
 		require.Error(t, err, text)
 	}
 }
 
-func TestABodyIsReadAsItComes(t *testing.T) {
-	p := NewResponseParser(headMost, bodyMost, 0)
+func TestTakePartialBody(t *testing.T) {
+	p := NewResponseParser(maxHeadSize, maxBodySize, 0)
 	p.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab\n\r\n2\r\nc"))
 	_, err := p.Next()
 	require.NoError(t, err)
@@ -154,11 +154,11 @@
 	require.Equal(t, "\n", string(body))
 }
 
-func TestWhatIsWrittenIsReadBack(t *testing.T) {
-	got, err := requests(string(AppendRequest(nil, "POST", "/a?b=c", "h", Headers{{"X", "y"}}, []byte("body"))), 7)
+func TestWrittenMessagesAreParsedBack(t *testing.T) {
+	got, err := parseRequests(string(AppendRequest(nil, "POST", "/a?b=c", "h", Headers{{"X", "y"}}, []byte("body"))), 7)
 	require.NoError(t, err)
 	require.Equal(t, []string{`POST /a?b=c [{Host h} {X y} {Content-Length 4}] "body" false`}, got)
-	p := NewResponseParser(headMost, bodyMost, 0)
+	p := NewResponseParser(maxHeadSize, maxBodySize, 0)
 	p.Feed(AppendResponse(nil, 429, Headers{{"Retry-After", "1"}}, []byte("no"), true, false))
 	r, err := p.Next()
 	require.NoError(t, err)
@@ -167,52 +167,52 @@
 	require.True(t, r.Close)
 }
 
-// FuzzRequests: whatever comes, and however split, the outcome is the same and bounded.
+// FuzzRequests checks that the result does not depend on how the input is split.
 func FuzzRequests(f *testing.F) {
-	for _, s := range []string{plainPost, chunkPost, oldGet, "GET / HTTP/1.1\r\n\r\n" + plainPost, "\n\n\n"} {
+	for _, s := range []string{plainPost, chunkedPost, http10Get, "GET / HTTP/1.1\r\n\r\n" + plainPost, "\n\n\n"} {
 		f.Add(s, 3)
 	}
 	f.Fuzz(func(t *testing.T, text string, size int) {
-		whole, err := requests(text, len(text)+1)
-		split, errSplit := requests(text, max(1, size%64))
+		whole, err := parseRequests(text, len(text)+1)
+		split, errSplit := parseRequests(text, max(1, size%64))
 		require.Equal(t, whole, split)
 		require.Equal(t, err == nil, errSplit == nil)
 	})
 }
 
-// FuzzResponses must not panic, nor hold more than the bounds.
+// FuzzResponses checks that the parser neither panics nor returns a body over its limit.
 func FuzzResponses(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
 	f.Add("HTTP/1.1 200 OK\r\n\r\nx")
 	f.Fuzz(func(t *testing.T, text string) {
-		p := NewResponseParser(headMost, bodyMost, 0)
+		p := NewResponseParser(maxHeadSize, maxBodySize, 0)
 		p.Feed([]byte(text))
 		for range len(text) + 1 {
 			r, err := p.Next()
 			if err != nil || r == nil {
 				break
 			}
-			require.LessOrEqual(t, len(r.Body), bodyMost)
+			require.LessOrEqual(t, len(r.Body), maxBodySize)
 		}
 		p.FinishAtEOF()
 	})
 }
 
-// What was sent ahead stays where it is while the messages before it are taken: to move it for each would
-// cost the square of their number. And an idle connection keeps no large buffer.
-func TestMessagesSentAheadAreNotMoved(t *testing.T) {
+// Pipelined requests stay in place in the buffer while those before them are parsed: moving them for each request would cost
+// time quadratic in their number. Afterwards, ReleaseIdleBuffers frees the large buffer.
+func TestPipelinedMessagesAreNotMoved(t *testing.T) {
 	p := NewRequestParser(1<<10, 1<<10, 0)
 	text := "GET /a HTTP/1.1\r\nX: y\r\n\r\n"
 	p.Feed([]byte(strings.Repeat(text, 1000)))
-	last := &p.buf[len(p.buf)-1]
+	last := &p.unparsed[len(p.unparsed)-1]
 	for i := range 1000 {
 		req, err := p.Next()
 		require.NoError(t, err)
 		require.Equal(t, "/a", req.Target)
 		if i < 999 {
-			require.Same(t, last, &p.buf[len(p.buf)-1])
+			require.Same(t, last, &p.unparsed[len(p.unparsed)-1])
 		}
 	}
 	p.ReleaseIdleBuffers()
-	require.Nil(t, p.room)
+	require.Nil(t, p.storage)
 }
--- /dev/null
+++ b/internal/net/http1/reader.go
@@ -0,0 +1,331 @@
+package http1
+
+import (
+	"bytes"
+	"strconv"
+	"strings"
+)
+
+// bodyFraming is how the end of a body that is read is recognized. It is part of RequestParserState as a number.
+type bodyFraming int
+
+const (
+	lengthFraming  bodyFraming = iota // after Content-Length bytes, or at once if there is no body
+	chunkedFraming                    // after the last chunk and its trailers
+	closeFraming                      // when the connection is closed
+)
+
+// reader is the part that both parsers share: it buffers input and reads heads and bodies.
+type reader struct {
+	// maxHead bounds the start line with the fields, and the trailers; maxBody bounds the body. Both are in bytes.
+	maxHead, maxBody int
+	streamThreshold  int // a body of more bytes is streamed; 0: none is
+
+	storage        []byte // the memory that unparsed is a part of
+	unparsed       []byte
+	scanned        int  // bytes of unparsed known to contain no end of a head, or no end of a chunk line
+	inBody         bool // the head is read, the body is not complete
+	framing        bodyFraming
+	bytesLeft      int // of a body with a length, or of the current chunk without its CRLF
+	chunkState     chunkState
+	body           []byte
+	bytesDelivered int  // body bytes that a streamed message has handed out and body no longer holds
+	isStreaming    bool // the message is handed out, the rest of its body follows in parts
+	isBodyComplete bool // the body was already complete when the streamed message was handed out
+	trailerBytes   int
+}
+
+// chunkState is the part of a chunked body that is read next. It is part of RequestParserState as a number.
+type chunkState int
+
+const (
+	chunkSizeLine chunkState = iota
+	chunkData
+	chunkDataEnd // the CRLF after the data
+	chunkTrailers
+)
+
+// Feed copies received bytes into the parser. The space of parsed bytes is reclaimed only here and not after each message:
+// with hundreds of pipelined messages, each one would move all the others.
+func (r *reader) Feed(b []byte) {
+	switch capacity := cap(r.storage); {
+	case len(b) <= cap(r.unparsed)-len(r.unparsed):
+		r.unparsed = append(r.unparsed, b...)
+		return
+	case len(r.unparsed)+len(b) > capacity:
+		r.storage = make([]byte, 0, max(len(r.unparsed)+len(b), 2*capacity))
+	}
+	r.unparsed = append(append(r.storage[:0], r.unparsed...), b...)
+}
+
+// maxIdleBuffer is the size in bytes up to which a buffer is kept while its connection is idle.
+const maxIdleBuffer = 4 << 10
+
+// ReleaseIdleBuffers frees buffers that a long message made larger than maxIdleBuffer. It is for a connection that becomes
+// idle. The Body of the last message must not be used afterwards.
+func (r *reader) ReleaseIdleBuffers() {
+	if len(r.unparsed) == 0 && cap(r.storage) > maxIdleBuffer {
+		r.storage, r.unparsed = nil, nil
+	}
+	if !r.inBody && cap(r.body) > maxIdleBuffer {
+		r.body = nil
+	}
+}
+
+// Buffered returns how many bytes are fed and not parsed yet.
+func (r *reader) Buffered() int { return len(r.unparsed) }
+
+// DiscardBuffered discards the bytes that are not parsed yet and returns how many they were.
+func (r *reader) DiscardBuffered() int {
+	n := len(r.unparsed)
+	r.consume(n)
+	return n
+}
+
+// BodyBytesRead returns how many bytes of the current message's body have been read.
+func (r *reader) BodyBytesRead() int { return r.bytesDelivered + len(r.body) }
+
+// HasMessageStarted reports whether a message is being read or unparsed bytes remain.
+func (r *reader) HasMessageStarted() bool { return r.inBody || len(r.unparsed) > 0 }
+
+// consume removes the first n unparsed bytes.
+func (r *reader) consume(n int) {
+	if r.unparsed = r.unparsed[n:]; len(r.unparsed) == 0 {
+		r.unparsed = r.storage[:0]
+	}
+	r.scanned = 0
+}
+
+// readHead returns the start line and the fields once the head is complete; until then ok is false. It accepts bare line
+// feeds as line ends and skips empty lines before the start line.
+func (r *reader) readHead() (start string, h Headers, ok bool, err error) {
+	for len(r.unparsed) > 0 && r.scanned == 0 && (r.unparsed[0] == '\r' || r.unparsed[0] == '\n') {
+		r.consume(1)
+	}
+	from := max(0, r.scanned-3) // the separator may begin in the bytes scanned before
+	end, separator := bytes.Index(r.unparsed[from:], []byte("\r\n\r\n")), 4
+	if i := bytes.Index(r.unparsed[from:], []byte("\n\n")); i >= 0 && (end < 0 || i < end) {
+		end, separator = i, 2
+	}
+	if end < 0 {
+		r.scanned = len(r.unparsed)
+		if len(r.unparsed) > r.maxHead {
+			return "", nil, false, newParseError(431, "head over %d bytes", r.maxHead)
+		}
+		return "", nil, false, nil
+	}
+	if end += from; end > r.maxHead {
+		return "", nil, false, newParseError(431, "head over %d bytes", r.maxHead)
+	}
+	text := string(r.unparsed[:end])
+	r.consume(end + separator)
+	start, rest, _ := strings.Cut(text, "\n")
+	start = strings.TrimSuffix(start, "\r")
+	h = make(Headers, 0, 12)
+	for rest != "" {
+		var line string
+		line, rest, _ = strings.Cut(rest, "\n")
+		line = strings.TrimSuffix(line, "\r")
+		name, value, found := strings.Cut(line, ":")
+		if !found || !isToken(name) {
+			return "", nil, false, newParseError(400, "malformed header line")
+		}
+		value = strings.Trim(value, " \t")
+		if strings.ContainsAny(value, "\r\x00") {
+			return "", nil, false, newParseError(400, "malformed header value")
+		}
+		h = append(h, Header{name, value})
+	}
+	return start, h, true, nil
+}
+
+// isToken reports whether s is a token of HTTP. Field names with a blank before the colon or at the start are not: they are
+// used for request smuggling.
+func isToken(s string) bool {
+	for i := 0; i < len(s); i++ {
+		if c := s[i]; c <= ' ' || c >= 0x7f || strings.IndexByte(`()<>@,;:\"/[]?={}`, c) >= 0 {
+			return false
+		}
+	}
+	return s != ""
+}
+
+// startBody determines from the fields how the body ends and resets the state of the body. closesWithoutLength says that a
+// body without a declared length ends with the connection; otherwise there is no body then. A message with both a length and
+// a transfer coding, or with two lengths, is an error: another recipient may choose the other one.
+func (r *reader) startBody(h Headers, closesWithoutLength bool) error {
+	r.inBody, r.body, r.bytesLeft, r.chunkState, r.trailerBytes, r.bytesDelivered, r.isStreaming, r.isBodyComplete = true, r.body[:0], 0, chunkSizeLine, 0, 0, false, false
+	r.framing = lengthFraming
+	length, isChunked := "", false
+	for i := range h {
+		switch {
+		case strings.EqualFold(h[i].Name, "Content-Length"):
+			if length != "" && length != h[i].Value {
+				return newParseError(400, "conflicting Content-Length fields")
+			}
+			length = h[i].Value
+		case strings.EqualFold(h[i].Name, "Transfer-Encoding"):
+			if isChunked || !strings.EqualFold(h[i].Value, "chunked") {
+				return newParseError(400, "unsupported transfer coding %q", h[i].Value)
+			}
+			isChunked = true
+		}
+	}
+	switch {
+	case isChunked && length != "":
+		return newParseError(400, "both Content-Length and Transfer-Encoding")
+	case isChunked:
+		r.framing = chunkedFraming
+	case length != "":
+		n, err := strconv.ParseUint(length, 10, 31)
+		if err != nil || length[0] == '+' {
+			return newParseError(400, "malformed Content-Length")
+		}
+		if int(n) > r.maxBody {
+			return newParseError(413, "body over %d bytes", r.maxBody)
+		}
+		r.bytesLeft = int(n)
+	case closesWithoutLength:
+		r.framing = closeFraming
+	}
+	return nil
+}
+
+// readBody moves the available bytes of the body from unparsed to body and reports whether the body is complete. A body
+// with closeFraming is never complete here: only the end of the connection completes it.
+func (r *reader) readBody() (bool, error) {
+	switch r.framing {
+	case lengthFraming:
+		r.moveToBody()
+		return r.bytesLeft == 0, nil
+	case closeFraming:
+		r.bytesLeft = len(r.unparsed)
+		r.moveToBody()
+		if r.bytesDelivered+len(r.body) > r.maxBody {
+			return false, newParseError(413, "body over %d bytes", r.maxBody)
+		}
+		return false, nil
+	}
+	for {
+		switch r.chunkState {
+		case chunkData:
+			if r.moveToBody(); r.bytesLeft > 0 {
+				return false, nil
+			}
+			r.chunkState = chunkDataEnd
+		default:
+			line, ok, err := r.readChunkLine()
+			if !ok || err != nil {
+				return false, err
+			}
+			switch r.chunkState {
+			case chunkDataEnd:
+				if line != "" {
+					return false, newParseError(400, "chunk data without CRLF")
+				}
+				r.chunkState = chunkSizeLine
+			case chunkTrailers:
+				if r.trailerBytes += len(line); r.trailerBytes > r.maxHead {
+					return false, newParseError(431, "trailers over %d bytes", r.maxHead)
+				}
+				if line == "" {
+					return true, nil
+				}
+			case chunkSizeLine:
+				digits, _, _ := strings.Cut(line, ";")
+				digits = strings.TrimRight(digits, " \t")
+				n, err := strconv.ParseUint(digits, 16, 31)
+				if err != nil || digits[0] == '+' {
+					return false, newParseError(400, "malformed chunk size")
+				}
+				if r.bytesDelivered+len(r.body)+int(n) > r.maxBody {
+					return false, newParseError(413, "body over %d bytes", r.maxBody)
+				}
+				if r.bytesLeft, r.chunkState = int(n), chunkData; n == 0 {
+					r.chunkState = chunkTrailers
+				}
+			}
+		}
+	}
+}
+
+// moveToBody moves up to bytesLeft bytes from unparsed to body.
+func (r *reader) moveToBody() {
+	n := min(r.bytesLeft, len(r.unparsed))
+	r.body = append(r.body, r.unparsed[:n]...)
+	r.bytesLeft -= n
+	r.consume(n)
+}
+
+// readChunkLine returns the next line of a chunked body without its CRLF; until it is complete it returns false.
+func (r *reader) readChunkLine() (string, bool, error) {
+	i := bytes.IndexByte(r.unparsed[r.scanned:], '\n')
+	if i < 0 {
+		if r.scanned = len(r.unparsed); r.scanned > 4096 {
+			return "", false, newParseError(400, "chunk line over 4096 bytes")
+		}
+		return "", false, nil
+	}
+	line, ok := strings.CutSuffix(string(r.unparsed[:r.scanned+i]), "\r")
+	if !ok { // recipients differ on whether a bare line feed ends a chunk line, so they would see different messages
+		return "", false, newParseError(400, "chunk line without CR")
+	}
+	r.consume(r.scanned + i + 1)
+	return line, true, nil
+}
+
+// shouldStream reports whether the body that is being read is longer than streamThreshold, so that its message is to be
+// handed out before the body is complete.
+func (r *reader) shouldStream() bool {
+	return r.streamThreshold > 0 && !r.isStreaming && (len(r.body) > r.streamThreshold || r.framing == lengthFraming && r.bytesLeft+len(r.body) > r.streamThreshold)
+}
+
+// contentLength returns the length of the whole body in bytes, -1 if it is not known in advance.
+func (r *reader) contentLength() int64 {
+	if r.framing != lengthFraming {
+		return -1
+	}
+	return int64(r.bytesDelivered + len(r.body) + r.bytesLeft)
+}
+
+// NextBodyPart returns the bytes of a streamed body that arrived since the message or the previous part was handed out, and
+// whether they end the body. They are valid until the next call of the parser.
+func (r *reader) NextBodyPart() (b []byte, isLast bool, err error) {
+	r.bytesDelivered += len(r.body)
+	r.body = r.body[:0]
+	if isLast = r.isBodyComplete; !isLast {
+		isLast, err = r.readBody()
+	}
+	if isLast {
+		r.inBody, r.isStreaming = false, false
+	}
+	return r.body, isLast, err
+}
+
+// TakeRawBody lets received bytes that were not fed bypass the parser. It returns how many leading bytes of b are the next
+// bytes of a streamed body and counts them as handed out; the caller passes these on itself and feeds the rest. It returns 0
+// if the bytes have to be parsed, as those of a chunked body.
+func (r *reader) TakeRawBody(b []byte) (n int) {
+	if !r.isStreaming || r.isBodyComplete || len(r.unparsed) > 0 || r.framing == chunkedFraming {
+		return 0
+	}
+	if n = len(b); r.framing == lengthFraming {
+		n = min(n, r.bytesLeft)
+		r.bytesLeft -= n
+	}
+	if n = min(n, r.maxBody-r.bytesDelivered-len(r.body)); n < 0 {
+		return 0
+	}
+	r.bytesDelivered += n
+	return n
+}
+
+// ReleaseBodyBuffers frees the buffers between two parts of a streamed body, as far as they hold no unparsed bytes. The part
+// returned last must not be used afterwards.
+func (r *reader) ReleaseBodyBuffers() {
+	if len(r.unparsed) == 0 && r.scanned == 0 {
+		r.storage, r.unparsed = nil, nil
+	}
+	r.bytesDelivered += len(r.body)
+	r.body = nil
+}
--- a/internal/net/http1/response.go
+++ b/internal/net/http1/response.go
@@ -5,22 +5,24 @@
 	"strings"
 )
 
-// ResponseParser reads the responses of one connection.
+// ResponseParser parses the responses of one connection.
 type ResponseParser struct {
 	reader
-	resp *Response
+	response *Response // its head is read, its body is not complete; nil once handed out
 }
 
-// NewResponseParser bounds heads and bodies. A good answer's body longer than keep is handed on while it comes,
-// and of any other one's that is so long only the beginning; 0: all are read whole.
-func NewResponseParser(headMost, bodyMost, keep int) *ResponseParser {
-	return &ResponseParser{reader: reader{headMost: headMost, bodyMost: bodyMost, keep: keep}}
+// NewResponseParser returns a parser that refuses heads and bodies over the given sizes. If a body is longer than
+// streamThreshold, a response with status 200 is streamed, and of any other one only the beginning of the body is returned;
+// 0: all bodies are read in full. All are in bytes.
+func NewResponseParser(maxHead, maxBody, streamThreshold int) *ResponseParser {
+	return &ResponseParser{reader: reader{maxHead: maxHead, maxBody: maxBody, streamThreshold: streamThreshold}}
 }
 
-// Next returns the next response, or nil as long as there is none. After an open one, Pull goes on until its end.
+// Next returns the next response, or nil if more input is needed. Interim responses (status below 200) are skipped. After a
+// streamed response, NextBodyPart must be called until its end before Next. The error is a *ParseError.
 func (p *ResponseParser) Next() (*Response, error) {
 	for !p.inBody {
-		start, h, ok, err := p.head()
+		start, h, ok, err := p.readHead()
 		if !ok || err != nil {
 			return nil, err
 		}
@@ -28,77 +30,81 @@
 		code, _, _ := strings.Cut(rest, " ")
 		status, err := strconv.Atoi(code)
 		if err != nil || len(code) != 3 || status < 100 || proto != "HTTP/1.1" && proto != "HTTP/1.0" {
-			return nil, bad(502, "malformed status line")
+			return nil, newParseError(502, "malformed status line")
 		}
-		if status < 200 { // an interim response: the real one follows
+		if status < 200 {
 			continue
 		}
-		if err := p.frame(h, status != 204 && status != 304); err != nil {
+		if err := p.startBody(h, status != 204 && status != 304); err != nil {
 			return nil, err
 		}
 		if status == 204 || status == 304 {
-			p.framing, p.left = sized, 0
+			p.framing, p.bytesLeft = lengthFraming, 0
 		}
-		p.resp = &Response{Status: status, Headers: h, Close: p.framing == untilClose ||
+		p.response = &Response{Status: status, Headers: h, Close: p.framing == closeFraming ||
 			h.hasToken("Connection", "close") || proto == "HTTP/1.0" && !h.hasToken("Connection", "keep-alive")}
 	}
-	whole, err := p.more()
+	isComplete, err := p.readBody()
 	switch {
 	case err != nil:
 		return nil, err
-	case whole:
-		return p.done(), nil
-	case p.long() && p.resp.Status != 200: // nobody reads it: the connection is not worth the rest
-		p.resp.Close = true
-		return p.done(), nil
-	case p.long():
+	case isComplete:
+		return p.finishResponse(), nil
+	case p.shouldStream() && p.response.Status != 200: // the rest is not needed, and not worth reading for the connection's sake
+		p.response.Close = true
+		return p.finishResponse(), nil
+	case p.shouldStream():
 		return p.StartStreaming(), nil
 	}
 	return nil, nil
 }
 
-// StartStreaming returns a response of which the body has not wholly come, open, as if it were a long one. It is for one of
-// which nobody can tell how long it will be. Without a head it is nil.
+// StartStreaming returns the response that is being read as a streamed one, whatever the length of its body so far. It is for
+// a body of unknown length, see HasUnknownLength. It returns nil if no head is read or the response is streamed already.
 func (p *ResponseParser) StartStreaming() *Response {
-	if p.resp == nil || p.open {
+	if p.response == nil || p.isStreaming {
 		return nil
 	}
-	resp := p.resp
-	p.resp, p.open = nil, true
-	resp.Body, resp.IsStreamed, resp.ContentLength = p.body, true, p.length()
-	return resp
+	response := p.response
+	p.response, p.isStreaming = nil, true
+	response.Body, response.IsStreamed, response.ContentLength = p.body, true, p.contentLength()
+	return response
 }
 
-// HasUnknownLength tells whether a good answer's body is being read of which nobody can tell how long it will be.
+// HasUnknownLength reports whether a response with status 200 is being read whose length is not known in advance and that is
+// not streamed yet.
 func (p *ResponseParser) HasUnknownLength() bool {
-	return p.inBody && !p.open && p.framing != sized && p.resp != nil && p.resp.Status == 200
+	return p.inBody && !p.isStreaming && p.framing != lengthFraming && p.response != nil && p.response.Status == 200
 }
 
-func (p *ResponseParser) done() *Response {
-	resp := p.resp
-	resp.ContentLength = p.length()
-	p.inBody, p.resp, resp.Body = false, nil, p.body
-	return resp
+// finishResponse returns the response that is being read with what has been read of its body.
+func (p *ResponseParser) finishResponse() *Response {
+	response := p.response
+	response.ContentLength = p.contentLength()
+	p.inBody, p.response, response.Body = false, nil, p.body
+	return response
 }
 
-// EndsWithConnection tells whether an open body ends with its connection, which has just ended in an orderly way.
-func (p *ResponseParser) EndsWithConnection() bool { return p.open && p.framing == untilClose }
+// EndsWithConnection reports whether a streamed body is complete when its connection is closed. It is to be called when the
+// server has closed the connection in an orderly way.
+func (p *ResponseParser) EndsWithConnection() bool { return p.isStreaming && p.framing == closeFraming }
 
-// FinishAtEOF is told that the connection has ended; it returns the response that this completes, if any.
+// FinishAtEOF returns the response that the end of the connection completes, nil if there is none. It is to be called when
+// the server has closed the connection, and not while a streamed body is read; see EndsWithConnection.
 func (p *ResponseParser) FinishAtEOF() *Response {
-	if p.inBody && p.framing == untilClose {
-		return p.done()
+	if p.inBody && p.framing == closeFraming {
+		return p.finishResponse()
 	}
 	return nil
 }
 
-// TakePartialBody takes what has come so far of a body that is read as it comes, and its status; 0 before
-// the head is whole.
+// TakePartialBody returns the status of the response that is being read, and the bytes of its body that arrived since the last
+// call. The status is 0 until the head is complete.
 func (p *ResponseParser) TakePartialBody() (status int, body []byte) {
-	if p.resp == nil {
+	if p.response == nil {
 		return 0, nil
 	}
 	body = p.body
 	p.body = nil
-	return p.resp.Status, body
+	return p.response.Status, body
 }
--- a/internal/net/http1/state_test.go
+++ b/internal/net/http1/state_test.go
@@ -6,21 +6,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A parser that is taken apart after any byte and put together elsewhere reads the same requests.
-func TestAParserGoesOnElsewhere(t *testing.T) {
+// A parser whose state is taken after any byte and restored into another parser returns the same requests.
+func TestRestoredParserContinues(t *testing.T) {
 	text := "POST /a?b HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello" +
 		"POST /c HTTP/1.1\r\nTransfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\n" +
 		"GET /d HTTP/1.1\r\nConnection: close\r\n\r\n"
-	read := func(p *RequestParser, to []string) []string {
+	read := func(p *RequestParser, requests []string) []string {
 		for {
 			r, err := p.Next()
 			require.NoError(t, err)
 			if r == nil {
-				return to
+				return requests
 			}
-			to = append(to, r.Method+r.Target+string(r.Body)+r.Headers.Get("Host"))
+			requests = append(requests, r.Method+r.Target+string(r.Body)+r.Headers.Get("Host"))
 			if r.Close {
-				to = append(to, "close")
+				requests = append(requests, "close")
 			}
 		}
 	}
@@ -28,15 +28,15 @@
 		p := NewRequestParser(1000, 1000, 0)
 		p.Feed([]byte(text[:cut]))
 		got := read(p, nil)
-		next, err := RestoreRequestParser(p.State(), 1000, 1000, 0)
+		restored, err := RestoreRequestParser(p.State(), 1000, 1000, 0)
 		require.NoError(t, err)
-		require.Equal(t, p.TakeExpectContinue(), next.TakeExpectContinue())
-		next.Feed([]byte(text[cut:]))
-		require.Equal(t, []string{"POST/a?bhelloh", "POST/cabcde", "GET/d", "close"}, read(next, got), "cut at %d", cut)
+		require.Equal(t, p.TakeExpectContinue(), restored.TakeExpectContinue())
+		restored.Feed([]byte(text[cut:]))
+		require.Equal(t, []string{"POST/a?bhelloh", "POST/cabcde", "GET/d", "close"}, read(restored, got), "state after %d bytes", cut)
 	}
 }
 
-func TestAStateThatNoParserCanBeIn(t *testing.T) {
+func TestInconsistentStateIsRefused(t *testing.T) {
 	for _, s := range []RequestParserState{{Scanned: 1}, {BytesLeft: -1}, {InBody: true}, {HasStartLine: true}, {Framing: 2}, {Framing: -1}, {ChunkState: 9},
 		{TrailerBytes: -1}, {Body: make([]byte, 2000)}, {BytesLeft: 2000}} {
 		_, err := RestoreRequestParser(s, 1000, 1000, 0)
--- a/internal/net/http1/write.go
+++ b/internal/net/http1/write.go
@@ -5,34 +5,35 @@
 	"strconv"
 )
 
-// AppendRequest appends a request. A body goes with its length, as does the empty one of a method
-// that usually has one.
+// AppendRequest appends a whole request to b. It adds Host, and Content-Length if there is a body or the method usually has
+// one; h must contain neither.
 func AppendRequest(b []byte, method, target, host string, h Headers, body []byte) []byte {
-	b = appendLine(b, method, target, host, h)
+	b = appendRequestStart(b, method, target, host, h)
 	if len(body) > 0 || method == "POST" || method == "PUT" || method == "PATCH" {
-		b = appendLength(b, int64(len(body)))
+		b = appendContentLength(b, int64(len(body)))
 	}
 	b = append(b, "\r\n"...)
 	return append(b, body...)
 }
 
-// AppendRequestHead appends the head of a request whose body follows; where no length is told ahead (below 0), in
-// chunks.
+// AppendRequestHead appends the head of a request whose body the caller appends later. length is that of the body in bytes;
+// if it is negative, the body is sent in chunks.
 func AppendRequestHead(b []byte, method, target, host string, h Headers, length int64) []byte {
-	b = appendLine(b, method, target, host, h)
+	b = appendRequestStart(b, method, target, host, h)
 	if length >= 0 {
-		return append(appendLength(b, length), "\r\n"...)
+		return append(appendContentLength(b, length), "\r\n"...)
 	}
 	return append(b, "Transfer-Encoding: chunked\r\n\r\n"...)
 }
 
-func appendLength(b []byte, n int64) []byte {
+// appendContentLength appends the field Content-Length.
+func appendContentLength(b []byte, n int64) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, n, 10)
 	return append(b, "\r\n"...)
 }
 
-// AppendChunk appends one chunk, none for no bytes: an empty one would be the last.
+// AppendChunk appends one chunk of a body. It appends nothing for empty data, because an empty chunk would end the body.
 func AppendChunk(b, data []byte) []byte {
 	if len(data) == 0 {
 		return b
@@ -42,56 +43,58 @@
 	return append(append(b, data...), "\r\n"...)
 }
 
-// AppendLastChunk appends the end of a body in chunks.
+// AppendLastChunk appends the end of a chunked body, without trailers.
 func AppendLastChunk(b []byte) []byte { return append(b, "0\r\n\r\n"...) }
 
-// Framing is how a body that is written while it comes will end.
+// Framing is how the end of a body that is written in parts is marked.
 type Framing int
 
 const (
-	FramedByLength Framing = iota // told ahead
-	FramedByChunks                // with an empty chunk
-	FramedByClose                 // with the connection
+	FramedByLength Framing = iota // by Content-Length
+	FramedByChunks                // by an empty chunk
+	FramedByClose                 // by closing the connection
 )
 
-// AppendResponseHead appends the head of a response whose body follows.
-func AppendResponseHead(b []byte, status int, h Headers, length int64, f Framing, closing bool) []byte {
-	b = appendStatus(b, status, h, closing)
-	switch f {
+// AppendResponseHead appends the head of a response whose body the caller appends later. length is used with FramedByLength
+// only; isClosing adds "Connection: close".
+func AppendResponseHead(b []byte, status int, h Headers, length int64, framing Framing, isClosing bool) []byte {
+	b = appendResponseStart(b, status, h, isClosing)
+	switch framing {
 	case FramedByLength:
-		b = appendLength(b, length)
+		b = appendContentLength(b, length)
 	case FramedByChunks:
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	}
 	return append(b, "\r\n"...)
 }
 
-// AppendResponse appends a response with its length. The body of an answer to HEAD is left out.
-func AppendResponse(b []byte, status int, h Headers, body []byte, closing, head bool) []byte {
-	b = appendStatus(b, status, h, closing)
-	b = append(appendLength(b, int64(len(body))), "\r\n"...)
-	if head {
+// AppendResponse appends a whole response with its Content-Length. isClosing adds "Connection: close"; isHead leaves out the
+// body, as for a response to a HEAD request.
+func AppendResponse(b []byte, status int, h Headers, body []byte, isClosing, isHead bool) []byte {
+	b = appendResponseStart(b, status, h, isClosing)
+	b = append(appendContentLength(b, int64(len(body))), "\r\n"...)
+	if isHead {
 		return b
 	}
 	return append(b, body...)
 }
 
-// appendStatus appends the status line and the fields that do not frame the body.
-func appendStatus(b []byte, status int, h Headers, closing bool) []byte {
+// appendResponseStart appends the status line and the fields that do not belong to the framing of the body.
+func appendResponseStart(b []byte, status int, h Headers, isClosing bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
 	b = append(b, http.StatusText(status)...)
 	b = append(b, "\r\n"...)
 	b = appendHeaders(b, h)
-	if closing {
+	if isClosing {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	return b
 }
 
-// appendLine appends the request line and the fields that do not frame the body.
-func appendLine(b []byte, method, target, host string, h Headers) []byte {
+// appendRequestStart appends the request line and the fields that do not belong to the framing of the body.
+func appendRequestStart(b []byte, method, target, host string, h Headers) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
 	b = append(b, target...)
@@ -101,6 +104,7 @@
 	return appendHeaders(b, h)
 }
 
+// appendHeaders appends fields, each with its line end.
 func appendHeaders(b []byte, h Headers) []byte {
 	for i := range h {
 		b = append(b, h[i].Name...)
--- a/internal/net/nettest/nettest.go
+++ b/internal/net/nettest/nettest.go
@@ -1,4 +1,5 @@
-// Package nettest is what tests of the network parts share.
+// Package nettest holds helpers for tests of the network packages: servers and addresses on loopback, and running an event
+// loop until a condition holds. Each helper fails the test on an error. The program itself never imports it.
 package nettest
 
 import (
@@ -14,8 +15,8 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Serve listens on loopback for the time of a test, has each connection served by a goroutine of its own, and returns
-// its address.
+// Serve listens on a TCP port of loopback until the end of the test, calls serve for each connection in a goroutine of its
+// own, and returns the address, ip:port. serve has to close the connection.
 func Serve(t *testing.T, serve func(net.Conn)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -32,38 +33,40 @@
 	return ln.Addr().String()
 }
 
-// addressesGiven counts them in this process.
-var addressesGiven atomic.Uint32
+// addressCount is how many addresses FreeAddress has returned in this process.
+var addressCount atomic.Uint32
 
-// FreeAddress returns an address on loopback of which nobody else has the host, so that its port stays free until it is
-// used.
+// FreeAddress returns an unused TCP address, ip:port, on loopback. No other test process running at the same time is meant to
+// use its IP address, which depends on the process id, so the port stays free until the caller listens on it.
 func FreeAddress(t *testing.T) string {
-	n := addressesGiven.Add(1)
+	n := addressCount.Add(1)
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 32+os.Getpid()%192, n>>8, n&255))
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
 	return l.Addr().String()
 }
 
-type still struct{}
+// idleTurner is a Turner that needs no turn.
+type idleTurner struct{}
 
-func (still) Turn(time.Duration) time.Duration { return 0 }
+func (idleTurner) Turn(time.Duration) time.Duration { return 0 }
 
-// Until takes turns of a loop until a condition holds. The loop may be run again.
+// Until runs a loop, on the calling goroutine, until cond holds, which it checks every millisecond. The test fails after 20
+// seconds. The loop may be run again afterwards.
 func Until(t *testing.T, l *loop.Loop, cond func() bool) {
 	t.Helper()
-	end := time.Now().Add(20 * time.Second)
-	var look func()
-	done := false
-	look = func() {
-		if done = cond(); done || time.Now().After(end) {
+	deadline := time.Now().Add(20 * time.Second)
+	var check func()
+	isMet := false
+	check = func() {
+		if isMet = cond(); isMet || time.Now().After(deadline) {
 			l.Stop()
 			return
 		}
-		l.After(time.Millisecond, look)
+		l.After(time.Millisecond, check)
 	}
-	l.After(0, look)
-	require.NoError(t, l.Run(still{}))
+	l.After(0, check)
+	require.NoError(t, l.Run(idleTurner{}))
 	l.ClearStop()
-	require.True(t, done)
+	require.True(t, isMet)
 }
--- a/internal/net/tcpstate/tcpstate.go
+++ b/internal/net/tcpstate/tcpstate.go
@@ -1,5 +1,5 @@
-// Package tcpstate tells in which state the kernel holds a TCP connection, where reading and writing do not. It is owned by
-// whoever calls it, and neither reads nor writes the connection.
+// Package tcpstate queries the kernel for the state of a TCP connection, where reading and writing do not show it. It holds no
+// state of its own and neither reads nor writes the connection.
 package tcpstate
 
 import (
@@ -8,21 +8,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// closed is the kernel's TCP_CLOSE. An orderly end of the other side leaves a connection half open.
-const closed = 7
+// tcpClose is the kernel's state TCP_CLOSE. A connection that the peer has closed in an orderly way is in another one, half
+// open.
+const tcpClose = 7
 
-// WasReset tells whether a connection that this side has not closed was reset by the other, and also where that can't be
-// found out. A reset is reported once only: where a write has got the report, reading ends as if in order.
+// WasReset reports whether the peer has reset a connection that this side has not closed. If the state can't be queried, it
+// returns true. It is needed because the kernel reports a reset as an error once only: after a write has returned it, reading
+// returns an ordinary end of file.
 func WasReset(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return true
 	}
-	state := uint8(closed)
-	_ = raw.Control(func(fd uintptr) { // on an error the state stays the closed one
+	state := uint8(tcpClose)
+	_ = raw.Control(func(fd uintptr) { // on an error the state stays tcpClose
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			state = info.State
 		}
 	})
-	return state == closed
+	return state == tcpClose
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire walks through messages in protobuf's wire format that are read field by field.
+// Package wire iterates over the fields of messages in the protobuf wire format, for messages that are decoded without
+// generated code. It keeps no state and is owned by its callers.
 package wire
 
 import (
@@ -7,16 +8,18 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Walk reads the fields of b in turn. take reads one it knows and returns the bytes it used, negative where they
-// are cut short, or 0 for a field it does not know, which is skipped. Errors begin with where.
-func Walk(b []byte, where string, take func(protowire.Number, protowire.Type, []byte) (int, error)) error {
+// Walk calls consume for each field of the message b, in order, with the field's number, its type and the bytes after its tag.
+// consume returns how many bytes the field takes; 0 if it does not know the field, which Walk then skips; or a negative error
+// code of protowire, as the Consume functions return it for truncated or malformed input. Walk stops at the first error. It
+// returns an error of consume unchanged; its own errors begin with prefix.
+func Walk(b []byte, prefix string, consume func(protowire.Number, protowire.Type, []byte) (int, error)) error {
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return fmt.Errorf("%stag: %w", where, protowire.ParseError(n))
+			return fmt.Errorf("%stag: %w", prefix, protowire.ParseError(n))
 		}
 		b = b[n:]
-		n, err := take(num, typ, b)
+		n, err := consume(num, typ, b)
 		if err != nil {
 			return err
 		}
@@ -24,7 +27,7 @@
 			n = protowire.ConsumeFieldValue(num, typ, b)
 		}
 		if n < 0 {
-			return fmt.Errorf("%sfield %d: %w", where, num, protowire.ParseError(n))
+			return fmt.Errorf("%sfield %d: %w", prefix, num, protowire.ParseError(n))
 		}
 		b = b[n:]
 	}
