--- a/internal/net/flow/flow.go
+++ b/internal/net/flow/flow.go
@@ -1,6 +1,6 @@
-// Package flow passes a message body on from the connection that it is read from (the writer of a pipe) to the connection
-// that it is written to (its reader), with back-pressure. A pipe is a buffer in memory without I/O of its own. It belongs to
-// the event loop's goroutine, never blocks and is not safe for concurrent use.
+// Package flow passes a message body on from the connection that it is read from (the writer of a pipe) to the
+// connection that it is written to (its reader), with back-pressure. A pipe is a buffer in memory without I/O of its
+// own. It belongs to the event loop's goroutine, never blocks and is not safe for concurrent use.
 package flow
 
 // Pipe buffers the part of a body that has arrived and is not passed on yet. One side calls Append and CloseWrite, the
@@ -8,8 +8,8 @@
 type Pipe struct {
 	// ContentLength is the length of the whole body in bytes, -1 if it is not known in advance.
 	ContentLength int64
-	// OnData is the reader's callback for new bytes and for the end of the body. It runs within Append or CloseWrite. It may
-	// read and consume, but must not append or close the writing side.
+	// OnData is the reader's callback for new bytes and for the end of the body. It runs within Append or CloseWrite.
+	// It may read and consume, but must not append or close the writing side.
 	OnData func()
 	// OnFreeSpace is the writer's callback for free space and for the reader's CloseRead. It runs within Consume or
 	// CloseRead and must not append at once.
@@ -27,8 +27,8 @@
 // New returns an empty pipe. window is in bytes, length is that of the whole body, -1 if it is not known in advance.
 func New(window int, length int64) *Pipe { return &Pipe{window: window, ContentLength: length} }
 
-// FreeSpace returns how many bytes the writer may append to stay within the window. Once the reader has closed it is always
-// the whole window, because appended bytes are discarded.
+// FreeSpace returns how many bytes the writer may append to stay within the window. Once the reader has closed it is
+// always the whole window, because appended bytes are discarded.
 func (p *Pipe) FreeSpace() int {
 	if p.isReadClosed {
 		return p.window
@@ -51,8 +51,8 @@
 	p.notifyReader()
 }
 
-// CloseWrite marks the end of the data. isComplete is false if the body ended before its last byte. Only the first call has
-// an effect.
+// CloseWrite marks the end of the data. isComplete is false if the body ended before its last byte. Only the first call
+// has an effect.
 func (p *Pipe) CloseWrite(isComplete bool) {
 	if p.isComplete || p.isTruncated {
 		return
@@ -67,7 +67,8 @@
 	}
 }
 
-// Bytes returns the bytes that are not consumed yet. They are valid until the next call of Append, Consume or CloseRead.
+// Bytes returns the bytes that are not consumed yet. They are valid until the next call of Append, Consume or
+// CloseRead.
 func (p *Pipe) Bytes() []byte { return p.unread }
 
 // Consume removes the first n bytes that Bytes returns.
@@ -87,8 +88,8 @@
 	}
 }
 
-// HasConsumed reports whether any byte was consumed. The pipe does not keep consumed bytes, so the body can't be sent again
-// from its start.
+// HasConsumed reports whether any byte was consumed. The pipe does not keep consumed bytes, so the body can't be sent
+// again from its start.
 func (p *Pipe) HasConsumed() bool { return p.consumed > 0 }
 
 // IsComplete reports whether the whole body was appended and consumed.
@@ -97,8 +98,8 @@
 // IsTruncated reports whether the writer has closed before the last byte of the body. Bytes may still be unread.
 func (p *Pipe) IsTruncated() bool { return p.isTruncated }
 
-// CloseRead discards the unread bytes and all that are appended later, and calls OnFreeSpace. Only the first call has an
-// effect. It is safe on nil.
+// CloseRead discards the unread bytes and all that are appended later, and calls OnFreeSpace. Only the first call has
+// an effect. It is safe on nil.
 func (p *Pipe) CloseRead() {
 	if p == nil || p.isReadClosed {
 		return
--- a/internal/net/flow/flow_test.go
+++ b/internal/net/flow/flow_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// However a body is split when it is appended and consumed, it comes out once and in order, and the pipe never holds more
-// than its window.
+// However a body is split when it is appended and consumed, it comes out once and in order, and the pipe never holds
+// more than its window.
 func TestBodyPassesInOrderWithinWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		window := rapid.IntRange(1, 20).Draw(t, "window")
@@ -49,8 +49,8 @@
 	require.False(t, p.IsComplete())
 }
 
-// After CloseRead, appended bytes are not kept, and the writer always has free space: it must not wait for a reader that is
-// gone.
+// After CloseRead, appended bytes are not kept, and the writer always has free space: it must not wait for a reader
+// that is gone.
 func TestCloseRead(t *testing.T) {
 	p := New(2, -1)
 	calls := 0
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -1,6 +1,6 @@
-// Package http1 parses and formats HTTP/1.1 messages. The parsers accept input split at any byte and do not scan the same
-// input again for each piece, so their cost is linear. Each parser belongs to one connection and is not safe for concurrent
-// use. The package does no I/O.
+// Package http1 parses and formats HTTP/1.1 messages. The parsers accept input split at any byte and do not scan the
+// same input again for each piece, so their cost is linear. Each parser belongs to one connection and is not safe for
+// concurrent use. The package does no I/O.
 package http1
 
 import (
@@ -36,8 +36,8 @@
 	return n
 }
 
-// hasToken reports whether the comma-separated lists in the fields of that name contain a token, compared without regard to
-// case.
+// hasToken reports whether the comma-separated lists in the fields of that name contain a token, compared without
+// regard to case.
 func (h Headers) hasToken(name, token string) bool {
 	for i := range h {
 		if !strings.EqualFold(h[i].Name, name) {
--- a/internal/net/http1/http1_test.go
+++ b/internal/net/http1/http1_test.go
@@ -198,8 +198,8 @@
 	})
 }
 
-// Pipelined requests stay in place in the buffer while those before them are parsed: moving them for each request would cost
-// time quadratic in their number. Afterwards, ReleaseIdleBuffers frees the large buffer.
+// Pipelined requests stay in place in the buffer while those before them are parsed: moving them for each request would
+// cost time quadratic in their number. Afterwards, ReleaseIdleBuffers frees the large buffer.
 func TestPipelinedMessagesAreNotMoved(t *testing.T) {
 	p := NewRequestParser(1<<10, 1<<10, 0)
 	text := "GET /a HTTP/1.1\r\nX: y\r\n\r\n"
--- a/internal/net/http1/reader.go
+++ b/internal/net/http1/reader.go
@@ -45,8 +45,8 @@
 	chunkTrailers
 )
 
-// Feed copies received bytes into the parser. The space of parsed bytes is reclaimed only here and not after each message:
-// with hundreds of pipelined messages, each one would move all the others.
+// Feed copies received bytes into the parser. The space of parsed bytes is reclaimed only here and not after each
+// message: with hundreds of pipelined messages, each one would move all the others.
 func (r *reader) Feed(b []byte) {
 	switch capacity := cap(r.storage); {
 	case len(b) <= cap(r.unparsed)-len(r.unparsed):
@@ -61,8 +61,8 @@
 // maxIdleBuffer is the size in bytes up to which a buffer is kept while its connection is idle.
 const maxIdleBuffer = 4 << 10
 
-// ReleaseIdleBuffers frees buffers that a long message made larger than maxIdleBuffer. It is for a connection that becomes
-// idle. The Body of the last message must not be used afterwards.
+// ReleaseIdleBuffers frees buffers that a long message made larger than maxIdleBuffer. It is for a connection that
+// becomes idle. The Body of the last message must not be used afterwards.
 func (r *reader) ReleaseIdleBuffers() {
 	if len(r.unparsed) == 0 && cap(r.storage) > maxIdleBuffer {
 		r.storage, r.unparsed = nil, nil
@@ -96,8 +96,8 @@
 	r.scanned = 0
 }
 
-// readHead returns the start line and the fields once the head is complete; until then ok is false. It accepts bare line
-// feeds as line ends and skips empty lines before the start line.
+// readHead returns the start line and the fields once the head is complete; until then ok is false. It accepts bare
+// line feeds as line ends and skips empty lines before the start line.
 func (r *reader) readHead() (start string, h Headers, ok bool, err error) {
 	for len(r.unparsed) > 0 && r.scanned == 0 && (r.unparsed[0] == '\r' || r.unparsed[0] == '\n') {
 		r.consume(1)
@@ -139,8 +139,8 @@
 	return start, h, true, nil
 }
 
-// isToken reports whether s is a token of HTTP. Field names with a blank before the colon or at the start are not: they are
-// used for request smuggling.
+// isToken reports whether s is a token of HTTP. Field names with a blank before the colon or at the start are not: they
+// are used for request smuggling.
 func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c <= ' ' || c >= 0x7f || strings.IndexByte(`()<>@,;:\"/[]?={}`, c) >= 0 {
@@ -150,11 +150,12 @@
 	return s != ""
 }
 
-// startBody determines from the fields how the body ends and resets the state of the body. closesWithoutLength says that a
-// body without a declared length ends with the connection; otherwise there is no body then. A message with both a length and
-// a transfer coding, or with two lengths, is an error: another recipient may choose the other one.
+// startBody determines from the fields how the body ends and resets the state of the body. closesWithoutLength says
+// that a body without a declared length ends with the connection; otherwise there is no body then. A message with both
+// a length and a transfer coding, or with two lengths, is an error: another recipient may choose the other one.
 func (r *reader) startBody(h Headers, closesWithoutLength bool) error {
-	r.inBody, r.body, r.bytesLeft, r.chunkState, r.trailerBytes, r.bytesDelivered, r.isStreaming, r.isBodyComplete = true, r.body[:0], 0, chunkSizeLine, 0, 0, false, false
+	r.inBody, r.body, r.bytesLeft, r.chunkState, r.trailerBytes, r.bytesDelivered, r.isStreaming, r.isBodyComplete =
+		true, r.body[:0], 0, chunkSizeLine, 0, 0, false, false
 	r.framing = lengthFraming
 	length, isChunked := "", false
 	for i := range h {
@@ -277,7 +278,8 @@
 // shouldStream reports whether the body that is being read is longer than streamThreshold, so that its message is to be
 // handed out before the body is complete.
 func (r *reader) shouldStream() bool {
-	return r.streamThreshold > 0 && !r.isStreaming && (len(r.body) > r.streamThreshold || r.framing == lengthFraming && r.bytesLeft+len(r.body) > r.streamThreshold)
+	return r.streamThreshold > 0 && !r.isStreaming && (len(r.body) > r.streamThreshold ||
+		r.framing == lengthFraming && r.bytesLeft+len(r.body) > r.streamThreshold)
 }
 
 // contentLength returns the length of the whole body in bytes, -1 if it is not known in advance.
@@ -288,8 +290,8 @@
 	return int64(r.bytesDelivered + len(r.body) + r.bytesLeft)
 }
 
-// NextBodyPart returns the bytes of a streamed body that arrived since the message or the previous part was handed out, and
-// whether they end the body. They are valid until the next call of the parser.
+// NextBodyPart returns the bytes of a streamed body that arrived since the message or the previous part was handed out,
+// and whether they end the body. They are valid until the next call of the parser.
 func (r *reader) NextBodyPart() (b []byte, isLast bool, err error) {
 	r.bytesDelivered += len(r.body)
 	r.body = r.body[:0]
@@ -302,9 +304,9 @@
 	return r.body, isLast, err
 }
 
-// TakeRawBody lets received bytes that were not fed bypass the parser. It returns how many leading bytes of b are the next
-// bytes of a streamed body and counts them as handed out; the caller passes these on itself and feeds the rest. It returns 0
-// if the bytes have to be parsed, as those of a chunked body.
+// TakeRawBody lets received bytes that were not fed bypass the parser. It returns how many leading bytes of b are the
+// next bytes of a streamed body and counts them as handed out; the caller passes these on itself and feeds the rest. It
+// returns 0 if the bytes have to be parsed, as those of a chunked body.
 func (r *reader) TakeRawBody(b []byte) (n int) {
 	if !r.isStreaming || r.isBodyComplete || len(r.unparsed) > 0 || r.framing == chunkedFraming {
 		return 0
@@ -320,8 +322,8 @@
 	return n
 }
 
-// ReleaseBodyBuffers frees the buffers between two parts of a streamed body, as far as they hold no unparsed bytes. The part
-// returned last must not be used afterwards.
+// ReleaseBodyBuffers frees the buffers between two parts of a streamed body, as far as they hold no unparsed bytes. The
+// part returned last must not be used afterwards.
 func (r *reader) ReleaseBodyBuffers() {
 	if len(r.unparsed) == 0 && r.scanned == 0 {
 		r.storage, r.unparsed = nil, nil
--- a/internal/net/http1/request.go
+++ b/internal/net/http1/request.go
@@ -9,14 +9,14 @@
 	expectsContinue bool     // the client waits for "100 Continue" before it sends the body of request
 }
 
-// NewRequestParser returns a parser that refuses heads and bodies over the given sizes. A request whose body is longer than
-// streamThreshold is streamed; 0: none is. All are in bytes.
+// NewRequestParser returns a parser that refuses heads and bodies over the given sizes. A request whose body is longer
+// than streamThreshold is streamed; 0: none is. All are in bytes.
 func NewRequestParser(maxHead, maxBody, streamThreshold int) *RequestParser {
 	return &RequestParser{reader: reader{maxHead: maxHead, maxBody: maxBody, streamThreshold: streamThreshold}}
 }
 
-// Next returns the next request, or nil if more input is needed. After a streamed request, NextBodyPart must be called until
-// its end before Next. The error is a *ParseError.
+// Next returns the next request, or nil if more input is needed. After a streamed request, NextBodyPart must be called
+// until its end before Next. The error is a *ParseError.
 func (p *RequestParser) Next() (*Request, error) {
 	if !p.inBody {
 		start, h, ok, err := p.readHead()
@@ -34,8 +34,8 @@
 		if err := p.startBody(h, false); err != nil {
 			return nil, err
 		}
-		p.request = &Request{Method: method, Target: target, Headers: h, IsHTTP10: proto == "HTTP/1.0", Close: h.hasToken("Connection", "close") ||
-			proto == "HTTP/1.0" && !h.hasToken("Connection", "keep-alive")}
+		p.request = &Request{Method: method, Target: target, Headers: h, IsHTTP10: proto == "HTTP/1.0",
+			Close: h.hasToken("Connection", "close") || proto == "HTTP/1.0" && !h.hasToken("Connection", "keep-alive")}
 		p.expectsContinue = proto == "HTTP/1.1" && strings.EqualFold(h.Get("Expect"), "100-continue")
 	}
 	isComplete, err := p.readBody()
--- a/internal/net/http1/response.go
+++ b/internal/net/http1/response.go
@@ -12,14 +12,14 @@
 }
 
 // NewResponseParser returns a parser that refuses heads and bodies over the given sizes. If a body is longer than
-// streamThreshold, a response with status 200 is streamed, and of any other one only the beginning of the body is returned;
-// 0: all bodies are read in full. All are in bytes.
+// streamThreshold, a response with status 200 is streamed, and of any other one only the beginning of the body is
+// returned; 0: all bodies are read in full. All are in bytes.
 func NewResponseParser(maxHead, maxBody, streamThreshold int) *ResponseParser {
 	return &ResponseParser{reader: reader{maxHead: maxHead, maxBody: maxBody, streamThreshold: streamThreshold}}
 }
 
-// Next returns the next response, or nil if more input is needed. Interim responses (status below 200) are skipped. After a
-// streamed response, NextBodyPart must be called until its end before Next. The error is a *ParseError.
+// Next returns the next response, or nil if more input is needed. Interim responses (status below 200) are skipped.
+// After a streamed response, NextBodyPart must be called until its end before Next. The error is a *ParseError.
 func (p *ResponseParser) Next() (*Response, error) {
 	for !p.inBody {
 		start, h, ok, err := p.readHead()
@@ -50,7 +50,8 @@
 		return nil, err
 	case isComplete:
 		return p.finishResponse(), nil
-	case p.shouldStream() && p.response.Status != 200: // the rest is not needed, and not worth reading for the connection's sake
+	case p.shouldStream() && p.response.Status != 200:
+		// The rest of the body is not needed, and keeping the connection is not worth reading it.
 		p.response.Close = true
 		return p.finishResponse(), nil
 	case p.shouldStream():
@@ -59,8 +60,9 @@
 	return nil, nil
 }
 
-// StartStreaming returns the response that is being read as a streamed one, whatever the length of its body so far. It is for
-// a body of unknown length, see HasUnknownLength. It returns nil if no head is read or the response is streamed already.
+// StartStreaming returns the response that is being read as a streamed one, whatever the length of its body so far. It
+// is for a body of unknown length, see HasUnknownLength. It returns nil if no head is read or the response is streamed
+// already.
 func (p *ResponseParser) StartStreaming() *Response {
 	if p.response == nil || p.isStreaming {
 		return nil
@@ -71,8 +73,8 @@
 	return response
 }
 
-// HasUnknownLength reports whether a response with status 200 is being read whose length is not known in advance and that is
-// not streamed yet.
+// HasUnknownLength reports whether a response with status 200 is being read whose length is not known in advance and
+// that is not streamed yet.
 func (p *ResponseParser) HasUnknownLength() bool {
 	return p.inBody && !p.isStreaming && p.framing != lengthFraming && p.response != nil && p.response.Status == 200
 }
@@ -85,12 +87,12 @@
 	return response
 }
 
-// EndsWithConnection reports whether a streamed body is complete when its connection is closed. It is to be called when the
-// server has closed the connection in an orderly way.
+// EndsWithConnection reports whether a streamed body is complete when its connection is closed. It is to be called when
+// the server has closed the connection in an orderly way.
 func (p *ResponseParser) EndsWithConnection() bool { return p.isStreaming && p.framing == closeFraming }
 
-// FinishAtEOF returns the response that the end of the connection completes, nil if there is none. It is to be called when
-// the server has closed the connection, and not while a streamed body is read; see EndsWithConnection.
+// FinishAtEOF returns the response that the end of the connection completes, nil if there is none. It is to be called
+// when the server has closed the connection, and not while a streamed body is read; see EndsWithConnection.
 func (p *ResponseParser) FinishAtEOF() *Response {
 	if p.inBody && p.framing == closeFraming {
 		return p.finishResponse()
@@ -98,8 +100,8 @@
 	return nil
 }
 
-// TakePartialBody returns the status of the response that is being read, and the bytes of its body that arrived since the last
-// call. The status is 0 until the head is complete.
+// TakePartialBody returns the status of the response that is being read, and the bytes of its body that arrived since
+// the last call. The status is 0 until the head is complete.
 func (p *ResponseParser) TakePartialBody() (status int, body []byte) {
 	if p.response == nil {
 		return 0, nil
--- a/internal/net/http1/state.go
+++ b/internal/net/http1/state.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// RequestParserState is the state of a RequestParser, for another process that continues its connection. Requests that are
-// complete and not parsed yet are in Buffered. The numbers are those of the parser's unexported types.
+// RequestParserState is the state of a RequestParser, for another process that continues its connection. Requests that
+// are complete and not parsed yet are in Buffered. The numbers are those of the parser's unexported types.
 type RequestParserState struct {
 	Buffered                             []byte
 	Scanned                              int
@@ -19,34 +19,38 @@
 	Close, ExpectsContinue, HasStartLine bool
 }
 
-// State returns a copy of the parser's state. It has no protocol version: a request with HTTP/1.0 is stored with Close, and
-// one with Close is restored as HTTP/1.0, because its response may end with the connection in any case.
+// State returns a copy of the parser's state. It has no protocol version: a request with HTTP/1.0 is stored with Close,
+// and one with Close is restored as HTTP/1.0, because its response may end with the connection in any case.
 func (p *RequestParser) State() RequestParserState {
-	s := RequestParserState{Buffered: slices.Clone(p.unparsed), Scanned: p.scanned, InBody: p.inBody, Framing: int(p.framing), BytesLeft: p.bytesLeft,
+	s := RequestParserState{Buffered: slices.Clone(p.unparsed), Scanned: p.scanned, InBody: p.inBody,
+		Framing: int(p.framing), BytesLeft: p.bytesLeft,
 		ChunkState: int(p.chunkState), TrailerBytes: p.trailerBytes, ExpectsContinue: p.expectsContinue}
 	if p.inBody {
 		s.Body = slices.Clone(p.body)
 	}
 	if p.request != nil {
 		s.HasStartLine = true
-		s.Method, s.Target, s.Headers, s.Close = p.request.Method, p.request.Target, p.request.Headers, p.request.Close || p.request.IsHTTP10
+		s.Method, s.Target, s.Headers, s.Close =
+			p.request.Method, p.request.Target, p.request.Headers, p.request.Close || p.request.IsHTTP10
 	}
 	return s
 }
 
-// RestoreRequestParser returns a parser that continues from a state; the sizes are those of NewRequestParser. It returns an
-// error for a state that no parser can be in, because the rest of what its sender sent can't be trusted either, and for one
-// in the middle of a streamed body.
+// RestoreRequestParser returns a parser that continues from a state; the sizes are those of NewRequestParser. It
+// returns an error for a state that no parser can be in, because the rest of what its sender sent can't be trusted
+// either, and for one in the middle of a streamed body.
 func RestoreRequestParser(s RequestParserState, maxHead, maxBody, streamThreshold int) (*RequestParser, error) {
 	p := NewRequestParser(maxHead, maxBody, streamThreshold)
 	if s.Scanned < 0 || s.Scanned > len(s.Buffered) || s.BytesLeft < 0 || s.BytesLeft > maxBody || len(s.Body) > maxBody ||
-		s.InBody != s.HasStartLine || s.Framing < int(lengthFraming) || s.Framing > int(chunkedFraming) || s.TrailerBytes < 0 ||
+		s.InBody != s.HasStartLine || s.Framing < int(lengthFraming) || s.Framing > int(chunkedFraming) ||
+		s.TrailerBytes < 0 ||
 		s.ChunkState < int(chunkSizeLine) || s.ChunkState > int(chunkTrailers) {
 		return nil, fmt.Errorf("http1: inconsistent state of a request parser")
 	}
 	p.storage = slices.Clone(s.Buffered)
 	p.unparsed, p.scanned, p.inBody, p.framing = p.storage, s.Scanned, s.InBody, bodyFraming(s.Framing)
-	p.bytesLeft, p.chunkState, p.trailerBytes, p.expectsContinue = s.BytesLeft, chunkState(s.ChunkState), s.TrailerBytes, s.ExpectsContinue
+	p.bytesLeft, p.chunkState, p.trailerBytes, p.expectsContinue =
+		s.BytesLeft, chunkState(s.ChunkState), s.TrailerBytes, s.ExpectsContinue
 	p.body = slices.Clone(s.Body)
 	if s.InBody {
 		p.request = &Request{Method: s.Method, Target: s.Target, Headers: s.Headers, Close: s.Close, IsHTTP10: s.Close}
--- a/internal/net/http1/write.go
+++ b/internal/net/http1/write.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// AppendRequest appends a whole request to b. It adds Host, and Content-Length if there is a body or the method usually has
-// one; h must contain neither.
+// AppendRequest appends a whole request to b. It adds Host, and Content-Length if there is a body or the method usually
+// has one; h must contain neither.
 func AppendRequest(b []byte, method, target, host string, h Headers, body []byte) []byte {
 	b = appendRequestStart(b, method, target, host, h)
 	if len(body) > 0 || method == "POST" || method == "PUT" || method == "PATCH" {
@@ -16,8 +16,8 @@
 	return append(b, body...)
 }
 
-// AppendRequestHead appends the head of a request whose body the caller appends later. length is that of the body in bytes;
-// if it is negative, the body is sent in chunks.
+// AppendRequestHead appends the head of a request whose body the caller appends later. length is that of the body in
+// bytes; if it is negative, the body is sent in chunks.
 func AppendRequestHead(b []byte, method, target, host string, h Headers, length int64) []byte {
 	b = appendRequestStart(b, method, target, host, h)
 	if length >= 0 {
@@ -33,7 +33,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendChunk appends one chunk of a body. It appends nothing for empty data, because an empty chunk would end the body.
+// AppendChunk appends one chunk of a body. It appends nothing for empty data, because an empty chunk would end the
+// body.
 func AppendChunk(b, data []byte) []byte {
 	if len(data) == 0 {
 		return b
@@ -55,8 +56,8 @@
 	FramedByClose                 // by closing the connection
 )
 
-// AppendResponseHead appends the head of a response whose body the caller appends later. length is used with FramedByLength
-// only; isClosing adds "Connection: close".
+// AppendResponseHead appends the head of a response whose body the caller appends later. length is used with
+// FramedByLength only; isClosing adds "Connection: close".
 func AppendResponseHead(b []byte, status int, h Headers, length int64, framing Framing, isClosing bool) []byte {
 	b = appendResponseStart(b, status, h, isClosing)
 	switch framing {
@@ -68,8 +69,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendResponse appends a whole response with its Content-Length. isClosing adds "Connection: close"; isHead leaves out the
-// body, as for a response to a HEAD request.
+// AppendResponse appends a whole response with its Content-Length. isClosing adds "Connection: close"; isHead leaves
+// out the body, as for a response to a HEAD request.
 func AppendResponse(b []byte, status int, h Headers, body []byte, isClosing, isHead bool) []byte {
 	b = appendResponseStart(b, status, h, isClosing)
 	b = append(appendContentLength(b, int64(len(body))), "\r\n"...)
--- a/internal/net/loop/injected_faults.go
+++ b/internal/net/loop/injected_faults.go
@@ -14,14 +14,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// FaultsEnvVar names the environment variable that configures the faults of a build with the tag faultinject. Its value is a
-// list of name=value pairs separated by commas:
+// FaultsEnvVar names the environment variable that configures the faults of a build with the tag faultinject. Its value
+// is a list of name=value pairs separated by commas:
 //
 //   - seed: the seed of the random numbers, 1 by default.
-//   - accept, shortage (accept failing for a lack of resources on the machine), socket, connect, interrupt, short and broken:
-//     the probability from 0 to 1 that a call of this kind fails.
-//   - from, until: the time since the start of the process between which faults are injected, as Go durations; 0 and one hour
-//     by default.
+//   - accept, shortage (accept failing for a lack of resources on the machine), socket, connect, interrupt, short and
+//     broken: the probability from 0 to 1 that a call of this kind fails.
+//   - from, until: the times between which faults are injected, since the start of the process, as Go durations; 0 and
+//     one hour by default.
 //   - step: how far the wall clock is set forward at the time from, as a Go duration.
 //   - spare: a local port whose connections are not broken. Clients notice a broken connection of their own, and no ingress
 //     can make up for it.
--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -1,7 +1,7 @@
 // Package loop is the daemon's event loop: epoll, timers and functions posted by other goroutines. One goroutine calls
-// [Loop.Run]; it owns the loop, its sources and timers, and every handler and callback runs on it. A turn is one iteration
-// of the loop. Only [Loop.Post] and [Loop.Close] may be called from other goroutines. Apart from opening listeners
-// ([Listen], [ListenReusePort], [ListenUDP]), nothing here blocks but the loop's own wait for events.
+// [Loop.Run]; it owns the loop, its sources and timers, and every handler and callback runs on it. A turn is one
+// iteration of the loop. Only [Loop.Post] and [Loop.Close] may be called from other goroutines. Apart from opening
+// listeners ([Listen], [ListenReusePort], [ListenUDP]), nothing here blocks but the loop's own wait for events.
 package loop
 
 import (
@@ -25,7 +25,8 @@
 	ReadHangup = unix.EPOLLRDHUP
 	// Hangup: the peer has closed its sending direction or the whole connection, or the connection has failed.
 	Hangup = ReadHangup | unix.EPOLLHUP | unix.EPOLLERR
-	// HangupOrError: the connection is closed in both directions or has failed. It is reported whether watched for or not.
+	// HangupOrError: the connection is closed in both directions or has failed. It is reported whether watched for or
+	// not.
 	HangupOrError = unix.EPOLLHUP | unix.EPOLLERR
 )
 
@@ -85,15 +86,15 @@
 	isClosed  bool       // guarded by wakeMutex
 }
 
-// maxEventsPerTurn is about as many descriptors as a process may hold. After a stall each of them may be ready, and those
-// to be served first must not be left for the next turn.
+// maxEventsPerTurn is about as many descriptors as a process may hold. After a stall each of them may be ready, and
+// those to be served first must not be left for the next turn.
 const maxEventsPerTurn = 1024
 
 // maxWait bounds the wait for events, so that a wait that takes visibly longer shows a stall of the process.
 const maxWait = 100 * time.Millisecond
 
-// stallThreshold is the time between two collections of events above which the process counts as having stalled. A stall
-// that goes unnoticed is thus shorter than the slack of deadlines (0.15 s).
+// stallThreshold is the time between two collections of events above which the process counts as having stalled. A
+// stall that goes unnoticed is thus shorter than the slack of deadlines (0.15 s).
 const stallThreshold = maxWait + 25*time.Millisecond
 
 // New opens a loop. It fails where the process or the system has no descriptors left.
@@ -108,8 +109,8 @@
 	}
 	l := &Loop{epollFD: epoll, wakeFD: wake, ready: make([]unix.EpollEvent, maxEventsPerTurn), posted: make(chan func(), 64),
 		readBuffer: make([]byte, 64<<10), startedAt: time.Now()}
-	// The windows of the shared counter begin at the same time on all machines, so the clock starts from the wall clock.
-	// From then on it is monotonic, and a step of the wall clock does not change it.
+	// The windows of the shared counter begin at the same time on all machines, so the clock starts from the wall
+	// clock. From then on it is monotonic, and a step of the wall clock does not change it.
 	l.clockBase = time.Duration(system.wallClock().UnixNano())
 	l.now = l.clockBase.Truncate(time.Microsecond)
 	l.polledAt = l.now
@@ -139,9 +140,9 @@
 	return max(l.now, (l.clockBase + time.Since(l.startedAt)).Truncate(time.Microsecond))
 }
 
-// MaxReadDelay returns how long data read in this turn may have waited to be read. It is 0 unless the process stalled, as
-// when it was stopped and continued, and has not read all that arrived meanwhile. A deadline that a peer sets counts from
-// when it sent its request, so this delay is part of it.
+// MaxReadDelay returns how long data read in this turn may have waited to be read. It is 0 unless the process stalled,
+// as when it was stopped and continued, and has not read all that arrived meanwhile. A deadline that a peer sets counts
+// from when it sent its request, so this delay is part of it.
 func (l *Loop) MaxReadDelay() time.Duration {
 	if l.stalledSince == 0 {
 		return 0
@@ -149,8 +150,8 @@
 	return l.now - l.stalledSince
 }
 
-// HasStalled reports whether the process has stalled within this turn. What was read at the start of the turn may then be
-// out of date, and nothing that depends on it should be started.
+// HasStalled reports whether the process has stalled within this turn. What was read at the start of the turn may then
+// be out of date, and nothing that depends on it should be started.
 func (l *Loop) HasStalled() bool { return l.readClock()-l.now > stallThreshold/2 }
 
 // ClockOffset returns how far the loop's clock is ahead of the wall clock, which may have been set since the start.
@@ -206,7 +207,8 @@
 }
 
 // Close closes the descriptor. Events already collected for it are dropped: another connection may get the same
-// descriptor number within the turn, and the generation distinguishes the two. It is safe on nil and on a closed source.
+// descriptor number within the turn, and the generation distinguishes the two. It is safe on nil and on a closed
+// source.
 func (s *Source) Close() {
 	if s == nil || s.fd < 0 {
 		return
@@ -225,8 +227,8 @@
 }
 
 // Detach stops watching a descriptor and returns it, still open, to the caller, who owns it from then on. It returns -1
-// for a nil or closed source. The descriptor is removed from epoll explicitly: closing it would remove it only if no other
-// process held it.
+// for a nil or closed source. The descriptor is removed from epoll explicitly: closing it would remove it only if no
+// other process held it.
 func (s *Source) Detach() int {
 	if s == nil || s.fd < 0 {
 		return -1
@@ -238,8 +240,8 @@
 	return fd
 }
 
-// Unwatch removes a descriptor from epoll and leaves it open. No further events are collected for it, not even a hangup;
-// SetEvents does not undo it.
+// Unwatch removes a descriptor from epoll and leaves it open. No further events are collected for it, not even a
+// hangup; SetEvents does not undo it.
 func (s *Source) Unwatch() {
 	if s.fd >= 0 {
 		// It fails only for a descriptor that is no longer watched.
@@ -260,8 +262,8 @@
 // After calls fn in the first turn at least d after the time of this one.
 func (l *Loop) After(d time.Duration, fn func()) *Timer { return l.At(l.now+d, fn) }
 
-// Post has fn called on the loop's goroutine, in the current turn or the next. It may be called from other goroutines, and
-// blocks while 64 posted functions wait; on the loop's goroutine it would then block for ever.
+// Post has fn called on the loop's goroutine, in the current turn or the next. It may be called from other goroutines,
+// and blocks while 64 posted functions wait; on the loop's goroutine it would then block for ever.
 func (l *Loop) Post(fn func()) {
 	l.posted <- fn
 	l.wakeMutex.Lock()
@@ -294,13 +296,14 @@
 // ClearStop allows Run to be called again after Stop.
 func (l *Loop) ClearStop() { l.isStopped = false }
 
-// OnTurnStart sets the function that is called at the start of each turn, after the clock is read and before any handler,
-// posted function or timer. What is valid only until some time, such as a lease, can be given up there before an event of
-// the turn relies on it, also after the process was stopped and continued. There is one such function; nil removes it.
+// OnTurnStart sets the function that is called at the start of each turn, after the clock is read and before any
+// handler, posted function or timer. What is valid only until some time, such as a lease, can be given up there before
+// an event of the turn relies on it, also after the process was stopped and continued. There is one such function; nil
+// removes it.
 func (l *Loop) OnTurnStart(fn func(now time.Duration)) { l.turnStart = fn }
 
-// Turner is called at the end of each turn. Turn returns the time of the next turn it needs, since the Unix epoch, or 0 if
-// it needs none.
+// Turner is called at the end of each turn. Turn returns the time of the next turn it needs, since the Unix epoch, or 0
+// if it needs none.
 type Turner interface {
 	Turn(now time.Duration) (next time.Duration)
 }
@@ -362,8 +365,9 @@
 // minBlockingWait is the least time that a wait takes which at first found nothing ready.
 const minBlockingWait = time.Millisecond
 
-// updateStall records when the events of a turn were collected, n of them after a wait of the given time, and whether the
-// process stalled before that. A stall is over once a wait finds nothing ready: all that arrived meanwhile has been read.
+// updateStall records when the events of a turn were collected, n of them after a wait of the given time, and whether
+// the process stalled before that. A stall is over once a wait finds nothing ready: all that arrived meanwhile has been
+// read.
 func (l *Loop) updateStall(n int, waited time.Duration) {
 	switch {
 	case l.now-l.polledAt > stallThreshold:
@@ -401,8 +405,8 @@
 	}
 }
 
-// waitMilliseconds returns how long to wait for events: until the next timer or the time the Turner asked for (0: none),
-// at most maxWait, rounded up to whole milliseconds.
+// waitMilliseconds returns how long to wait for events: until the next timer or the time the Turner asked for (0:
+// none), at most maxWait, rounded up to whole milliseconds.
 func (l *Loop) waitMilliseconds(next time.Duration) int {
 	l.timers.Skip(func(t *Timer) bool { return t.fn != nil }) // a stopped timer needs no turn
 	if at, ok := l.timers.Next(); ok && (next == 0 || at < next) {
--- a/internal/net/loop/loop_test.go
+++ b/internal/net/loop/loop_test.go
@@ -25,8 +25,8 @@
 	return fds[0], fds[1]
 }
 
-// Two descriptors are ready in one turn, and the first handler closes the other one. A new descriptor may then get the same
-// number at once. The event collected for the closed descriptor must reach neither handler.
+// Two descriptors are ready in one turn, and the first handler closes the other one. A new descriptor may then get the
+// same number at once. The event collected for the closed descriptor must reach neither handler.
 func TestEventsOfDescriptorClosedInSameTurn(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
@@ -102,8 +102,8 @@
 	}
 }
 
-// The OnTurnStart function runs with the turn's time, before handlers set to ServeFirst, other handlers, posted functions and
-// timers, also in a turn that comes long after the previous one.
+// The OnTurnStart function runs with the turn's time, before handlers set to ServeFirst, other handlers, posted
+// functions and timers, also in a turn that comes long after the previous one.
 func TestOnTurnStartRunsFirst(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
--- a/internal/net/loop/socket.go
+++ b/internal/net/loop/socket.go
@@ -12,8 +12,8 @@
 // ErrAgain is returned where a descriptor has nothing to read or no space to write.
 var ErrAgain = unix.EAGAIN
 
-// Read reads what is available into b. It returns io.EOF once the peer has closed its sending direction, and ErrAgain where
-// nothing is available yet.
+// Read reads what is available into b. It returns io.EOF once the peer has closed its sending direction, and ErrAgain
+// where nothing is available yet.
 func Read(fd int, b []byte) (int, error) {
 	for {
 		n, err := system.read(fd, b)
@@ -102,8 +102,8 @@
 // descriptors of the turn are served.
 const maxAcceptAttempts = 16
 
-// Accept accepts one pending connection. It returns ErrAgain where there is none. After any other error it is to be called
-// again after a delay; see [IsOutOfDescriptors].
+// Accept accepts one pending connection. It returns ErrAgain where there is none. After any other error it is to be
+// called again after a delay; see [IsOutOfDescriptors].
 func Accept(fd int) (c int, err error) {
 	for range maxAcceptAttempts {
 		c, err = system.accept(fd)
@@ -121,9 +121,9 @@
 // setNoDelay turns off Nagle's algorithm: messages are written whole, so waiting for more data would only delay them.
 func setNoDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
 
-// Dial starts a TCP connection to addr, of the form ip:port, and returns its non-blocking descriptor. The descriptor becomes
-// writable once the connection is established or has failed; [DialResult] then tells which. Where the machine is short of
-// a resource it tries up to maxDialAttempts times without a delay.
+// Dial starts a TCP connection to addr, of the form ip:port, and returns its non-blocking descriptor. The descriptor
+// becomes writable once the connection is established or has failed; [DialResult] then tells which. Where the machine
+// is short of a resource it tries up to maxDialAttempts times without a delay.
 func Dial(addr string) (int, error) {
 	sockaddr, family, err := parseAddress(addr)
 	if err != nil {
@@ -145,8 +145,8 @@
 	return fd, nil
 }
 
-// DialResult returns nil if a connection started by Dial is established, else the error it failed with. It is to be called
-// once the descriptor is writable.
+// DialResult returns nil if a connection started by Dial is established, else the error it failed with. It is to be
+// called once the descriptor is writable.
 func DialResult(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
@@ -158,7 +158,8 @@
 	return nil
 }
 
-// LocalAddress returns the ip:port that a socket is bound to. It fails for a socket of another family than IPv4 and IPv6.
+// LocalAddress returns the ip:port that a socket is bound to. It fails for a socket of another family than IPv4 and
+// IPv6.
 func LocalAddress(fd int) (string, error) {
 	sockaddr, err := unix.Getsockname(fd)
 	if err != nil {
@@ -179,5 +180,6 @@
 // CloseFD closes a descriptor that no Source watches.
 func CloseFD(fd int) { _ = unix.Close(fd) }
 
-// CloseWrite closes the sending direction of a connection. The peer reads an end of file; what it sends can still be read.
+// CloseWrite closes the sending direction of a connection. The peer reads an end of file; what it sends can still be
+// read.
 func CloseWrite(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) }
--- a/internal/net/loop/system.go
+++ b/internal/net/loop/system.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// systemCalls holds the wall clock and the system calls that may fail temporarily or do less than asked. A fault-injecting
-// build replaces them, see injected_faults.go.
+// systemCalls holds the wall clock and the system calls that may fail temporarily or do less than asked. A
+// fault-injecting build replaces them, see injected_faults.go.
 type systemCalls struct {
 	accept      func(listener int) (int, error)
 	socket      func(family, kind int) (int, error)
@@ -21,7 +21,8 @@
 	wallClock   func() time.Time
 }
 
-// system holds the calls that the package uses. Only a fault-injecting build and tests replace them, before any loop runs.
+// system holds the calls that the package uses. Only a fault-injecting build and tests replace them, before any loop
+// runs.
 var system = systemCalls{
 	accept: func(listener int) (int, error) {
 		fd, _, err := unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -42,8 +43,8 @@
 	wallClock: time.Now,
 }
 
-// IsOutOfDescriptors reports whether a call failed because this process has no descriptors left, so that closing one of its
-// own helps.
+// IsOutOfDescriptors reports whether a call failed because this process has no descriptors left, so that closing one of
+// its own helps.
 func IsOutOfDescriptors(err error) bool { return errors.Is(err, unix.EMFILE) }
 
 // IsOutOfResources reports whether a call failed for a temporary lack of resources on this machine. Such an error says
@@ -79,13 +80,14 @@
 	listenRetryInterval = 20 * time.Millisecond
 )
 
-// retryListen calls open, which opens a listener, until it succeeds, fails for a lasting reason, or listenRetryTimeout is
-// over. It blocks, which does no harm because listeners are opened only while the process starts.
+// retryListen calls open, which opens a listener, until it succeeds, fails for a lasting reason, or listenRetryTimeout
+// is over. It blocks, which does no harm because listeners are opened only while the process starts.
 func retryListen(open func() (int, error)) (int, error) {
 	startedAt := time.Now()
 	for {
 		fd, err := open()
-		if err == nil || !IsOutOfResources(err) || errors.Is(err, unix.EADDRNOTAVAIL) || time.Since(startedAt) > listenRetryTimeout {
+		if err == nil || !IsOutOfResources(err) || errors.Is(err, unix.EADDRNOTAVAIL) ||
+			time.Since(startedAt) > listenRetryTimeout {
 			return fd, err
 		}
 		time.Sleep(listenRetryInterval)
--- a/internal/net/loop/system_test.go
+++ b/internal/net/loop/system_test.go
@@ -78,14 +78,16 @@
 			_, err = Dial(addr)
 			require.ErrorIs(t, err, transient)
 			require.Equal(t, maxDialAttempts, calls)
-			require.Equal(t, transient != unix.ENETUNREACH, IsOutOfResources(err), "an unreachable network may be the fault of the peer")
+			require.Equal(t, transient != unix.ENETUNREACH, IsOutOfResources(err),
+				"an unreachable network may be the fault of the peer")
 		})
 	}
 }
 
 func TestListenRetriesTransientErrors(t *testing.T) {
 	original := system.socket
-	socket := failFirst(func() (int, error) { return original(unix.AF_INET, unix.SOCK_STREAM) }, unix.ENFILE, unix.ENOBUFS, unix.EMFILE)
+	socket := failFirst(func() (int, error) { return original(unix.AF_INET, unix.SOCK_STREAM) },
+		unix.ENFILE, unix.ENOBUFS, unix.EMFILE)
 	replaceSystemCalls(t, func(s *systemCalls) { s.socket = func(int, int) (int, error) { return socket() } })
 	fd, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
@@ -160,8 +162,8 @@
 	require.NoError(t, l.Run(turnerFunc(func(time.Duration) time.Duration { return 0 })))
 }
 
-// After a stall of the process, MaxReadDelay covers the time of the stall. Neither an idle time nor a step of the wall clock
-// counts as a stall.
+// After a stall of the process, MaxReadDelay covers the time of the stall. Neither an idle time nor a step of the wall
+// clock counts as a stall.
 func TestStallOfProcess(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
@@ -190,15 +192,16 @@
 	require.Zero(t, delays[1])
 	require.GreaterOrEqual(t, delays[2], 2*stallThreshold, "timers that became due meanwhile fire in the next turn")
 	require.Less(t, l.Now()-before, time.Minute)
-	require.InDelta(t, float64(time.Hour), float64(l.ClockOffset()), float64(time.Second), "the loop's clock must not follow the wall clock")
+	require.InDelta(t, float64(time.Hour), float64(l.ClockOffset()), float64(time.Second),
+		"the loop's clock must not follow the wall clock")
 	l.SetClockOffset(2 * time.Hour)
 	l.ClearStop()
 	l.After(0, func() { require.Zero(t, l.MaxReadDelay(), "continuing another process's clock is no stall"); l.Stop() })
 	require.NoError(t, l.Run(turnerFunc(func(time.Duration) time.Duration { return 0 })))
 }
 
-// A handler set to ServeLast, such as that of a connection that is being established, runs after all others: what they read
-// may forbid the request that it would write.
+// A handler set to ServeLast, such as that of a connection that is being established, runs after all others: what they
+// read may forbid the request that it would write.
 func TestServeLast(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
@@ -225,8 +228,8 @@
 	require.Equal(t, []string{"client", "list", "connecting"}, order)
 }
 
-// A wait is interrupted when a stopped process is continued. Data that arrived meanwhile is read before timers that became
-// due, in the same turn, and counts as delayed.
+// A wait is interrupted when a stopped process is continued. Data that arrived meanwhile is read before timers that
+// became due, in the same turn, and counts as delayed.
 func TestEventsBeforeTimersAfterInterruptedWait(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
--- a/internal/net/loop/udp.go
+++ b/internal/net/loop/udp.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// ListenUDP opens a non-blocking UDP socket bound to addr, of the form ip:port. While the machine is short of a resource it
-// retries, and blocks, for up to listenRetryTimeout.
+// ListenUDP opens a non-blocking UDP socket bound to addr, of the form ip:port. While the machine is short of a
+// resource it retries, and blocks, for up to listenRetryTimeout.
 func ListenUDP(addr string) (int, error) {
 	return retryListen(func() (int, error) { return listenUDP(addr) })
 }
@@ -28,8 +28,8 @@
 	return fd, nil
 }
 
-// ReceiveUDP reads one datagram into b and returns its length; the rest of a longer datagram is lost. It returns ErrAgain
-// where none has arrived.
+// ReceiveUDP reads one datagram into b and returns its length; the rest of a longer datagram is lost. It returns
+// ErrAgain where none has arrived.
 func ReceiveUDP(fd int, b []byte) (int, error) {
 	for {
 		n, err := system.receiveFrom(fd, b)
@@ -48,8 +48,8 @@
 	return UDPAddress{sockaddr}, err
 }
 
-// SendUDP sends one datagram. Where the socket buffer is full it returns ErrAgain and the datagram is lost, as any datagram
-// may be.
+// SendUDP sends one datagram. Where the socket buffer is full it returns ErrAgain and the datagram is lost, as any
+// datagram may be.
 func SendUDP(fd int, b []byte, to UDPAddress) error {
 	for {
 		err := system.sendTo(fd, b, to.sockaddr)
--- a/internal/net/nettest/nettest.go
+++ b/internal/net/nettest/nettest.go
@@ -1,5 +1,5 @@
-// Package nettest holds helpers for tests of the network packages: servers and addresses on loopback, and running an event
-// loop until a condition holds. Each helper fails the test on an error. The program itself never imports it.
+// Package nettest holds helpers for tests of the network packages: servers and addresses on loopback, and running an
+// event loop until a condition holds. Each helper fails the test on an error. The program itself never imports it.
 package nettest
 
 import (
@@ -15,8 +15,8 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Serve listens on a TCP port of loopback until the end of the test, calls serve for each connection in a goroutine of its
-// own, and returns the address, ip:port. serve has to close the connection.
+// Serve listens on a TCP port of loopback until the end of the test, calls serve for each connection in a goroutine of
+// its own, and returns the address, ip:port. serve has to close the connection.
 func Serve(t *testing.T, serve func(net.Conn)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -36,8 +36,8 @@
 // addressCount is how many addresses FreeAddress has returned in this process.
 var addressCount atomic.Uint32
 
-// FreeAddress returns an unused TCP address, ip:port, on loopback. No other test process running at the same time is meant to
-// use its IP address, which depends on the process id, so the port stays free until the caller listens on it.
+// FreeAddress returns an unused TCP address, ip:port, on loopback. No other test process running at the same time is
+// meant to use its IP address, which depends on the process id, so the port stays free until the caller listens on it.
 func FreeAddress(t *testing.T) string {
 	n := addressCount.Add(1)
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 32+os.Getpid()%192, n>>8, n&255))
@@ -51,8 +51,8 @@
 
 func (idleTurner) Turn(time.Duration) time.Duration { return 0 }
 
-// Until runs a loop, on the calling goroutine, until cond holds, which it checks every millisecond. The test fails after 20
-// seconds. The loop may be run again afterwards.
+// Until runs a loop, on the calling goroutine, until cond holds, which it checks every millisecond. The test fails
+// after 20 seconds. The loop may be run again afterwards.
 func Until(t *testing.T, l *loop.Loop, cond func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
--- a/internal/net/tcpstate/tcpstate.go
+++ b/internal/net/tcpstate/tcpstate.go
@@ -1,5 +1,5 @@
-// Package tcpstate queries the kernel for the state of a TCP connection, where reading and writing do not show it. It holds no
-// state of its own and neither reads nor writes the connection.
+// Package tcpstate queries the kernel for the state of a TCP connection, where reading and writing do not show it. It
+// holds no state of its own and neither reads nor writes the connection.
 package tcpstate
 
 import (
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// tcpClose is the kernel's state TCP_CLOSE. A connection that the peer has closed in an orderly way is in another one, half
-// open.
+// tcpClose is the kernel's state TCP_CLOSE. A connection that the peer has closed in an orderly way is in another one,
+// half open.
 const tcpClose = 7
 
-// WasReset reports whether the peer has reset a connection that this side has not closed. If the state can't be queried, it
-// returns true. It is needed because the kernel reports a reset as an error once only: after a write has returned it, reading
-// returns an ordinary end of file.
+// WasReset reports whether the peer has reset a connection that this side has not closed. If the state can't be
+// queried, it returns true. It is needed because the kernel reports a reset as an error once only: after a write has
+// returned it, reading returns an ordinary end of file.
 func WasReset(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -8,10 +8,10 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Walk calls consume for each field of the message b, in order, with the field's number, its type and the bytes after its tag.
-// consume returns how many bytes the field takes; 0 if it does not know the field, which Walk then skips; or a negative error
-// code of protowire, as the Consume functions return it for truncated or malformed input. Walk stops at the first error. It
-// returns an error of consume unchanged; its own errors begin with prefix.
+// Walk calls consume for each field of the message b, in order, with the field's number, its type and the bytes after
+// its tag. consume returns how many bytes the field takes; 0 if it does not know the field, which Walk then skips; or a
+// negative error code of protowire, as the Consume functions return it for truncated or malformed input. Walk stops at
+// the first error. It returns an error of consume unchanged; its own errors begin with prefix.
 func Walk(b []byte, prefix string, consume func(protowire.Number, protowire.Type, []byte) (int, error)) error {
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
