--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -64,7 +64,7 @@
 
 // follow goes on under other settings, and addresses.
 func (d *Daemon) follow(to config.Config) {
-	to.Settings.RetryAfter = true // as at the start
+	to.Settings.CanSendRetryAfter = true // as at the start
 	d.cfg.Settings, d.cfg.Limits.DrainMost = to.Settings, to.Limits.DrainMost
 	d.nameClasses()
 	d.core.Follow(d.loop.Now(), to.Settings)
@@ -74,10 +74,10 @@
 	if d.telemetry != nil {
 		d.telemetry.Follow(to.Settings)
 	}
-	d.watcher.Move(to.Discovery)
+	d.watcher.SetAddr(to.Discovery)
 	switch {
 	case d.counter != nil:
-		d.counter.Move(to.Counter)
+		d.counter.SetAddr(to.Counter)
 	case to.Settings.HasCounter: // there was none before
 		d.openCounter(to.Counter)
 		d.core.UseCounter(d.counter)
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -34,19 +34,19 @@
 func (f *Front) Follow(set admission.Settings) {
 	f.settings, f.classes, f.plans = set, map[string]int{}, map[string]int{}
 	for i, c := range set.Classes {
-		if !c.Gone {
+		if !c.IsRemoved {
 			f.classes[c.Name] = i
 		}
 	}
 	for i, p := range set.Plans {
-		if !p.Gone {
+		if !p.IsRemoved {
 			f.plans[p.Name] = i
 		}
 	}
 }
 
-// Request answers what is no stream, and opens one for what is.
-func (f *Front) Request(c *downstream.Conn, r *http1.Request) {
+// HandleRequest answers what is no stream, and opens one for what is.
+func (f *Front) HandleRequest(c *downstream.Conn, r *http1.Request) {
 	path := r.Path()
 	switch {
 	case path == "/up":
@@ -69,10 +69,10 @@
 		return
 	}
 	// The class fixes the method. A write that passed for safe would be repeated.
-	if safe := f.settings.Classes[a.Class].Effect == admission.Safe; safe && a.Write {
+	if safe := f.settings.Classes[a.Class].Effect == admission.Safe; safe && a.IsWrite {
 		notAllowed(c, "GET")
 		return
-	} else if !safe && !a.Write {
+	} else if !safe && !a.IsWrite {
 		notAllowed(c, "POST")
 		return
 	}
@@ -85,14 +85,14 @@
 	c.Reply(405, http1.Headers{{Name: "Allow", Value: allow}}, nil)
 }
 
-// Left tells the core that a client has gone.
-func (f *Front) Left(c *downstream.Conn) { f.streams.Leave(c.Now(), c.Stream) }
+// HandleClientGone tells the core that a client has gone.
+func (f *Front) HandleClientGone(c *downstream.Conn) { f.streams.Leave(c.Now(), c.StreamID) }
 
-// Whole tells the core that the body of an open request has come.
-func (f *Front) Whole(c *downstream.Conn) { f.streams.Whole(c.Now(), c.Stream) }
+// HandleBodyComplete tells the core that the body of an open request has come.
+func (f *Front) HandleBodyComplete(c *downstream.Conn) { f.streams.Whole(c.Now(), c.StreamID) }
 
-// Malformed answers what could not be read.
-func (f *Front) Malformed(c *downstream.Conn, status int, what string) { local(c, status, what) }
+// HandleMalformed answers what could not be read.
+func (f *Front) HandleMalformed(c *downstream.Conn, status int, what string) { local(c, status, what) }
 
 func local(c *downstream.Conn, status int, what string) {
 	c.Reply(status, http1.Headers{{Name: "Content-Type", Value: "text/plain"}}, append([]byte(what), '\n'))
@@ -112,7 +112,7 @@
 		return a, fmt.Errorf("Request-Class %q is not known", r.Headers.Get("Request-Class"))
 	}
 	class := &f.settings.Classes[a.Class]
-	a.Write = r.Method == "POST"
+	a.IsWrite = r.Method == "POST"
 	if class.Effect == admission.Keyed && r.Headers.Get("Idempotency-Key") == "" {
 		return a, fmt.Errorf("Idempotency-Key is missing")
 	}
@@ -137,11 +137,11 @@
 	if a.ExpiresIn == 0 {
 		a.ExpiresIn = time.Minute
 	}
-	a.Units, a.Doors, a.FirstDoor = 1, f.settings.Gateways, 0
-	if err := front.Doors(r.Headers.Get("X-Quota"), &f.settings, &a.Units, &a.Doors, &a.FirstDoor); err != nil {
+	a.Units, a.Gateways, a.FirstGateway = 1, f.settings.Gateways, 0
+	if err := front.Doors(r.Headers.Get("X-Quota"), &f.settings, &a.Units, &a.Gateways, &a.FirstGateway); err != nil {
 		return a, fmt.Errorf("X-Quota: %w", err)
 	}
-	a.Retry = r.Headers.Get("Client-Retry") == "1"
+	a.IsRetry = r.Headers.Get("Client-Retry") == "1"
 	return a, nil
 }
 
