--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -1,6 +1,7 @@
-// Package http1 parses and formats HTTP/1.1 messages. The parsers accept input split at any byte and do not scan the
-// same input again for each piece, so their cost is linear. Each parser belongs to one connection and is not safe for
-// concurrent use. The package does no I/O.
+// Package http1 parses and formats HTTP/1.1 messages; its parsers also read HTTP/1.0. The parsers accept input split at
+// any byte and do not scan the same input again for each piece, so their cost is linear. A message with a long body is
+// streamed: the parser returns it with the beginning of its body, and NextBodyPart returns the rest as it arrives. Each
+// parser belongs to one connection and is not safe for concurrent use. The package does no I/O.
 package http1
 
 import (
--- a/internal/net/http1/state.go
+++ b/internal/net/http1/state.go
@@ -8,14 +8,17 @@
 // RequestParserState is the state of a RequestParser, for another process that continues its connection. Requests that
 // are complete and not parsed yet are in Buffered. The numbers are those of the parser's unexported types.
 type RequestParserState struct {
-	Buffered                             []byte
-	Scanned                              int
-	InBody                               bool
-	Framing, BytesLeft, ChunkState       int
-	Body                                 []byte
-	TrailerBytes                         int
-	Method, Target                       string
-	Headers                              Headers
+	Buffered []byte // fed and not parsed yet
+	Scanned  int    // bytes of Buffered that contain no end of a head or of a chunk line
+	InBody   bool   // a head is read, its body is not complete; the fields below belong to that request
+
+	// BytesLeft is of a body with a length, or of the current chunk.
+	Framing, BytesLeft, ChunkState int
+	Body                           []byte // the part of the body that is read
+	TrailerBytes                   int    // read so far
+	Method, Target                 string
+	Headers                        Headers
+	// HasStartLine says that Method, Target, Headers and Close are set; it equals InBody in any valid state.
 	Close, ExpectsContinue, HasStartLine bool
 }
 
--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -1,7 +1,7 @@
 // Package loop is the daemon's event loop: epoll, timers and functions posted by other goroutines. One goroutine calls
 // [Loop.Run]; it owns the loop, its sources and timers, and every handler and callback runs on it. A turn is one
-// iteration of the loop. Only [Loop.Post] and [Loop.Close] may be called from other goroutines. Apart from opening
-// listeners ([Listen], [ListenReusePort], [ListenUDP]), nothing here blocks but the loop's own wait for events.
+// iteration of the loop. Only [Loop.Post] may be called from other goroutines. Nothing here blocks but the wait for
+// events, a Post while too many functions wait, and the retries of [Listen], [ListenReusePort] and [ListenUDP].
 package loop
 
 import (
@@ -82,7 +82,7 @@
 	clockBase, now time.Duration
 	isStopped      bool
 
-	wakeMutex sync.Mutex // held while wakeFD is closed or used by another goroutine
+	wakeMutex sync.Mutex // held by Post while it uses wakeFD and by Close
 	isClosed  bool       // guarded by wakeMutex
 }
 
@@ -97,7 +97,7 @@
 // stall that goes unnoticed is thus shorter than the slack of deadlines (0.15 s).
 const stallThreshold = maxWait + 25*time.Millisecond
 
-// New opens a loop. It fails where the process or the system has no descriptors left.
+// New opens a loop. It fails if the kernel provides no epoll instance or no eventfd, as when descriptors have run out.
 func New() (*Loop, error) {
 	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -275,8 +275,8 @@
 	_, _ = Write(l.wakeFD, one[:])
 }
 
-// Close closes every watched descriptor and the loop's own. It is for a loop whose Run has ended in a process that goes
-// on. Functions posted afterwards are not called.
+// Close closes every watched descriptor and the loop's own. It is to be called after Run has returned, in a process that
+// goes on. Functions posted afterwards are not called, and Post still blocks once 64 of them wait.
 func (l *Loop) Close() {
 	l.wakeMutex.Lock()
 	defer l.wakeMutex.Unlock()
--- a/internal/net/nettest/nettest.go
+++ b/internal/net/nettest/nettest.go
@@ -36,8 +36,8 @@
 // addressCount is how many addresses FreeAddress has returned in this process.
 var addressCount atomic.Uint32
 
-// FreeAddress returns an unused TCP address, ip:port, on loopback. No other test process running at the same time is
-// meant to use its IP address, which depends on the process id, so the port stays free until the caller listens on it.
+// FreeAddress returns an unused TCP address, ip:port, on loopback. Its IP address differs between calls and between test
+// processes, unless their ids are equal modulo 192, so that nobody else takes the port until the caller listens on it.
 func FreeAddress(t *testing.T) string {
 	n := addressCount.Add(1)
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 32+os.Getpid()%192, n>>8, n&255))
