--- a/internal/net/flow/flow.go
+++ b/internal/net/flow/flow.go
@@ -15,7 +15,7 @@
 	// CloseRead and must not append at once.
 	OnFreeSpace func()
 
-	window       int    // bytes that the writer may have unread in the pipe
+	maxUnread    int    // bytes that the writer may have unread in the pipe
 	storage      []byte // the memory that unread is a part of; reused as long as the pipe exists
 	unread       []byte
 	consumed     int64 // bytes
@@ -25,15 +25,15 @@
 }
 
 // New returns an empty pipe. window is in bytes, length is that of the whole body, -1 if it is not known in advance.
-func New(window int, length int64) *Pipe { return &Pipe{window: window, ContentLength: length} }
+func New(window int, length int64) *Pipe { return &Pipe{maxUnread: window, ContentLength: length} }
 
 // FreeSpace returns how many bytes the writer may append to stay within the window. Once the reader has closed it is
 // always the whole window, because appended bytes are discarded.
 func (p *Pipe) FreeSpace() int {
 	if p.isReadClosed {
-		return p.window
+		return p.maxUnread
 	}
-	return max(0, p.window-len(p.unread))
+	return max(0, p.maxUnread-len(p.unread))
 }
 
 // Append copies b to the end of the pipe. It does not enforce the window: the writer observes FreeSpace.
@@ -43,7 +43,7 @@
 	}
 	if len(p.unread)+len(b) > cap(p.unread) { // reuse the space of consumed bytes, or allocate more
 		if capacity := cap(p.storage); len(p.unread)+len(b) > capacity {
-			p.storage = make([]byte, 0, max(len(p.unread)+len(b), min(p.window, 2*capacity)))
+			p.storage = make([]byte, 0, max(len(p.unread)+len(b), min(p.maxUnread, 2*capacity)))
 		}
 		p.unread = append(p.storage[:0], p.unread...)
 	}
@@ -78,7 +78,7 @@
 	}
 	p.consumed += int64(n)
 	if p.unread = p.unread[n:]; len(p.unread) == 0 {
-		if cap(p.storage) > p.window { // it held a part that was read before the pipe existed
+		if cap(p.storage) > p.maxUnread { // it held a part that was read before the pipe existed
 			p.storage = nil
 		}
 		p.unread = p.storage[:0]
--- a/internal/net/http1/reader.go
+++ b/internal/net/http1/reader.go
@@ -25,9 +25,9 @@
 	unparsed       []byte
 	scanned        int  // bytes of unparsed known to contain no end of a head, or no end of a chunk line
 	inBody         bool // the head is read, the body is not complete
-	framing        bodyFraming
+	bodyFraming    bodyFraming
 	bytesLeft      int // of a body with a length, or of the current chunk without its CRLF
-	chunkState     chunkState
+	nextChunkPart  chunkPart
 	body           []byte
 	bytesDelivered int  // body bytes that a streamed message has handed out and body no longer holds
 	isStreaming    bool // the message is handed out, the rest of its body follows in parts
@@ -35,11 +35,11 @@
 	trailerBytes   int
 }
 
-// chunkState is the part of a chunked body that is read next. It is part of RequestParserState as a number.
-type chunkState int
+// chunkPart is the part of a chunked body that is read next. It is part of RequestParserState as a number.
+type chunkPart int
 
 const (
-	chunkSizeLine chunkState = iota
+	chunkSizeLine chunkPart = iota
 	chunkData
 	chunkDataEnd // the CRLF after the data
 	chunkTrailers
@@ -154,9 +154,9 @@
 // that a body without a declared length ends with the connection; otherwise there is no body then. A message with both
 // a length and a transfer coding, or with two lengths, is an error: another recipient may choose the other one.
 func (r *reader) startBody(h Headers, closesWithoutLength bool) error {
-	r.inBody, r.body, r.bytesLeft, r.chunkState, r.trailerBytes, r.bytesDelivered, r.isStreaming, r.isBodyComplete =
+	r.inBody, r.body, r.bytesLeft, r.nextChunkPart, r.trailerBytes, r.bytesDelivered, r.isStreaming, r.isBodyComplete =
 		true, r.body[:0], 0, chunkSizeLine, 0, 0, false, false
-	r.framing = lengthFraming
+	r.bodyFraming = lengthFraming
 	length, isChunked := "", false
 	for i := range h {
 		switch {
@@ -176,7 +176,7 @@
 	case isChunked && length != "":
 		return newParseError(400, "both Content-Length and Transfer-Encoding")
 	case isChunked:
-		r.framing = chunkedFraming
+		r.bodyFraming = chunkedFraming
 	case length != "":
 		n, err := strconv.ParseUint(length, 10, 31)
 		if err != nil || length[0] == '+' {
@@ -187,7 +187,7 @@
 		}
 		r.bytesLeft = int(n)
 	case closesWithoutLength:
-		r.framing = closeFraming
+		r.bodyFraming = closeFraming
 	}
 	return nil
 }
@@ -195,7 +195,7 @@
 // readBody moves the available bytes of the body from unparsed to body and reports whether the body is complete. A body
 // with closeFraming is never complete here: only the end of the connection completes it.
 func (r *reader) readBody() (bool, error) {
-	switch r.framing {
+	switch r.bodyFraming {
 	case lengthFraming:
 		r.moveToBody()
 		return r.bytesLeft == 0, nil
@@ -208,23 +208,23 @@
 		return false, nil
 	}
 	for {
-		switch r.chunkState {
+		switch r.nextChunkPart {
 		case chunkData:
 			if r.moveToBody(); r.bytesLeft > 0 {
 				return false, nil
 			}
-			r.chunkState = chunkDataEnd
+			r.nextChunkPart = chunkDataEnd
 		default:
 			line, ok, err := r.readChunkLine()
 			if !ok || err != nil {
 				return false, err
 			}
-			switch r.chunkState {
+			switch r.nextChunkPart {
 			case chunkDataEnd:
 				if line != "" {
 					return false, newParseError(400, "chunk data without CRLF")
 				}
-				r.chunkState = chunkSizeLine
+				r.nextChunkPart = chunkSizeLine
 			case chunkTrailers:
 				if r.trailerBytes += len(line); r.trailerBytes > r.maxHead {
 					return false, newParseError(431, "trailers over %d bytes", r.maxHead)
@@ -242,8 +242,8 @@
 				if r.bytesDelivered+len(r.body)+int(n) > r.maxBody {
 					return false, newParseError(413, "body over %d bytes", r.maxBody)
 				}
-				if r.bytesLeft, r.chunkState = int(n), chunkData; n == 0 {
-					r.chunkState = chunkTrailers
+				if r.bytesLeft, r.nextChunkPart = int(n), chunkData; n == 0 {
+					r.nextChunkPart = chunkTrailers
 				}
 			}
 		}
@@ -279,12 +279,12 @@
 // handed out before the body is complete.
 func (r *reader) shouldStream() bool {
 	return r.streamThreshold > 0 && !r.isStreaming && (len(r.body) > r.streamThreshold ||
-		r.framing == lengthFraming && r.bytesLeft+len(r.body) > r.streamThreshold)
+		r.bodyFraming == lengthFraming && r.bytesLeft+len(r.body) > r.streamThreshold)
 }
 
 // contentLength returns the length of the whole body in bytes, -1 if it is not known in advance.
 func (r *reader) contentLength() int64 {
-	if r.framing != lengthFraming {
+	if r.bodyFraming != lengthFraming {
 		return -1
 	}
 	return int64(r.bytesDelivered + len(r.body) + r.bytesLeft)
@@ -308,10 +308,10 @@
 // next bytes of a streamed body and counts them as handed out; the caller passes these on itself and feeds the rest. It
 // returns 0 if the bytes have to be parsed, as those of a chunked body.
 func (r *reader) TakeRawBody(b []byte) (n int) {
-	if !r.isStreaming || r.isBodyComplete || len(r.unparsed) > 0 || r.framing == chunkedFraming {
+	if !r.isStreaming || r.isBodyComplete || len(r.unparsed) > 0 || r.bodyFraming == chunkedFraming {
 		return 0
 	}
-	if n = len(b); r.framing == lengthFraming {
+	if n = len(b); r.bodyFraming == lengthFraming {
 		n = min(n, r.bytesLeft)
 		r.bytesLeft -= n
 	}
--- a/internal/net/http1/request.go
+++ b/internal/net/http1/request.go
@@ -42,14 +42,14 @@
 	if err != nil || !isComplete && !p.shouldStream() {
 		return nil, err
 	}
-	req := p.request
-	p.request, req.Body, req.ContentLength = nil, p.body, p.contentLength()
+	request := p.request
+	p.request, request.Body, request.ContentLength = nil, p.body, p.contentLength()
 	if p.shouldStream() { // also if the body is complete: the result must not depend on how the input was split
-		p.isStreaming, p.isBodyComplete, req.IsStreamed = true, isComplete, true
+		p.isStreaming, p.isBodyComplete, request.IsStreamed = true, isComplete, true
 	} else {
 		p.inBody, p.expectsContinue = false, false
 	}
-	return req, nil
+	return request, nil
 }
 
 // TakeExpectContinue reports, once for each request, that its client waits for "100 Continue" before it sends the body.
--- a/internal/net/http1/response.go
+++ b/internal/net/http1/response.go
@@ -39,9 +39,9 @@
 			return nil, err
 		}
 		if status == 204 || status == 304 {
-			p.framing, p.bytesLeft = lengthFraming, 0
+			p.bodyFraming, p.bytesLeft = lengthFraming, 0
 		}
-		p.response = &Response{Status: status, Headers: h, Close: p.framing == closeFraming ||
+		p.response = &Response{Status: status, Headers: h, Close: p.bodyFraming == closeFraming ||
 			h.hasToken("Connection", "close") || proto == "HTTP/1.0" && !h.hasToken("Connection", "keep-alive")}
 	}
 	isComplete, err := p.readBody()
@@ -76,7 +76,7 @@
 // HasUnknownLength reports whether a response with status 200 is being read whose length is not known in advance and
 // that is not streamed yet.
 func (p *ResponseParser) HasUnknownLength() bool {
-	return p.inBody && !p.isStreaming && p.framing != lengthFraming && p.response != nil && p.response.Status == 200
+	return p.inBody && !p.isStreaming && p.bodyFraming != lengthFraming && p.response != nil && p.response.Status == 200
 }
 
 // finishResponse returns the response that is being read with what has been read of its body.
@@ -89,12 +89,14 @@
 
 // EndsWithConnection reports whether a streamed body is complete when its connection is closed. It is to be called when
 // the server has closed the connection in an orderly way.
-func (p *ResponseParser) EndsWithConnection() bool { return p.isStreaming && p.framing == closeFraming }
+func (p *ResponseParser) EndsWithConnection() bool {
+	return p.isStreaming && p.bodyFraming == closeFraming
+}
 
 // FinishAtEOF returns the response that the end of the connection completes, nil if there is none. It is to be called
 // when the server has closed the connection, and not while a streamed body is read; see EndsWithConnection.
 func (p *ResponseParser) FinishAtEOF() *Response {
-	if p.inBody && p.framing == closeFraming {
+	if p.inBody && p.bodyFraming == closeFraming {
 		return p.finishResponse()
 	}
 	return nil
--- a/internal/net/http1/state.go
+++ b/internal/net/http1/state.go
@@ -26,8 +26,8 @@
 // and one with Close is restored as HTTP/1.0, because its response may end with the connection in any case.
 func (p *RequestParser) State() RequestParserState {
 	s := RequestParserState{Buffered: slices.Clone(p.unparsed), Scanned: p.scanned, InBody: p.inBody,
-		Framing: int(p.framing), BytesLeft: p.bytesLeft,
-		ChunkState: int(p.chunkState), TrailerBytes: p.trailerBytes, ExpectsContinue: p.expectsContinue}
+		Framing: int(p.bodyFraming), BytesLeft: p.bytesLeft,
+		ChunkState: int(p.nextChunkPart), TrailerBytes: p.trailerBytes, ExpectsContinue: p.expectsContinue}
 	if p.inBody {
 		s.Body = slices.Clone(p.body)
 	}
@@ -51,9 +51,9 @@
 		return nil, fmt.Errorf("http1: inconsistent state of a request parser")
 	}
 	p.storage = slices.Clone(s.Buffered)
-	p.unparsed, p.scanned, p.inBody, p.framing = p.storage, s.Scanned, s.InBody, bodyFraming(s.Framing)
-	p.bytesLeft, p.chunkState, p.trailerBytes, p.expectsContinue =
-		s.BytesLeft, chunkState(s.ChunkState), s.TrailerBytes, s.ExpectsContinue
+	p.unparsed, p.scanned, p.inBody, p.bodyFraming = p.storage, s.Scanned, s.InBody, bodyFraming(s.Framing)
+	p.bytesLeft, p.nextChunkPart, p.trailerBytes, p.expectsContinue =
+		s.BytesLeft, chunkPart(s.ChunkState), s.TrailerBytes, s.ExpectsContinue
 	p.body = slices.Clone(s.Body)
 	if s.InBody {
 		p.request = &Request{Method: s.Method, Target: s.Target, Headers: s.Headers, Close: s.Close, IsHTTP10: s.Close}
--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -40,7 +40,7 @@
 	generation int32 // distinguishes this source from earlier ones of the same descriptor number
 	handler    Handler
 	events     uint32
-	order      serveOrder
+	serveOrder serveOrder
 }
 
 // serveOrder is when a descriptor is served in a turn, relative to the others.
@@ -99,22 +99,22 @@
 
 // New opens a loop. It fails if the kernel provides no epoll instance or no eventfd, as when descriptors have run out.
 func New() (*Loop, error) {
-	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	wake, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
+	wakeFD, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err != nil {
-		return nil, fmt.Errorf("eventfd: %w", errors.Join(err, unix.Close(epoll)))
+		return nil, fmt.Errorf("eventfd: %w", errors.Join(err, unix.Close(epollFD)))
 	}
-	l := &Loop{epollFD: epoll, wakeFD: wake, ready: make([]unix.EpollEvent, maxEventsPerTurn), posted: make(chan func(), 64),
+	l := &Loop{epollFD: epollFD, wakeFD: wakeFD, ready: make([]unix.EpollEvent, maxEventsPerTurn), posted: make(chan func(), 64),
 		readBuffer: make([]byte, 64<<10), startedAt: time.Now()}
 	// The windows of the shared counter begin at the same time on all machines, so the clock starts from the wall
 	// clock. From then on it is monotonic, and a step of the wall clock does not change it.
 	l.clockBase = time.Duration(system.wallClock().UnixNano())
 	l.now = l.clockBase.Truncate(time.Microsecond)
 	l.polledAt = l.now
-	if _, err := l.Watch(wake, In, wakeHandler{l}); err != nil {
+	if _, err := l.Watch(wakeFD, In, wakeHandler{l}); err != nil {
 		return nil, err
 	}
 	return l, nil
@@ -186,14 +186,14 @@
 }
 
 // ServeFirst has the handler called before all others of a turn.
-func (s *Source) ServeFirst() { s.order, s.loop.hasFirst = orderFirst, true }
+func (s *Source) ServeFirst() { s.serveOrder, s.loop.hasFirst = orderFirst, true }
 
 // ServeLast has the handler called after all others of a turn, until ServeNormally. It is for a handler that starts
 // something which data still unread at another descriptor may forbid.
-func (s *Source) ServeLast() { s.order = orderLast }
+func (s *Source) ServeLast() { s.serveOrder = orderLast }
 
 // ServeNormally ends the effect of ServeFirst or ServeLast.
-func (s *Source) ServeNormally() { s.order = orderNormal }
+func (s *Source) ServeNormally() { s.serveOrder = orderNormal }
 
 // SetEvents changes the events that a descriptor is watched for. On a closed source it does nothing.
 func (s *Source) SetEvents(events uint32) {
@@ -391,15 +391,15 @@
 }
 
 // serve calls the handlers of those ready descriptors that have the given order.
-func (l *Loop) serve(ready []unix.EpollEvent, order serveOrder) {
+func (l *Loop) serve(ready []unix.EpollEvent, selected serveOrder) {
 	for _, ev := range ready {
 		s := l.sources[ev.Fd]
 		if s == nil || s.generation != ev.Pad {
 			continue
 		}
-		if s.order == order {
+		if s.serveOrder == selected {
 			s.handler.Ready(ev.Events)
-		} else if s.order == orderLast {
+		} else if s.serveOrder == orderLast {
 			l.hasLast = true
 		}
 	}
