--- a/internal/net/http1/reader.go
+++ b/internal/net/http1/reader.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// bodyFraming is how the end of a body that is read is recognized. It is part of RequestParserState as a number.
+// bodyFraming is how the end of a body that is read is recognized. RequestParserState carries it to another
+// process as a number, so the values must not change.
 type bodyFraming int
 
 const (
@@ -35,7 +36,8 @@
 	trailerBytes   int
 }
 
-// chunkPart is the part of a chunked body that is read next. It is part of RequestParserState as a number.
+// chunkPart is the part of a chunked body that is read next. RequestParserState carries it to another
+// process as a number, so the values must not change.
 type chunkPart int
 
 const (
