--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -200,11 +200,11 @@
 	w.next = opened
 }
 
-// scheduleRetry opens the next watch after 10 to 100 percent, drawn at random, of an exponential backoff from ClusterFirst to
-// ClusterMost. Discovery is one service for all ingresses: if all of them keep requesting the list it answers none in time,
-// and none gets the list. However many watches have failed, the wait ends within ClusterApart of lastActivity, the time of
-// the last data or of the last attempt: discovery may have published a change at any time since, and each ingress that can
-// reach it must act on a change within a fixed time. The backoff is not cut below BackoffFirst for that.
+// scheduleRetry opens the next watch after 10 to 100 percent, drawn at random, of an exponential backoff from ClusterFirst
+// to ClusterMost. Discovery is one service for all ingresses: if all of them keep requesting the list it answers none in
+// time, and none gets the list. However many watches have failed, the wait ends within ClusterApart of lastActivity, the
+// time of the last data or of the last attempt: discovery may have published a change at any time since, and each ingress
+// that can reach it must act on a change within a fixed time. The backoff is not cut below BackoffFirst for that.
 func (w *Watcher) scheduleRetry(cause string, lastActivity time.Duration) {
 	w.reportLoss(cause)
 	w.backoff = min(max(2*w.backoff, w.bounds.ClusterFirst), w.bounds.ClusterMost)
@@ -216,8 +216,8 @@
 // scheduleReopen replaces a watch that had received data and is lost, or that connected and received nothing. It waits no
 // longer than before the first watch, a random part of ClusterSpread: changes published since count as known here, and
 // nothing indicates that discovery is overloaded. Once discovery has refused a watch or ended one early, so that a backoff
-// is set, scheduleRetry spaces out all further ones. The new watch is opened at the earliest BackoffFirst after the ended one
-// was, so that watches that end at once don't follow each other without a pause.
+// is set, scheduleRetry spaces out all further ones. The new watch is opened at the earliest BackoffFirst after the ended
+// one was, so that watches that end at once don't follow each other without a pause.
 func (w *Watcher) scheduleReopen(ended *watch, cause string) {
 	if w.backoff > 0 {
 		w.scheduleRetry(cause, ended.lastActivity)
@@ -255,8 +255,9 @@
 	}
 }
 
-// firstByteTimeout returns how long a watch may take from its connection to the first byte of its response. It doubles with
-// each consecutive watch that received nothing, up to ClusterSilence, so that a watch also succeeds when discovery has become slow.
+// firstByteTimeout returns how long a watch may take from its connection to the first byte of its response. It doubles
+// with each consecutive watch that received nothing, up to ClusterSilence, so that a watch also succeeds when discovery
+// has become slow.
 func (w *Watcher) firstByteTimeout() time.Duration {
 	return min(w.bounds.ClusterAnswer<<min(w.silentWatches, 8), w.bounds.ClusterSilence)
 }
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -84,8 +84,8 @@
 	require.Less(t, watches.Load(), int64(4*ingresses))
 }
 
-// A watch that falls silent, after its first list or before any data, is replaced as soon as a first watch is opened, without
-// the backoff of a large fleet: changes that discovery publishes meanwhile count as known to the ingress.
+// A watch that falls silent, after its first list or before any data, is replaced as soon as a first watch is opened,
+// without the backoff of a large fleet: changes that discovery publishes meanwhile count as known to the ingress.
 func TestSilentWatchIsReopenedWithoutBackoff(t *testing.T) {
 	testEnd := make(chan struct{})
 	defer close(testEnd)
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// maxRetainedMessageBytes is the largest message, in bytes, after which the JSON parser keeps its memory for the next one. The
-// parser needs about 34 times the size of the message: 29 MB for a full list of 7,200 hosts, which is rare.
+// maxRetainedMessageBytes is the largest message, in bytes, after which the JSON parser keeps its memory for the next one.
+// The parser needs about 34 times the size of the message: 29 MB for a full list of 7,200 hosts, which is rare.
 const maxRetainedMessageBytes = 64 << 10
 
 // rejectMessage fails a watch that has delivered a malformed message.
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -37,8 +37,8 @@
 	return `{"version":` + strconv.Itoa(version) + `,"full":true,"servers":[]}` + "\n"
 }
 
-// receiveLists runs a watcher until discovery has sent it so many lists, and returns it and the lists' versions. The list from
-// before the start is not counted.
+// receiveLists runs a watcher until discovery has sent it so many lists, and returns it and the lists' versions. The list
+// from before the start is not counted.
 func receiveLists(t *testing.T, bounds limits.Limits, addr string, lists int) (w *Watcher, versions []uint64) {
 	l, err := loop.New()
 	require.NoError(t, err)
@@ -51,8 +51,8 @@
 	return w, versions
 }
 
-// Changes that an agent has count as known to its ingress even while it closes watches. So it must be retried within the drain
-// grace, however many other ingresses with agents of their own there are.
+// Changes that an agent has count as known to its ingress even while it closes watches. So it must be retried within the
+// drain grace, however many other ingresses with agents of their own there are.
 func TestAgentIsRetriedWithinDrainGrace(t *testing.T) {
 	requests := make(chan time.Time, 64)
 	addr := serveWatches(t, func(c net.Conn, n int64) {
--- a/internal/net/peers/peers_test.go
+++ b/internal/net/peers/peers_test.go
@@ -24,7 +24,8 @@
 	return c
 }
 
-// openTransport opens the transport of member 0, with a limit of accepted messages per second, and returns it and its address.
+// openTransport opens the transport of member 0, with a limit of accepted messages per second, and returns it and its
+// address.
 func openTransport(t *testing.T, l *loop.Loop, messagesPerSecond int, addrs map[string]string) (*Transport, *net.UDPAddr) {
 	bounds, err := limits.For(limits.Site{Sockets: 256, Gateways: 2})
 	require.NoError(t, err)
