--- a/internal/front/openapi/openapi.go
+++ b/internal/front/openapi/openapi.go
@@ -103,10 +103,14 @@
 }
 
 // HandleClientGone tells the core that a client has gone.
-func (f *Front) HandleClientGone(c *downstream.Conn) { f.streams.Leave(c.Now(), c.StreamID) }
+func (f *Front) HandleClientGone(c *downstream.Conn) {
+	f.streams.ClientDisconnected(c.Now(), c.StreamID)
+}
 
 // HandleBodyComplete tells the core that the body of an open request has come.
-func (f *Front) HandleBodyComplete(c *downstream.Conn) { f.streams.Whole(c.Now(), c.StreamID) }
+func (f *Front) HandleBodyComplete(c *downstream.Conn) {
+	f.streams.RequestCompleted(c.Now(), c.StreamID)
+}
 
 // HandleMalformed answers what could not be read.
 func (f *Front) HandleMalformed(c *downstream.Conn, status int, what string) {
--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -408,7 +408,7 @@
 // waitMilliseconds returns how long to wait for events: until the next timer or the time the Turner asked for (0:
 // none), at most maxWait, rounded up to whole milliseconds.
 func (l *Loop) waitMilliseconds(next time.Duration) int {
-	l.timers.Skip(func(t *Timer) bool { return t.fn != nil }) // a stopped timer needs no turn
+	l.timers.DiscardInactive(func(t *Timer) bool { return t.fn != nil }) // a stopped timer needs no turn
 	if at, ok := l.timers.Next(); ok && (next == 0 || at < next) {
 		next = at
 	}
