--- a/internal/capacity/server_list.go
+++ b/internal/capacity/server_list.go
@@ -57,7 +57,7 @@
 	gateway *admission.Gateway
 }
 
-// List gives the decision module the cluster's news.
+// ServerListReceived gives the decision module the cluster's news.
 func (h *listHolders) ServerListReceived(list admission.ServerList) {
 	h.gateway.Handle(time.Hour, list)
 }
