--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -32,7 +32,7 @@
 
 // Ready tells whether a client's request would be served here.
 func (o adminHandler) Ready() bool {
-	return o.d.known() && o.d.server.Serving()
+	return o.d.known() && o.d.server.IsAccepting()
 }
 
 // About tells the version of the settings, where they have one.
@@ -66,7 +66,7 @@
 // Metrics appends the figures as they stand.
 func (o adminHandler) Metrics(room []byte) []byte {
 	d := o.d
-	room = d.figures.Append(room, figures.Present{InFlight: d.core.Taken() + d.server.Relaying(), Listed: d.watcher.Listed(),
+	room = d.figures.Append(room, figures.Present{InFlight: d.core.Taken() + d.server.ActiveRelays(), Listed: d.watcher.Listed(),
 		Down: d.module.Avoided(d.loop.Now())})
 	room = figures.AppendRules(room, d.version())
 	if d.group != nil {
--- a/internal/daemon/beside.go
+++ b/internal/daemon/beside.go
@@ -117,7 +117,7 @@
 			d.log.Warn("drain cut short", "streams", open)
 			d.core.Abandon(d.loop.Now())
 		}
-		d.server.CutRelays()
+		d.server.AbortCloseDelimitedRelays()
 		d.loop.After(d.cfg.Limits.DrainFlush, d.loop.Stop)
 	})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -148,7 +148,7 @@
 // opening is a front and where it listens.
 type opening struct {
 	addr   string
-	front  downstream.Front
+	front  downstream.Handler
 	ready  func()
 	follow func(admission.Settings)
 }
@@ -345,7 +345,7 @@
 	d.noteStall(now)
 	next := d.core.Turn(now)
 	d.pred.turn(now)
-	if d.server.Closed() && d.core.Open() == 0 && d.server.Connections() == 0 && !d.leaving {
+	if d.server.ListenersClosed() && d.core.Open() == 0 && d.server.OpenConnections() == 0 && !d.leaving {
 		d.leaving = true
 		d.log.Info("drained")
 		d.sayLeave(func() { d.giveUpControlGroup(d.loop.Stop) })
@@ -372,7 +372,7 @@
 	}
 	d.draining = true
 	d.o.Notify("STOPPING=1")
-	d.log.Info("draining", "streams", d.core.Open(), "connections", d.server.Connections())
+	d.log.Info("draining", "streams", d.core.Open(), "connections", d.server.OpenConnections())
 	d.server.Drain()
 	d.loop.After(d.cfg.Limits.DrainAccept, d.server.CloseListeners)
 	d.endInTime()
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -109,13 +109,13 @@
 		p.timer.Stop()
 	case phase.SendWelcome:
 		p.send(&pb.Envelope{Body: &pb.Envelope_Welcome{Welcome: &pb.Welcome{Protocol: phase.Protocol, Version: d.o.Version,
-			Name: d.cfg.Name, Listeners: d.server.Addresses()}}})
+			Name: d.cfg.Name, Listeners: d.server.ListenerAddresses()}}})
 	case phase.CopyAhead:
 		p.since, p.ids, p.unsettled = d.loop.Now(), d.module.Customers(0), d.module.Unsettled()
 		p.copyAhead()
 	case phase.Freeze:
 		p.frozenAt = d.loop.Now()
-		d.server.Hold()
+		d.server.Suspend()
 	case phase.SendSnapshot:
 		p.freezing = true
 	case phase.SendCommit:
@@ -123,7 +123,7 @@
 	case phase.Unfreeze:
 		p.freezing = false
 		d.core.Unshare()
-		d.server.Release()
+		d.server.Resume()
 	case phase.SendAbort:
 		p.send(&pb.Envelope{Body: &pb.Envelope_Abort{Abort: &pb.Abort{Reason: p.machine.Failure}}})
 	case phase.Kill:
@@ -146,7 +146,7 @@
 	case phase.Drain:
 		d.drain()
 	case phase.EndOwn:
-		d.log.Info("ending what is left", "streams", d.core.Open(), "connections", d.server.Connections())
+		d.log.Info("ending what is left", "streams", d.core.Open(), "connections", d.server.OpenConnections())
 		d.endInTime()
 	case phase.SayFarewell:
 		p.farewell()
@@ -220,7 +220,7 @@
 			p.snapshot()
 		}
 	}
-	if p.machine.Committed() && p.d.core.Streams() == 0 && p.d.server.Connections() == 0 {
+	if p.machine.Committed() && p.d.core.Streams() == 0 && p.d.server.OpenConnections() == 0 {
 		p.handle(phase.Emptied{})
 	}
 }
@@ -236,7 +236,7 @@
 		ids = ids[n:]
 	}
 	state, err := d.module.State()
-	listeners, lerr := d.server.Listeners()
+	listeners, lerr := d.server.DuplicateListeners()
 	if err = errors.Join(err, lerr); err != nil {
 		for _, fd := range listeners {
 			loop.CloseFD(fd)
@@ -247,7 +247,7 @@
 	open := d.core.Share(p)
 	list := d.watcher.Current()
 	m := &pb.Snapshot{Gateway: handover.Gateway(state), ClockOffset: int64(d.loop.Offset()), LastStream: open.LastID,
-		ListVersion: list.Version, Hosts: handover.Hosts(list), Listeners: d.server.Addresses()}
+		ListVersion: list.Version, Hosts: handover.Hosts(list), Listeners: d.server.ListenerAddresses()}
 	m.Streams, m.Keys = handover.Open(open)
 	p.send(&pb.Envelope{Body: &pb.Envelope_Snapshot{Snapshot: m}}, listeners...)
 }
@@ -264,9 +264,9 @@
 	d.module.Retire()
 	d.core.Settle()
 	d.suspendControlGroup()
-	p.send(&pb.Envelope{Body: &pb.Envelope_Commit{Commit: &pb.Commit{Clients: uint32(d.server.Connections()),
-		Upstreams: uint32(d.hosts.Connections())}}})
-	d.server.HandOver(func(st downstream.State, fd int) {
+	p.send(&pb.Envelope{Body: &pb.Envelope_Commit{Commit: &pb.Commit{Clients: uint32(d.server.OpenConnections()),
+		Upstreams: uint32(d.hosts.OpenConnections())}}})
+	d.server.HandOver(func(st downstream.ConnState, fd int) {
 		p.report.Clients++
 		p.send(&pb.Envelope{Body: &pb.Envelope_Client{Client: handover.Client(st)}}, fd)
 	})
@@ -289,11 +289,11 @@
 	d := p.d
 	d.module.Reclaim(d.loop.Now())
 	d.core.Unshare()
-	d.hosts.Keep()
+	d.hosts.StopHandOver()
 	if d.counter != nil {
 		d.counter.Regain()
 	}
-	d.server.Release()
+	d.server.Resume()
 	shareMemory(d.cfg.Limits, 1)
 	d.await()
 	if err := errors.Join(d.openControl(), d.openAdmin()); err != nil {
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -162,14 +162,14 @@
 		s.handle(phase.Told{Message: phase.Abort, Text: m.Abort.GetReason()})
 	case *pb.Envelope_Client:
 		if len(fds) == 1 && s.machine.Serves() {
-			if err := d.server.Take(handover.FromClient(m.Client), fds[0]); err != nil {
+			if err := d.server.AdoptConnection(handover.FromClient(m.Client), fds[0]); err != nil {
 				d.log.Warn("client connection not taken over", "error", err)
 			}
 			fds = nil
 		}
 	case *pb.Envelope_Upstream:
 		if len(fds) == 1 && s.machine.Serves() {
-			if err := d.hosts.Take(m.Upstream.GetHost(), time.Duration(m.Upstream.GetSince()), fds[0]); err != nil {
+			if err := d.hosts.AdoptConnection(m.Upstream.GetHost(), time.Duration(m.Upstream.GetSince()), fds[0]); err != nil {
 				d.log.Warn("upstream connection not taken over", "error", err)
 			}
 			fds = nil
@@ -227,7 +227,7 @@
 		s.handle(phase.Unfit{Why: fmt.Sprintf("the configuration is %s's, the running process is %s", d.cfg.Name, name)})
 		return
 	}
-	d.server.Hold()
+	d.server.Suspend()
 	d.core.Hold()
 	if d.counter != nil {
 		d.counter.Resize(d.cfg.Limits.CounterShared)
@@ -288,7 +288,7 @@
 		s.bound[names[i]] = fd
 	}
 	for _, f := range d.fronts {
-		if err := d.server.Adopt(s.bound[f.addr], f.addr, f.front); err != nil {
+		if err := d.server.AdoptListener(s.bound[f.addr], f.addr, f.front); err != nil {
 			return err
 		}
 	}
@@ -297,9 +297,9 @@
 
 func (s *successor) serve() {
 	d := s.d
-	d.server.Elsewhere(int(s.commit.GetClients()))
-	d.hosts.Elsewhere(int(s.commit.GetUpstreams()))
-	d.server.Release()
+	d.server.SetPredecessorConnections(int(s.commit.GetClients()))
+	d.hosts.SetPredecessorConnections(int(s.commit.GetUpstreams()))
+	d.server.Resume()
 	for _, f := range d.fronts {
 		f.ready()
 	}
@@ -328,8 +328,8 @@
 	}
 	d.core.Do(d.module.PredecessorGone(d.loop.Now()))
 	d.core.TheirsGone()
-	d.server.Elsewhere(0)
-	d.hosts.Elsewhere(0)
+	d.server.SetPredecessorConnections(0)
+	d.hosts.SetPredecessorConnections(0)
 	s.wholeCounter()
 	shareMemory(d.cfg.Limits, 1)
 	s.conn.Close()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -40,7 +40,7 @@
 	if len(r.Body) > 0 {
 		m.Body = append([]byte(nil), r.Body...)
 	}
-	m.Rest = r.Rest
+	m.BodyPipe = r.Rest
 	return m
 }
 
@@ -80,20 +80,20 @@
 		Owner: o, Open: r.Open}
 	req.RequestArrived.Open = r.Open
 	if !r.Open { // else its time has not begun
-		req.ExpiresIn = max(0, a.ExpiresIn-c.Waited())
+		req.ExpiresIn = max(0, a.ExpiresIn-c.RequestAge())
 	}
 	m := Message(r)
-	m.Once = a.Write && req.Order == ""
+	m.AtMostOnce = a.Write && req.Order == ""
 	if s.Observed() {
 		req.Trace = trace(a.Customer, req.Order, r)
 		m.Trace = req.Trace
 	}
 	req.Payload = m
-	if c.Stream = s.Arrive(c.Now(), req); c.Stream == 0 {
+	if c.StreamID = s.Arrive(c.Now(), req); c.StreamID == 0 {
 		return false
 	}
 	if req.Trace.Valid() {
-		c.Trace = string(tracecontext.AppendParent(nil, req.Trace.Trace, req.Trace.Span, req.Trace.Sampled))
+		c.TraceParent = string(tracecontext.AppendParent(nil, req.Trace.Trace, req.Trace.Span, req.Trace.Sampled))
 	}
 	return true
 }
@@ -132,7 +132,7 @@
 	if a.ContentType != "" {
 		h = http1.Headers{{Name: "Content-Type", Value: a.ContentType}}
 	}
-	if rest := upstream.Rest(a); rest != nil {
+	if rest := upstream.BodyPipe(a); rest != nil {
 		c.Relay(200, h, rest, e.Relayed)
 		return
 	}
--- a/internal/front/openapi/openapi.go
+++ b/internal/front/openapi/openapi.go
@@ -59,8 +59,8 @@
 // Swap puts another table in place. Streams that are open keep the class and cost they began with.
 func (f *Front) Swap(t *routes.Table) { f.table = t }
 
-// Request finds the route of a request and opens its stream, or answers it here.
-func (f *Front) Request(c *downstream.Conn, r *http1.Request) {
+// HandleRequest finds the route of a request and opens its stream, or answers it here.
+func (f *Front) HandleRequest(c *downstream.Conn, r *http1.Request) {
 	if r.Method == "GET" && r.Target == "/up" {
 		if !f.ready() {
 			problem(c, 502, nil, "not ready")
@@ -102,14 +102,16 @@
 	}
 }
 
-// Left tells the core that a client has gone.
-func (f *Front) Left(c *downstream.Conn) { f.streams.Leave(c.Now(), c.Stream) }
+// HandleClientGone tells the core that a client has gone.
+func (f *Front) HandleClientGone(c *downstream.Conn) { f.streams.Leave(c.Now(), c.StreamID) }
 
-// Whole tells the core that the body of an open request has come.
-func (f *Front) Whole(c *downstream.Conn) { f.streams.Whole(c.Now(), c.Stream) }
+// HandleBodyComplete tells the core that the body of an open request has come.
+func (f *Front) HandleBodyComplete(c *downstream.Conn) { f.streams.Whole(c.Now(), c.StreamID) }
 
-// Malformed answers what could not be read.
-func (f *Front) Malformed(c *downstream.Conn, status int, what string) { problem(c, status, nil, what) }
+// HandleMalformed answers what could not be read.
+func (f *Front) HandleMalformed(c *downstream.Conn, status int, what string) {
+	problem(c, status, nil, what)
+}
 
 // read checks that the route's fields are there and takes what the decision needs.
 func (f *Front) read(r *http1.Request, rawQuery string, m routes.Match) (admission.RequestArrived, error) {
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Request answers what is no stream, and opens one for what is.
-func (f *Front) Request(c *downstream.Conn, r *http1.Request) {
+// HandleRequest answers what is no stream, and opens one for what is.
+func (f *Front) HandleRequest(c *downstream.Conn, r *http1.Request) {
 	path := r.Path()
 	switch {
 	case path == "/up":
@@ -85,14 +85,14 @@
 	c.Reply(405, http1.Headers{{Name: "Allow", Value: allow}}, nil)
 }
 
-// Left tells the core that a client has gone.
-func (f *Front) Left(c *downstream.Conn) { f.streams.Leave(c.Now(), c.Stream) }
+// HandleClientGone tells the core that a client has gone.
+func (f *Front) HandleClientGone(c *downstream.Conn) { f.streams.Leave(c.Now(), c.StreamID) }
 
-// Whole tells the core that the body of an open request has come.
-func (f *Front) Whole(c *downstream.Conn) { f.streams.Whole(c.Now(), c.Stream) }
+// HandleBodyComplete tells the core that the body of an open request has come.
+func (f *Front) HandleBodyComplete(c *downstream.Conn) { f.streams.Whole(c.Now(), c.StreamID) }
 
-// Malformed answers what could not be read.
-func (f *Front) Malformed(c *downstream.Conn, status int, what string) { local(c, status, what) }
+// HandleMalformed answers what could not be read.
+func (f *Front) HandleMalformed(c *downstream.Conn, status int, what string) { local(c, status, what) }
 
 func local(c *downstream.Conn, status int, what string) {
 	c.Reply(status, http1.Headers{{Name: "Content-Type", Value: "text/plain"}}, append([]byte(what), '\n'))
--- a/internal/handover/convert.go
+++ b/internal/handover/convert.go
@@ -195,7 +195,7 @@
 }
 
 // Client makes a message of a client connection.
-func Client(s downstream.State) *pb.ClientConnection {
+func Client(s downstream.ConnState) *pb.ClientConnection {
 	p := s.Parser
 	m := &pb.Parser{Buffered: p.Buffered, InBody: p.InBody, Framing: int32(p.Framing), Left: int64(p.Left),
 		Chunk: int32(p.Chunk), Body: p.Body, Trail: int64(p.Trail), Method: p.Method, Target: p.Target, Close: p.Close,
@@ -203,15 +203,15 @@
 	for _, h := range p.Headers {
 		m.Headers = append(m.Headers, &pb.Header{Name: h.Name, Value: h.Value})
 	}
-	return &pb.ClientConnection{Listener: s.Listener, Out: s.Out, Since: int64(s.Since), Opened: int64(s.Opened),
-		Served: s.Served, Parser: m}
+	return &pb.ClientConnection{Listener: s.ListenerAddress, Out: s.Unsent, Since: int64(s.PhaseSince), Opened: int64(s.OpenedAt),
+		Served: s.WasServed, Parser: m}
 }
 
 // FromClient is its inverse.
-func FromClient(m *pb.ClientConnection) downstream.State {
+func FromClient(m *pb.ClientConnection) downstream.ConnState {
 	p := m.GetParser()
-	s := downstream.State{Listener: m.GetListener(), Out: m.GetOut(), Since: d(m.GetSince()), Opened: d(m.GetOpened()),
-		Served: m.GetServed(), Parser: http1.State{Buffered: p.GetBuffered(), InBody: p.GetInBody(),
+	s := downstream.ConnState{ListenerAddress: m.GetListener(), Unsent: m.GetOut(), PhaseSince: d(m.GetSince()), OpenedAt: d(m.GetOpened()),
+		WasServed: m.GetServed(), Parser: http1.State{Buffered: p.GetBuffered(), InBody: p.GetInBody(),
 			Framing: int(p.GetFraming()), Left: int(p.GetLeft()), Chunk: int(p.GetChunk()), Body: p.GetBody(),
 			Trail: int(p.GetTrail()), Method: p.GetMethod(), Target: p.GetTarget(), Close: p.GetClose(),
 			Continues: p.GetContinues(), Scanned: int(p.GetScanned()), HasStart: p.GetHasStart()}}
--- a/internal/handover/convert_test.go
+++ b/internal/handover/convert_test.go
@@ -55,7 +55,7 @@
 
 func TestAConnectionsStateComesOverWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := rapid.Make[downstream.State]().Draw(t, "connection")
+		s := rapid.Make[downstream.ConnState]().Draw(t, "connection")
 		s.Parser.Framing, s.Parser.Chunk = s.Parser.Framing&3, s.Parser.Chunk&3
 		equal(t, s, FromClient(there(t, Client(s), &pb.ClientConnection{})))
 	})
--- a/internal/net/downstream/answer.go
+++ b/internal/net/downstream/answer.go
@@ -12,7 +12,7 @@
 	if c.src.FD() < 0 || !c.busy {
 		return
 	}
-	c.busy, c.Stream = false, 0
+	c.busy, c.StreamID = false, 0
 	h = c.traced(h)
 	if c.up != nil { // what still comes of the request is read and dropped
 		c.last = true
@@ -28,9 +28,9 @@
 
 // traced adds the trace that the answer gives back.
 func (c *Conn) traced(h http1.Headers) http1.Headers {
-	if c.Trace != "" {
-		h = append(h[:len(h):len(h)], http1.Header{Name: "traceparent", Value: c.Trace})
-		c.Trace = ""
+	if c.TraceParent != "" {
+		h = append(h[:len(h):len(h)], http1.Header{Name: "traceparent", Value: c.TraceParent})
+		c.TraceParent = ""
 	}
 	return h
 }
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -11,12 +11,12 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Front is given the requests of its listener. It answers each with one [Conn.Reply], at once or later.
-type Front interface {
-	Request(c *Conn, r *http1.Request)
-	Left(c *Conn)  // the client of an unanswered request has gone
-	Whole(c *Conn) // the body of a request that was open has come to its end
-	Malformed(c *Conn, status int, what string)
+// Handler is given the requests of its listener. It answers each with one [Conn.Reply], at once or later.
+type Handler interface {
+	HandleRequest(c *Conn, r *http1.Request)
+	HandleClientGone(c *Conn)   // the client of an unanswered request has gone
+	HandleBodyComplete(c *Conn) // the body of a request that was open has come to its end
+	HandleMalformed(c *Conn, status int, what string)
 }
 
 // Server holds all client connections, of every front, and their common bound.
@@ -36,7 +36,7 @@
 	closed    bool          // no new connections
 	toldAt    time.Duration // when the operator was last told of a pause
 	held      bool          // nobody is read: another process is about to take over
-	hand      func(State, int)
+	hand      func(ConnState, int)
 	debugs    bool   // the log takes debug lines
 	accepted  uint64 // connections, from the start
 	uploads   int    // requests whose bodies are passed on while they come
@@ -82,16 +82,18 @@
 // Drain begins the end: every answer from now on closes its connection.
 func (s *Server) Drain() { s.draining = true }
 
-// Serving tells whether new connections are taken and read.
-func (s *Server) Serving() bool { return len(s.listeners) > 0 && !s.held && !s.closed && !s.draining }
+// IsAccepting tells whether new connections are taken and read.
+func (s *Server) IsAccepting() bool {
+	return len(s.listeners) > 0 && !s.held && !s.closed && !s.draining
+}
 
-// Connections tells how many are open.
-func (s *Server) Connections() int { return len(s.conns) }
+// OpenConnections tells how many are open.
+func (s *Server) OpenConnections() int { return len(s.conns) }
 
 // Conn is one client connection. It carries one request at a time; what a client sends ahead waits.
 type Conn struct {
-	Stream uint64 // the front's mark of the request that is being answered
-	Trace  string // traceparent that its answer gives back, empty for none
+	StreamID    uint64 // the front's mark of the request that is being answered
+	TraceParent string // traceparent that its answer gives back, empty for none
 
 	s          *Server
 	number     uint64 // in the log
@@ -123,8 +125,8 @@
 // Now is the time of this turn.
 func (c *Conn) Now() time.Duration { return c.s.loop.Now() }
 
-// Waited is how long ago the present request came: its client's patience began then.
-func (c *Conn) Waited() time.Duration { return max(0, c.Now()-c.came) }
+// RequestAge is how long ago the present request came: its client's patience began then.
+func (c *Conn) RequestAge() time.Duration { return max(0, c.Now()-c.came) }
 
 func (c *Conn) setIdle() {
 	c.since = c.s.loop.Now()
@@ -175,7 +177,7 @@
 	c.drop(why)
 	if busy {
 		c.busy = false
-		c.ln.front.Left(c)
+		c.ln.front.HandleClientGone(c)
 	}
 }
 
--- a/internal/net/downstream/end.go
+++ b/internal/net/downstream/end.go
@@ -59,8 +59,8 @@
 // CloseListeners takes what still waits to be accepted, then takes no more, and ends idle connections. See Closed.
 func (s *Server) CloseListeners() { s.closeListeners(closeRetries) }
 
-// Closed tells whether no new connections are taken any more.
-func (s *Server) Closed() bool { return s.closed }
+// ListenersClosed tells whether no new connections are taken any more.
+func (s *Server) ListenersClosed() bool { return s.closed }
 
 func (s *Server) closeListeners(retries int) {
 	if s.closed {
@@ -109,8 +109,8 @@
 	}
 }
 
-// CutRelays ends the connections whose answers are still on their way and would pass for whole as the process ends.
-func (s *Server) CutRelays() {
+// AbortCloseDelimitedRelays ends the connections whose answers are still on their way and would pass for whole as the process ends.
+func (s *Server) AbortCloseDelimitedRelays() {
 	for c := range s.conns {
 		if c.down != nil && c.down.framing == http1.ByClose {
 			c.abort()
--- a/internal/net/downstream/end_test.go
+++ b/internal/net/downstream/end_test.go
@@ -63,8 +63,8 @@
 	waited []time.Duration
 }
 
-func (f *waits) Request(c *Conn, _ *http1.Request) {
-	f.conns, f.waited = append(f.conns, c), append(f.waited, c.Waited())
+func (f *waits) HandleRequest(c *Conn, _ *http1.Request) {
+	f.conns, f.waited = append(f.conns, c), append(f.waited, c.RequestAge())
 }
 
 // Who connects while no connection can be taken has waited since then; who connects long after that has not, whether or
@@ -106,9 +106,9 @@
 	open, left int
 }
 
-func (f *holds) Request(*Conn, *http1.Request) { f.open++ }
+func (f *holds) HandleRequest(*Conn, *http1.Request) { f.open++ }
 
-func (f *holds) Left(*Conn) { f.left++ }
+func (f *holds) HandleClientGone(*Conn) { f.left++ }
 
 // A client ends its connection behind more of a body than there is room for: it has gone then, and not once all of that
 // has been read.
@@ -129,7 +129,7 @@
 	nettest.Until(t, l, func() bool { return f.open == 1 })
 	require.NoError(t, c.Close())
 	nettest.Until(t, l, func() bool { return f.left == 1 })
-	nettest.Until(t, l, func() bool { return s.Connections() == 0 })
+	nettest.Until(t, l, func() bool { return s.OpenConnections() == 0 })
 	require.Equal(t, 1, f.left)
 }
 
@@ -171,5 +171,5 @@
 		require.False(t, s.makeRoom(), "nothing is silent")
 	})
 	nettest.Until(t, l, func() bool { return len(f.got) == 2 })
-	require.Equal(t, 1, s.Connections())
+	require.Equal(t, 1, s.OpenConnections())
 }
--- a/internal/net/downstream/flow.go
+++ b/internal/net/downstream/flow.go
@@ -25,7 +25,7 @@
 	req.Body, req.Rest, c.up = nil, u.pipe, u
 	c.s.uploads++
 	u.pipe.OnRoom = c.want
-	c.ln.front.Request(c, req)
+	c.ln.front.HandleRequest(c, req)
 	if c.up == nil {
 		return
 	}
@@ -54,7 +54,7 @@
 		c.noUpload()
 		u.pipe.End(true)
 		if c.busy {
-			c.ln.front.Whole(c)
+			c.ln.front.HandleBodyComplete(c)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	c.noUpload()
 	u.pipe.End(false)
 	if c.busy {
-		c.ln.front.Left(c)
+		c.ln.front.HandleClientGone(c)
 	}
 }
 
@@ -112,7 +112,7 @@
 		rest.Drop()
 		return
 	}
-	c.Stream = 0
+	c.StreamID = 0
 	h = c.traced(h)
 	c.served = true
 	c.last = c.last || c.s.draining || c.up != nil
@@ -201,8 +201,8 @@
 	return c.s.lim.Linger
 }
 
-// Relaying tells how many answers are on their way and not wholly written.
-func (s *Server) Relaying() (n int) {
+// ActiveRelays tells how many answers are on their way and not wholly written.
+func (s *Server) ActiveRelays() (n int) {
 	for c := range s.conns {
 		if c.down != nil {
 			n++
--- a/internal/net/downstream/handover.go
+++ b/internal/net/downstream/handover.go
@@ -12,25 +12,25 @@
 // What a server does while another process takes its place: it reads no more, and then either reads on or
 // sends its connections after the listeners, each as soon as nothing is owed on it.
 
-// State is a connection on which nothing is owed but, maybe, the rest of an answer.
-type State struct {
-	Listener      string // its address
-	Out           []byte
-	Since, Opened time.Duration
-	Served        bool
-	Parser        http1.State
+// ConnState is a connection on which nothing is owed but, maybe, the rest of an answer.
+type ConnState struct {
+	ListenerAddress      string // its address
+	Unsent               []byte
+	PhaseSince, OpenedAt time.Duration
+	WasServed            bool
+	Parser               http1.State
 }
 
-// Addresses are those of the listeners, in the order in which they were opened.
-func (s *Server) Addresses() (addrs []string) {
+// ListenerAddresses are those of the listeners, in the order in which they were opened.
+func (s *Server) ListenerAddresses() (addrs []string) {
 	for _, ln := range s.listeners {
 		addrs = append(addrs, ln.addr)
 	}
 	return addrs
 }
 
-// Listeners duplicates the listening sockets, in the order of Addresses.
-func (s *Server) Listeners() (fds []int, err error) {
+// DuplicateListeners duplicates the listening sockets, in the order of Addresses.
+func (s *Server) DuplicateListeners() (fds []int, err error) {
 	for _, ln := range s.listeners {
 		fd, err := loop.Duplicate(ln.src.FD())
 		if err != nil {
@@ -41,8 +41,8 @@
 	return fds, nil
 }
 
-// Hold accepts and reads no more. What waits stays in the kernel.
-func (s *Server) Hold() {
+// Suspend accepts and reads no more. What waits stays in the kernel.
+func (s *Server) Suspend() {
 	s.held = true
 	for _, ln := range s.listeners {
 		ln.src.Want(0)
@@ -52,8 +52,8 @@
 	}
 }
 
-// Release accepts and reads again.
-func (s *Server) Release() {
+// Resume accepts and reads again.
+func (s *Server) Resume() {
 	s.held, s.hand, s.paused = false, nil, false
 	s.listen()
 	for _, c := range s.all() {
@@ -72,7 +72,7 @@
 
 // HandOver gives every connection away, at once or when its answer is written; the descriptor is the
 // receiver's. It is for a server that is held, and stays so.
-func (s *Server) HandOver(to func(st State, fd int)) {
+func (s *Server) HandOver(to func(st ConnState, fd int)) {
 	s.hand = to
 	for _, c := range s.all() {
 		if !c.busy {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Busy tells on how many connections an answer is owed.
-func (s *Server) Busy() (n int) {
+// BusyConnections tells on how many connections an answer is owed.
+func (s *Server) BusyConnections() (n int) {
 	for c := range s.conns {
 		if c.busy {
 			n++
@@ -91,28 +91,28 @@
 	return n
 }
 
-// Elsewhere tells how many connections another process of this ingress holds: they count in the common bound.
-func (s *Server) Elsewhere(n int) { s.elsewhere = max(0, n) }
+// SetPredecessorConnections tells how many connections another process of this ingress holds: they count in the common bound.
+func (s *Server) SetPredecessorConnections(n int) { s.elsewhere = max(0, n) }
 
 // give hands a connection over, unless it is one that ends here.
 func (c *Conn) give() {
 	if c.lingering || c.last || c.src.FD() < 0 {
 		return
 	}
-	st := State{Listener: c.ln.addr, Out: c.out, Since: c.since, Opened: c.opened, Served: c.served, Parser: c.parser.State()}
+	st := ConnState{ListenerAddress: c.ln.addr, Unsent: c.out, PhaseSince: c.since, OpenedAt: c.opened, WasServed: c.served, Parser: c.parser.State()}
 	fd := c.src.Detach()
 	c.unlist()
 	delete(c.s.conns, c)
 	c.s.hand(st, fd)
 }
 
-// Adopt opens a listener for a front on a socket that listens already.
-func (s *Server) Adopt(fd int, addr string, f Front) error { return s.watch(fd, addr, f) }
+// AdoptListener opens a listener for a front on a socket that listens already.
+func (s *Server) AdoptListener(fd int, addr string, f Handler) error { return s.watch(fd, addr, f) }
 
-// Take goes on with a connection of another process. One whose listener is not there any more is closed, as
+// AdoptConnection goes on with a connection of another process. One whose listener is not there any more is closed, as
 // between requests any may be.
-func (s *Server) Take(st State, fd int) error {
-	i := slices.IndexFunc(s.listeners, func(ln *listener) bool { return ln.addr == st.Listener })
+func (s *Server) AdoptConnection(st ConnState, fd int) error {
+	i := slices.IndexFunc(s.listeners, func(ln *listener) bool { return ln.addr == st.ListenerAddress })
 	if i < 0 {
 		loop.CloseFD(fd)
 		return nil
@@ -122,8 +122,8 @@
 		loop.CloseFD(fd)
 		return err
 	}
-	c := &Conn{s: s, ln: s.listeners[i], parser: p, out: st.Out, since: st.Since, opened: st.Opened, moved: s.loop.Now(),
-		served: st.Served}
+	c := &Conn{s: s, ln: s.listeners[i], parser: p, out: st.Unsent, since: st.PhaseSince, opened: st.OpenedAt, moved: s.loop.Now(),
+		served: st.WasServed}
 	if err := s.enter(c, fd); err != nil {
 		return err
 	}
--- a/internal/net/downstream/handover_test.go
+++ b/internal/net/downstream/handover_test.go
@@ -22,12 +22,12 @@
 	open []*Conn
 }
 
-func (f *script) Request(c *Conn, r *http1.Request) {
+func (f *script) HandleRequest(c *Conn, r *http1.Request) {
 	f.got, f.open = append(f.got, r.Target), append(f.open, c)
 }
-func (f *script) Left(*Conn)  {}
-func (f *script) Whole(*Conn) {}
-func (f *script) Malformed(c *Conn, status int, what string) {
+func (f *script) HandleClientGone(*Conn)   {}
+func (f *script) HandleBodyComplete(*Conn) {}
+func (f *script) HandleMalformed(c *Conn, status int, what string) {
 	c.Reply(status, nil, []byte(what))
 }
 
@@ -42,10 +42,10 @@
 	addr, a, b := "127.0.0.1:0", &script{}, &script{}
 	old, next := New(l, lim, log), New(l, lim, log)
 	require.NoError(t, old.Listen(addr, a))
-	fds, err := old.Listeners()
+	fds, err := old.DuplicateListeners()
 	require.NoError(t, err)
-	next.Hold()
-	require.NoError(t, next.Adopt(fds[0], addr, b))
+	next.Suspend()
+	require.NoError(t, next.AdoptListener(fds[0], addr, b))
 	where, err := loop.Address(fds[0])
 	require.NoError(t, err)
 	busy, idle := dial(t, where), dial(t, where)
@@ -54,15 +54,15 @@
 	_, err = io.WriteString(idle, "GET /i HT")
 	require.NoError(t, err)
 	nettest.Until(t, l, func() bool { return len(a.got) == 1 && len(old.conns) == 2 })
-	old.Hold()
+	old.Suspend()
 	late := dial(t, where)
 	_, err = io.WriteString(late, "GET /late HTTP/1.1\r\n\r\n")
 	require.NoError(t, err)
 	a.open[0].Reply(200, nil, nil) // under the freeze
 	nettest.Until(t, l, func() bool { return true })
 	require.Equal(t, []string{"/1"}, a.got, "what was sent ahead waits")
-	old.HandOver(func(st State, fd int) { require.NoError(t, next.Take(st, fd)) })
-	next.Release()
+	old.HandOver(func(st ConnState, fd int) { require.NoError(t, next.AdoptConnection(st, fd)) })
+	next.Resume()
 	_, err = io.WriteString(idle, "TP/1.1\r\n\r\n")
 	require.NoError(t, err)
 	answered := 0
@@ -81,9 +81,9 @@
 	nettest.Until(t, l, func() bool { return len(b.got) == 4 })
 	require.Equal(t, "/3", b.got[3])
 	require.Equal(t, []string{"/1"}, a.got)
-	require.Zero(t, old.Connections())
-	old.Release() // as after the other's death
-	require.Equal(t, 3, next.Connections())
+	require.Zero(t, old.OpenConnections())
+	old.Resume() // as after the other's death
+	require.Equal(t, 3, next.OpenConnections())
 }
 
 func dial(t *testing.T, addr string) net.Conn {
@@ -100,10 +100,10 @@
 	after int
 }
 
-func (f *auto) Request(c *Conn, r *http1.Request) {
+func (f *auto) HandleRequest(c *Conn, r *http1.Request) {
 	f.got = append(f.got, r.Target)
 	if len(f.got) == f.after {
-		f.s.loop.After(0, f.s.Hold)
+		f.s.loop.After(0, f.s.Suspend)
 	}
 	c.Reply(200, nil, nil)
 }
@@ -126,7 +126,7 @@
 	turns := 0
 	nettest.Until(t, l, func() bool { turns++; return turns > 20 })
 	require.Len(t, f.got, lim.Ahead)
-	s.Release()
+	s.Resume()
 	nettest.Until(t, l, func() bool { return len(f.got) == 10 })
 }
 
@@ -138,7 +138,7 @@
 	require.NoError(t, s.Listen("127.0.0.1:0", &script{}))
 	where, err := loop.Address(s.listeners[0].src.FD())
 	require.NoError(t, err)
-	fds, err := s.Listeners()
+	fds, err := s.DuplicateListeners()
 	require.NoError(t, err)
 	defer loop.CloseFD(fds[0])
 	s.CloseListeners()
--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -15,7 +15,7 @@
 	s     *Server
 	src   *loop.Source
 	addr  string
-	front Front
+	front Handler
 	// waiting is since when connections may wait to be accepted, 0: none does that is known of. At watched that was last
 	// to be learnt from the system, which tells it at once.
 	waiting, watched time.Duration
@@ -48,7 +48,7 @@
 }
 
 // Listen opens a listener for a front.
-func (s *Server) Listen(addr string, f Front) error {
+func (s *Server) Listen(addr string, f Handler) error {
 	fd, err := loop.ListenBeside(addr)
 	if err != nil {
 		return err
@@ -56,7 +56,7 @@
 	return s.watch(fd, addr, f)
 }
 
-func (s *Server) watch(fd int, addr string, f Front) (err error) {
+func (s *Server) watch(fd int, addr string, f Handler) (err error) {
 	ln := &listener{s: s, addr: addr, front: f}
 	events := uint32(loop.In)
 	if s.held {
--- a/internal/net/downstream/read.go
+++ b/internal/net/downstream/read.go
@@ -96,7 +96,7 @@
 			c.begin(req)
 			continue
 		}
-		c.ln.front.Request(c, req)
+		c.ln.front.HandleRequest(c, req)
 	}
 	if !c.busy && !c.lingering && c.src.FD() >= 0 && c.parser.Begun() {
 		c.s.begun.push(c)
@@ -143,5 +143,5 @@
 	c.busy, c.last = true, true
 	c.unread = c.unread || status == 413 // its client may write all of it before it reads
 	c.unlist()
-	c.ln.front.Malformed(c, status, what)
+	c.ln.front.HandleMalformed(c, status, what)
 }
--- a/internal/net/downstream/trace.go
+++ b/internal/net/downstream/trace.go
@@ -27,7 +27,7 @@
 // traceRead joins the lines of a connection to those of its requests.
 func (c *Conn) traceRead(r *http1.Request) {
 	if c.s.debugs {
-		c.s.log.Debug("request read", "connection", c.number, "request", r.Headers.Get("Request-Id"), "waited", c.Waited(),
+		c.s.log.Debug("request read", "connection", c.number, "request", r.Headers.Get("Request-Id"), "waited", c.RequestAge(),
 			"late", c.s.loop.Late())
 	}
 }
--- a/internal/net/upstream/crossing_test.go
+++ b/internal/net/upstream/crossing_test.go
@@ -56,7 +56,7 @@
 		ask(p, 1) // the kernel may have it up already; this turn does not know
 		news(p, h)
 		require.Equal(t, []admission.Outcome{admission.NotSent}, sink.outcomes, name)
-		require.Zero(t, p.Connections(), name)
+		require.Zero(t, p.OpenConnections(), name)
 		p.Host("h", addr, 0, false) // what comes back, under its name, is used anew
 		ask(p, 2)
 		require.Equal(t, admission.OK, ends(t, l, sink, 2)[1], name)
@@ -80,7 +80,7 @@
 	require.Equal(t, []admission.Outcome{admission.NotSent}, sink.outcomes)
 	close(release)
 	require.Equal(t, admission.OK, ends(t, l, sink, 2)[1])
-	require.Zero(t, p.Connections())
+	require.Zero(t, p.OpenConnections())
 }
 
 // A host that has begun anew, or is at another address, gets none of what stands to the process before.
@@ -88,14 +88,14 @@
 	l, p, sink, _ := silent(t)
 	ask(p, 1)
 	ends(t, l, sink, 1)
-	require.Equal(t, 1, p.Connections())
+	require.Equal(t, 1, p.OpenConnections())
 	p.Host("h", p.hosts["h"].addr, 5, false)
-	require.Zero(t, p.Connections())
+	require.Zero(t, p.OpenConnections())
 	ask(p, 2)
 	nettest.Until(t, l, func() bool { return *p.whole == 2 })
 	p.Host("h", "127.0.0.1:1", 5, false)
 	require.Equal(t, admission.OK, ends(t, l, sink, 2)[1])
-	require.Zero(t, p.Connections(), "it was to the old address")
+	require.Zero(t, p.OpenConnections(), "it was to the old address")
 }
 
 // A connection that another process of this ingress hands over is not kept where its host has meanwhile left.
@@ -106,11 +106,11 @@
 		ends(t, l, sink, 1)
 		var fds []int
 		p.HandOver(func(_ string, _ time.Duration, fd int) { fds = append(fds, fd) })
-		p.Keep()
+		p.StopHandOver()
 		require.Len(t, fds, 1)
 		p.Host("h", p.hosts["h"].addr, 0, leaving)
-		require.NoError(t, p.Take("h", 0, fds[0]))
-		require.Equal(t, !leaving, p.Connections() == 1)
+		require.NoError(t, p.AdoptConnection("h", 0, fds[0]))
+		require.Equal(t, !leaving, p.OpenConnections() == 1)
 	}
 }
 
@@ -135,7 +135,7 @@
 	<-closed // its end has come, and no turn has read it
 	ask(p, 2)
 	require.Equal(t, []admission.Outcome{admission.OK, admission.OK}, ends(t, l, sink, 2))
-	require.Equal(t, 1, p.Connections())
+	require.Equal(t, 1, p.OpenConnections())
 }
 
 // A second answer to one request, late by less than one may be, is taken for no other's: the next may have run, and what
@@ -160,7 +160,7 @@
 	ask(p, 1)
 	ends(t, l, sink, 1)
 	p.noisyAt = l.Now() // second answers have been seen, see below
-	p.Start(core.Ref{Stream: 2}, "h", &Message{Method: "POST", Target: "/", Once: true}, time.Minute)
+	p.Start(core.Ref{Stream: 2}, "h", &Message{Method: "POST", Target: "/", AtMostOnce: true}, time.Minute)
 	ends(t, l, sink, 2)
 	require.Equal(t, "ok", string(sink.answers[1].Body))
 	p.hosts["h"].idle = p.hosts["h"].idle[:1] // the first of them is the most recent again
@@ -191,12 +191,12 @@
 		ends(t, l, sink, 1)
 		ask(p, 2)
 		require.Equal(t, []admission.Outcome{admission.OK, admission.OK}, ends(t, l, sink, 2))
-		require.Equal(t, 1, p.Connections())
+		require.Equal(t, 1, p.OpenConnections())
 		require.Zero(t, p.noisyAt)
 		second <- struct{}{}
 		<-both
 		if waits {
-			nettest.Until(t, l, func() bool { return p.Connections() == 0 })
+			nettest.Until(t, l, func() bool { return p.OpenConnections() == 0 })
 		} else {
 			ask(p, 3) // on a new one
 		}
--- a/internal/net/upstream/flow.go
+++ b/internal/net/upstream/flow.go
@@ -13,10 +13,10 @@
 
 // Gone tells whether part of the body has been written and is held nowhere any more: such a message can't be sent
 // again.
-func (m *Message) Gone() bool { return m.Rest != nil && m.Rest.Taken() }
+func (m *Message) Gone() bool { return m.BodyPipe != nil && m.BodyPipe.Taken() }
 
-// Rest is what still comes of an answer.
-func Rest(a core.Answer) *flow.Pipe {
+// BodyPipe is what still comes of an answer.
+func BodyPipe(a core.Answer) *flow.Pipe {
 	p, _ := a.Rest.(*flow.Pipe)
 	return p
 }
--- a/internal/net/upstream/flow_test.go
+++ b/internal/net/upstream/flow_test.go
@@ -53,12 +53,12 @@
 	fill := func() { rest.Put(make([]byte, rest.Room())) }
 	rest.OnRoom = func() { l.After(0, fill) }
 	fill()
-	m := &Message{Method: "POST", Target: "/", Rest: rest}
+	m := &Message{Method: "POST", Target: "/", BodyPipe: rest}
 	p.Start(core.Ref{Stream: 1}, "h", m, time.Minute)
 	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 })
 	require.Equal(t, []admission.Outcome{admission.Unreachable}, sink.outcomes)
 	require.True(t, m.Gone())
-	require.Zero(t, p.Connections())
+	require.Zero(t, p.OpenConnections())
 }
 
 // A host that has begun a long answer and says no more is given up, and who takes the answer can tell.
@@ -67,10 +67,10 @@
 	p.Start(core.Ref{Stream: 1}, "h", &Message{Method: "GET", Target: "/"}, time.Minute)
 	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 })
 	require.Equal(t, []admission.Outcome{admission.OK}, sink.outcomes)
-	rest := Rest(sink.answers[0])
+	rest := BodyPipe(sink.answers[0])
 	require.Equal(t, int64(100000), rest.Length)
 	nettest.Until(t, l, rest.Broken)
-	require.Zero(t, p.Connections())
+	require.Zero(t, p.OpenConnections())
 }
 
 // An answer that nobody takes any more lets go of its connection.
@@ -80,10 +80,10 @@
 		_, _ = c.Write(make([]byte, 10000000))
 	})
 	p.Start(core.Ref{Stream: 1}, "h", &Message{Method: "GET", Target: "/"}, time.Minute)
-	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 && len(Rest(sink.answers[0]).Next()) > 0 })
-	require.Equal(t, 1, p.Connections())
-	Rest(sink.answers[0]).Drop()
-	require.Zero(t, p.Connections())
+	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 && len(BodyPipe(sink.answers[0]).Next()) > 0 })
+	require.Equal(t, 1, p.OpenConnections())
+	BodyPipe(sink.answers[0]).Drop()
+	require.Zero(t, p.OpenConnections())
 }
 
 // The true units of a good answer come with it; what is not a whole number from 1 up tells nothing.
--- a/internal/net/upstream/handover.go
+++ b/internal/net/upstream/handover.go
@@ -27,14 +27,14 @@
 	}
 }
 
-// Keep ends giving away.
-func (p *Pool) Keep() { p.hand = nil }
+// StopHandOver ends giving away.
+func (p *Pool) StopHandOver() { p.hand = nil }
 
-// Elsewhere tells how many connections another process of this ingress holds: they count in the common bound.
-func (p *Pool) Elsewhere(n int) { p.elsewhere = max(0, n) }
+// SetPredecessorConnections tells how many connections another process of this ingress holds: they count in the common bound.
+func (p *Pool) SetPredecessorConnections(n int) { p.elsewhere = max(0, n) }
 
-// Busy tells how many connections carry a request.
-func (p *Pool) Busy() int { return len(p.out) }
+// ActiveRequests tells how many connections carry a request.
+func (p *Pool) ActiveRequests() int { return len(p.out) }
 
 func (c *conn) give() {
 	fd := c.src.Detach()
@@ -42,8 +42,8 @@
 	c.p.hand(c.h.name, c.since, fd)
 }
 
-// Take goes on with an idle connection of another process. One to a host that is not known here is closed.
-func (p *Pool) Take(name string, since time.Duration, fd int) error {
+// AdoptConnection goes on with an idle connection of another process. One to a host that is not known here is closed.
+func (p *Pool) AdoptConnection(name string, since time.Duration, fd int) error {
 	p.elsewhere = max(0, p.elsewhere-1)
 	h := p.hosts[name]
 	if h == nil || h.leaving || p.conns+p.elsewhere >= p.lim.Upstream {
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -20,9 +20,9 @@
 	Method, Target string
 	Headers        http1.Headers // those that pass on
 	Body           []byte
-	Rest           *flow.Pipe // the body, in place of Body, where it is still coming; nil: it is not
+	BodyPipe       *flow.Pipe // the body, in place of Body, where it is still coming; nil: it is not
 	Trace          core.Trace // that the upstream host is told of; zero: none
-	Once           bool       // it must not run twice: once it may have run, nothing can be done for it
+	AtMostOnce     bool       // it must not run twice: once it may have run, nothing can be done for it
 }
 
 // Start sends a request to a host.
@@ -107,8 +107,8 @@
 	c.traceBegun(ref)
 	c.busy, c.ref, c.probe, c.message, c.ends = true, ref, probe, m, c.p.loop.Now()+wait
 	c.p.out[ref] = c
-	if m.Rest != nil {
-		c.attach(m.Rest)
+	if m.BodyPipe != nil {
+		c.attach(m.BodyPipe)
 	}
 }
 
@@ -130,8 +130,8 @@
 		}
 	}
 	b := make([]byte, 0, 512+len(m.Body))
-	if m.Rest != nil {
-		c.out = http1.AppendOpenRequest(b, m.Method, m.Target, "service.internal", headers, m.Rest.Length)
+	if m.BodyPipe != nil {
+		c.out = http1.AppendOpenRequest(b, m.Method, m.Target, "service.internal", headers, m.BodyPipe.Length)
 	} else {
 		c.out = http1.AppendRequest(b, m.Method, m.Target, "service.internal", headers, m.Body)
 	}
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -53,13 +53,13 @@
 	if n == 0 {
 		return nil
 	}
-	if m.Once && p.reuse.risky(p.loop.Now()) {
+	if m.AtMostOnce && p.reuse.risky(p.loop.Now()) {
 		h.idle[0].close(errRisky)
 		return nil
 	}
 	for i := n - 1; i >= 0; i-- {
 		c := h.idle[i]
-		if m.Once && c.fresh() {
+		if m.AtMostOnce && c.fresh() {
 			continue
 		}
 		if !c.quiet() {
--- a/internal/net/upstream/reuse_test.go
+++ b/internal/net/upstream/reuse_test.go
@@ -45,7 +45,7 @@
 	n := 0
 	one := func(once bool) admission.Outcome {
 		n++
-		p.Start(core.Ref{Stream: uint64(n)}, "h", &Message{Method: "POST", Target: "/", Once: once}, time.Minute)
+		p.Start(core.Ref{Stream: uint64(n)}, "h", &Message{Method: "POST", Target: "/", AtMostOnce: once}, time.Minute)
 		nettest.Until(t, l, func() bool { return len(sink.outcomes) == n })
 		return sink.outcomes[n-1]
 	}
@@ -59,7 +59,7 @@
 	for range 20 {
 		require.Equal(t, admission.OK, one(true))
 	}
-	require.LessOrEqual(t, p.Connections(), 1)
+	require.LessOrEqual(t, p.OpenConnections(), 1)
 	// Hosts that have come to keep theirs are believed again, by what the other requests see.
 	most.Store(-1)
 	for range 600 {
--- a/internal/net/upstream/upstream.go
+++ b/internal/net/upstream/upstream.go
@@ -81,8 +81,8 @@
 	p.silent(now)
 }
 
-// Connections tells how many are open.
-func (p *Pool) Connections() int { return p.conns }
+// OpenConnections tells how many are open.
+func (p *Pool) OpenConnections() int { return p.conns }
 
 // conn is one connection.
 type conn struct {
