--- a/internal/net/downstream/arrivals.go
+++ b/internal/net/downstream/arrivals.go
@@ -15,32 +15,32 @@
 	at   time.Duration
 }
 
-// arrivalsApart: bytes that come closer together than this are remembered together, with the time of the first.
-const arrivalsApart = 5 * time.Millisecond
+// arrivalMergeWindow: bytes that come closer together than this are remembered together, with the time of the first.
+const arrivalMergeWindow = 5 * time.Millisecond
 
-// arrivalsMost bounds what is remembered of a client that writes in many pieces. Beyond it the oldest go: what came with
+// maxArrivals bounds what is remembered of a client that writes in many pieces. Beyond it the oldest go: what came with
 // them counts as come with the next.
-const arrivalsMost = 64
+const maxArrivals = 64
 
-// came notes bytes that are held from now on.
-func (a *arrivals) came(bytes int, at time.Duration) {
+// add notes bytes that are held from now on.
+func (a *arrivals) add(bytes int, at time.Duration) {
 	if bytes <= 0 {
 		return
 	}
 	a.total += int64(bytes)
-	if last := len(a.marks) - 1; last >= 0 && at-a.marks[last].at < arrivalsApart {
+	if last := len(a.marks) - 1; last >= 0 && at-a.marks[last].at < arrivalMergeWindow {
 		a.marks[last].upTo = a.total
 		return
 	}
-	if len(a.marks) == arrivalsMost {
+	if len(a.marks) == maxArrivals {
 		a.marks = append(a.marks[:0], a.marks[1:]...)
 	}
 	a.marks = append(a.marks, arrival{a.total, at})
 }
 
-// of tells when the last byte came of what is parsed already, where so many bytes are held that are not; now, where
-// nothing is known of it.
-func (a *arrivals) of(held int, now time.Duration) time.Duration {
+// lastParsed tells when the last byte came lastParsed what is parsed already, where so many bytes are held that are not; now, where
+// nothing is known lastParsed it.
+func (a *arrivals) lastParsed(held int, now time.Duration) time.Duration {
 	parsed := a.total - int64(held)
 	done := 0
 	for done < len(a.marks) && a.marks[done].upTo < parsed {
--- a/internal/net/downstream/end_test.go
+++ b/internal/net/downstream/close_test.go
@@ -28,7 +28,7 @@
 	s := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	f := &auto{s: s, after: -1}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
-	where, err := loop.Address(s.listeners[0].src.FD())
+	where, err := loop.Address(s.listeners[0].source.FD())
 	require.NoError(t, err)
 	ask := func(c net.Conn) {
 		_, err := io.WriteString(c, "GET /x HTTP/1.1\r\n\r\n")
@@ -44,7 +44,7 @@
 		ask(c)
 		waiting = append(waiting, c)
 	}
-	nettest.Until(t, l, func() bool { return s.paused })
+	nettest.Until(t, l, func() bool { return s.acceptPaused })
 	s.Drain()
 	s.CloseListeners()
 	require.Len(t, f.got, lim.Downstream+len(waiting))
@@ -78,7 +78,7 @@
 	f := &waits{}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
 	ln := s.listeners[0]
-	where, err := loop.Address(ln.src.FD())
+	where, err := loop.Address(ln.source.FD())
 	require.NoError(t, err)
 	ask := func() {
 		_, err := io.WriteString(dial(t, where), "GET /x HTTP/1.1\r\n\r\n")
@@ -86,16 +86,16 @@
 	}
 	ask() // one a turn is taken, so that somebody may be left waiting; nobody is
 	nettest.Until(t, l, func() bool { return len(f.conns) == 1 })
-	time.Sleep(4 * toldAtOnce)
+	time.Sleep(4 * readinessDelay)
 	nettest.Until(t, l, func() bool { return true })
 	ask()
 	nettest.Until(t, l, func() bool { return len(f.conns) == 2 })
-	require.Less(t, f.waited[1], toldAtOnce)
+	require.Less(t, f.waited[1], readinessDelay)
 	ask()
-	nettest.Until(t, l, func() bool { return s.paused })
+	nettest.Until(t, l, func() bool { return s.acceptPaused })
 	const longest = 60 * time.Millisecond
 	freed := false
-	l.After(longest, func() { freed = true; f.conns[0].drop(closedIdle) })
+	l.After(longest, func() { freed = true; f.conns[0].close(closedIdle) })
 	nettest.Until(t, l, func() bool { return freed && len(f.conns) == 3 })
 	require.GreaterOrEqual(t, f.waited[2], longest-time.Millisecond)
 }
@@ -121,7 +121,7 @@
 	s := New(l, lim, slog.New(slog.DiscardHandler))
 	f := &holds{}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
-	where, err := loop.Address(s.listeners[0].src.FD())
+	where, err := loop.Address(s.listeners[0].source.FD())
 	require.NoError(t, err)
 	c := dial(t, where)
 	_, err = io.WriteString(c, "POST /x HTTP/1.1\r\nContent-Length: 500000\r\n\r\n"+strings.Repeat("x", 4*lim.Window(0)))
@@ -143,7 +143,7 @@
 	s = New(l, lim, slog.New(slog.DiscardHandler))
 	f = &auto{s: s, after: -1}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
-	where, err := loop.Address(s.listeners[0].src.FD())
+	where, err := loop.Address(s.listeners[0].source.FD())
 	require.NoError(t, err)
 	c := dial(t, where)
 	ask = func() {
@@ -157,8 +157,8 @@
 
 // A request comes in the turn in which its connection would be ended as idle: it is answered.
 func TestARequestCrossesTheEndOfAnIdleConnection(t *testing.T) {
-	l, _, f, ask := resting(t, func(lim *limits.Limits) { lim.DownstreamIdle = sweepEvery / 10 })
-	l.After(0, func() { time.Sleep(2 * sweepEvery) }) // the next turn has both that and the sweep to do
+	l, _, f, ask := resting(t, func(lim *limits.Limits) { lim.DownstreamIdle = sweepInterval / 10 })
+	l.After(0, func() { time.Sleep(2 * sweepInterval) }) // the next turn has both that and the sweep to do
 	l.After(time.Millisecond, ask)
 	nettest.Until(t, l, func() bool { return len(f.got) == 2 })
 }
@@ -166,9 +166,9 @@
 // A request comes as its connection would be closed to make room for another: it is answered, and the connection kept.
 func TestARequestCrossesTheMakingOfRoom(t *testing.T) {
 	l, s, f, ask := resting(t, func(lim *limits.Limits) { lim.FreshTime = time.Millisecond })
-	l.After(10*s.lim.FreshTime, func() {
+	l.After(10*s.limits.FreshTime, func() {
 		ask()
-		require.False(t, s.makeRoom(), "nothing is silent")
+		require.False(t, s.evictOne(), "nothing is silent")
 	})
 	nettest.Until(t, l, func() bool { return len(f.got) == 2 })
 	require.Equal(t, 1, s.OpenConnections())
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -21,60 +21,60 @@
 
 // Server holds all client connections, of every front, and their common bound.
 type Server struct {
-	loop      *loop.Loop
-	lim       limits.Limits
-	log       *slog.Logger
-	listeners []*listener
-	conns     map[*Conn]struct{}
-	fresh     list // connections that have shown nothing yet, the oldest first
-	begun     list // those of which part of a request has come, longest without more of it first
-	idle      list // connections between requests, longest idle first
-	leaving   list // those whose answer is all that is left, the oldest first
-	paused    bool // listeners are not watched: no descriptors
-	shut      bool // a connection could not be accepted since this was last set to false
-	draining  bool
-	closed    bool          // no new connections
-	toldAt    time.Duration // when the operator was last told of a pause
-	held      bool          // nobody is read: another process is about to take over
-	hand      func(ConnState, int)
-	debugs    bool   // the log takes debug lines
-	accepted  uint64 // connections, from the start
-	uploads   int    // requests whose bodies are passed on while they come
-	elsewhere int    // connections that another process holds
+	loop             *loop.Loop
+	limits           limits.Limits
+	log              *slog.Logger
+	listeners        []*listener
+	conns            map[*Conn]struct{}
+	newConns         connList // connections that have shown nothing yet, the oldest first
+	receiving        connList // those of which part of a request has come, longest without more of it first
+	idle             connList // connections between requests, longest idle first
+	lingering        connList // those whose answer is all that is left, the oldest first
+	acceptPaused     bool     // listeners are not watched: no descriptors
+	acceptFailed     bool     // a connection could not be accepted since this was last set to false
+	draining         bool
+	listenersClosed  bool          // no new connections
+	pauseLoggedAt    time.Duration // when the operator was last told of a pause
+	suspended        bool          // nobody is read: another process is about to take over
+	transfer         func(ConnState, int)
+	debugEnabled     bool   // the log takes debug lines
+	acceptedTotal    uint64 // connections, from the start
+	activeUploads    int    // requests whose bodies are passed on while they come
+	predecessorConns int    // connections that another process holds
 }
 
 // New returns a server without listeners.
 func New(l *loop.Loop, lim limits.Limits, log *slog.Logger) *Server {
-	s := &Server{loop: l, lim: lim, log: log, conns: map[*Conn]struct{}{}, debugs: core.Debugs(log)}
-	l.After(sweepEvery, s.sweep)
+	s := &Server{loop: l, limits: lim, log: log, conns: map[*Conn]struct{}{}, debugEnabled: core.Debugs(log)}
+	l.After(sweepInterval, s.sweep)
 	return s
 }
 
-// sweepEvery is how often connections are checked for having been silent too long.
-const sweepEvery = 250 * time.Millisecond
+// sweepInterval is how often connections are checked for having been silent too long.
+const sweepInterval = 250 * time.Millisecond
 
 func (s *Server) sweep() {
-	s.loop.After(sweepEvery, s.sweep)
+	s.loop.After(sweepInterval, s.sweep)
 	now := s.loop.Now()
 	for c := range s.conns {
 		switch {
-		case c.lingering && now-c.since > c.lingerTime():
-			c.drop(closedLingered)
-		case c.down != nil:
-			if now-c.down.moved > s.lim.FlowSilence {
-				c.gone(closedNoProgress)
+		case c.lingering && now-c.phaseSince > c.lingerTimeout():
+			c.close(closedLingerTimeout)
+		case c.download != nil:
+			if now-c.download.progressAt > s.limits.FlowSilence {
+				c.disconnect(closedNoProgress)
 			}
-		case c.up != nil && c.slow(now):
-			c.cut()
-			c.malformed(408, "request not whole in time")
-		case s.held: // not read, so what it has not shown is not its fault
-		case c.busy || c.lingering:
+		case c.upload != nil && c.isUploadTooSlow(now):
+			c.abortUpload()
+			c.rejectRequest(408, "request not whole in time")
+		case s.suspended: // not read, so what it has not shown is not its fault
+		case c.awaitingResponse || c.lingering:
 		case c.parser.Begun():
-			if now-c.since > s.lim.RequestTime(c.parser.Body()) {
-				c.malformed(408, "request not whole in time")
+			if now-c.phaseSince > s.limits.RequestTime(c.parser.Body()) {
+				c.rejectRequest(408, "request not whole in time")
 			}
-		case !c.served && now-c.opened > s.lim.FirstTime, now-c.since > s.lim.DownstreamIdle:
-			c.finishUnlessAsked(closedIdle)
+		case !c.wasServed && now-c.openedAt > s.limits.FirstTime, now-c.phaseSince > s.limits.DownstreamIdle:
+			c.closeIfIdle(closedIdle)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 
 // IsAccepting tells whether new connections are taken and read.
 func (s *Server) IsAccepting() bool {
-	return len(s.listeners) > 0 && !s.held && !s.closed && !s.draining
+	return len(s.listeners) > 0 && !s.suspended && !s.listenersClosed && !s.draining
 }
 
 // OpenConnections tells how many are open.
@@ -95,55 +95,55 @@
 	StreamID    uint64 // the front's mark of the request that is being answered
 	TraceParent string // traceparent that its answer gives back, empty for none
 
-	s          *Server
-	number     uint64 // in the log
-	src        *loop.Source
-	ln         *listener
-	parser     *http1.RequestParser
-	out        []byte        // not written yet
-	since      time.Duration // idle, or ending; of a request that has begun, its first byte
-	opened     time.Duration
-	moved      time.Duration // bytes last came
-	arrivals   arrivals      // of what is not parsed yet
-	came       time.Duration // when the last byte of the present request did
-	served     bool          // it has had an answer that is no complaint
-	dropped    int           // bytes read after the end
-	dumped     int           // of what was sent too far ahead
-	unread     bool          // of a request that was answered before it had come
-	busy       bool          // a request awaits its answer
-	head       bool          // its method is HEAD
-	old        bool          // it is of HTTP/1.0
-	up         *upload       // of the present request's body, nil if it is whole
-	down       *download     // of the present answer's, nil if it was given whole
-	last       bool          // close after the present answer
-	lingering  bool          // our side has ended; what still comes is read and dropped
-	parsing    bool
-	prev, next *Conn // in the list that it is in
-	in         *list
+	server             *Server
+	id                 uint64 // in the log
+	source             *loop.Source
+	listener           *listener
+	parser             *http1.RequestParser
+	unsent             []byte        // not written yet
+	phaseSince         time.Duration // idle, or ending; of a request that has begun, its first byte
+	openedAt           time.Duration
+	lastReadAt         time.Duration // bytes last came
+	arrivals           arrivals      // of what is not parsed yet
+	requestArrivedAt   time.Duration // when the last byte of the present request did
+	wasServed          bool          // it has had an answer that is no complaint
+	discardedBytes     int           // bytes read after the end
+	overflowBytes      int           // of what was sent too far ahead
+	hasUnreadBody      bool          // of a request that was answered before it had come
+	awaitingResponse   bool          // a request awaits its answer
+	isHead             bool          // its method is HEAD
+	isHTTP10           bool          // it is of HTTP/1.0
+	upload             *upload       // of the present request's body, nil if it is whole
+	download           *download     // of the present answer's, nil if it was given whole
+	closeAfterResponse bool          // close after the present answer
+	lingering          bool          // our side has ended; what still comes is read and dropped
+	parsing            bool
+	prev, next         *Conn // in the list that it is in
+	list               *connList
 }
 
 // Now is the time of this turn.
-func (c *Conn) Now() time.Duration { return c.s.loop.Now() }
+func (c *Conn) Now() time.Duration { return c.server.loop.Now() }
 
 // RequestAge is how long ago the present request came: its client's patience began then.
-func (c *Conn) RequestAge() time.Duration { return max(0, c.Now()-c.came) }
+func (c *Conn) RequestAge() time.Duration { return max(0, c.Now()-c.requestArrivedAt) }
 
 func (c *Conn) setIdle() {
-	c.since = c.s.loop.Now()
-	c.moved = c.since
+	c.phaseSince = c.server.loop.Now()
+	c.lastReadAt = c.phaseSince
 	c.parser.Rest()
-	c.list()
+	c.addToEvictionList()
 }
 
-// list enters a connection on which nothing is owed among those that may have to make room.
-func (c *Conn) list() {
+// addToEvictionList enters a connection on which nothing is owed among those that may have to make room.
+func (c *Conn) addToEvictionList() {
 	switch {
 	case c.parser.Begun():
-		c.s.begun.push(c)
-	case c.served:
-		c.s.idle.push(c)
+		c.server.receiving.push(c)
+	case c.wasServed:
+		c.server.idle.push(c)
 	default:
-		c.s.fresh.push(c)
+		c.server.newConns.push(c)
 	}
 }
 
@@ -153,46 +153,46 @@
 		return
 	}
 	if c.lingering {
-		c.discard()
+		c.discardInput()
 		return
 	}
 	switch {
 	case events&loop.Broken != 0: // whatever of it is not read yet
-		c.gone(closedReset)
-	case events&loop.Ended != 0 && c.stuck():
-		c.left()
-	case c.s.held && !c.busy: // what has come is read by whoever goes on with the connection
+		c.disconnect(closedReset)
+	case events&loop.Ended != 0 && c.isUploadBlocked():
+		c.closeBlockedUpload()
+	case c.server.suspended && !c.awaitingResponse: // what has come is read by whoever goes on with the connection
 	case events&(loop.In|loop.Hangup) != 0:
 		c.read()
 	}
 }
 
-// gone: the client has closed, or the connection is of no more use to it.
-func (c *Conn) gone(why closeReason) {
-	busy := c.busy
-	if c.up != nil {
-		c.up.pipe.End(false)
-		c.noUpload()
+// disconnect: the client has closed, or the connection is of no more use to it.
+func (c *Conn) disconnect(why closeReason) {
+	busy := c.awaitingResponse
+	if c.upload != nil {
+		c.upload.pipe.End(false)
+		c.clearUpload()
 	}
-	c.drop(why)
+	c.close(why)
 	if busy {
-		c.busy = false
-		c.ln.front.HandleClientGone(c)
+		c.awaitingResponse = false
+		c.listener.handler.HandleClientGone(c)
 	}
 }
 
-func (c *Conn) drop(why closeReason) {
-	if c.src.FD() < 0 {
+func (c *Conn) close(why closeReason) {
+	if c.source.FD() < 0 {
 		return
 	}
 	c.traceClosed(why)
-	c.src.Close()
-	c.dropUpload()
-	if c.down != nil {
-		c.down.pipe.Drop()
-		c.down = nil
+	c.source.Close()
+	c.discardUpload()
+	if c.download != nil {
+		c.download.pipe.Drop()
+		c.download = nil
 	}
-	c.unlist()
-	delete(c.s.conns, c)
-	c.s.resume()
+	c.removeFromList()
+	delete(c.server.conns, c)
+	c.server.resumeAccepting()
 }
--- a/internal/net/downstream/handover.go
+++ b/internal/net/downstream/handover.go
@@ -24,7 +24,7 @@
 // ListenerAddresses are those of the listeners, in the order in which they were opened.
 func (s *Server) ListenerAddresses() (addrs []string) {
 	for _, ln := range s.listeners {
-		addrs = append(addrs, ln.addr)
+		addrs = append(addrs, ln.address)
 	}
 	return addrs
 }
@@ -32,9 +32,9 @@
 // DuplicateListeners duplicates the listening sockets, in the order of Addresses.
 func (s *Server) DuplicateListeners() (fds []int, err error) {
 	for _, ln := range s.listeners {
-		fd, err := loop.Duplicate(ln.src.FD())
+		fd, err := loop.Duplicate(ln.source.FD())
 		if err != nil {
-			return nil, fmt.Errorf("listener %s: %w", ln.addr, err)
+			return nil, fmt.Errorf("listener %s: %w", ln.address, err)
 		}
 		fds = append(fds, fd)
 	}
@@ -43,40 +43,40 @@
 
 // Suspend accepts and reads no more. What waits stays in the kernel.
 func (s *Server) Suspend() {
-	s.held = true
+	s.suspended = true
 	for _, ln := range s.listeners {
-		ln.src.Want(0)
+		ln.source.Want(0)
 	}
 	for c := range s.conns {
-		c.want()
+		c.updateEvents()
 	}
 }
 
 // Resume accepts and reads again.
 func (s *Server) Resume() {
-	s.held, s.hand, s.paused = false, nil, false
-	s.listen()
-	for _, c := range s.all() {
-		c.parse()
+	s.suspended, s.transfer, s.acceptPaused = false, nil, false
+	s.watchListeners()
+	for _, c := range s.connsByAge() {
+		c.parseRequests()
 	}
 }
 
-func (s *Server) all() []*Conn {
+func (s *Server) connsByAge() []*Conn {
 	conns := make([]*Conn, 0, len(s.conns))
 	for c := range s.conns {
 		conns = append(conns, c)
 	}
-	slices.SortFunc(conns, func(a, b *Conn) int { return int(a.opened - b.opened) })
+	slices.SortFunc(conns, func(a, b *Conn) int { return int(a.openedAt - b.openedAt) })
 	return conns
 }
 
 // HandOver gives every connection away, at once or when its answer is written; the descriptor is the
 // receiver's. It is for a server that is held, and stays so.
 func (s *Server) HandOver(to func(st ConnState, fd int)) {
-	s.hand = to
-	for _, c := range s.all() {
-		if !c.busy {
-			c.give()
+	s.transfer = to
+	for _, c := range s.connsByAge() {
+		if !c.awaitingResponse {
+			c.handOver()
 		}
 	}
 }
@@ -84,7 +84,7 @@
 // BusyConnections tells on how many connections an answer is owed.
 func (s *Server) BusyConnections() (n int) {
 	for c := range s.conns {
-		if c.busy {
+		if c.awaitingResponse {
 			n++
 		}
 	}
@@ -92,42 +92,44 @@
 }
 
 // SetPredecessorConnections tells how many connections another process of this ingress holds: they count in the common bound.
-func (s *Server) SetPredecessorConnections(n int) { s.elsewhere = max(0, n) }
+func (s *Server) SetPredecessorConnections(n int) { s.predecessorConns = max(0, n) }
 
-// give hands a connection over, unless it is one that ends here.
-func (c *Conn) give() {
-	if c.lingering || c.last || c.src.FD() < 0 {
+// handOver hands a connection over, unless it is one that ends here.
+func (c *Conn) handOver() {
+	if c.lingering || c.closeAfterResponse || c.source.FD() < 0 {
 		return
 	}
-	st := ConnState{ListenerAddress: c.ln.addr, Unsent: c.out, PhaseSince: c.since, OpenedAt: c.opened, WasServed: c.served, Parser: c.parser.State()}
-	fd := c.src.Detach()
-	c.unlist()
-	delete(c.s.conns, c)
-	c.s.hand(st, fd)
+	st := ConnState{ListenerAddress: c.listener.address, Unsent: c.unsent, PhaseSince: c.phaseSince, OpenedAt: c.openedAt, WasServed: c.wasServed, Parser: c.parser.State()}
+	fd := c.source.Detach()
+	c.removeFromList()
+	delete(c.server.conns, c)
+	c.server.transfer(st, fd)
 }
 
 // AdoptListener opens a listener for a front on a socket that listens already.
-func (s *Server) AdoptListener(fd int, addr string, f Handler) error { return s.watch(fd, addr, f) }
+func (s *Server) AdoptListener(fd int, addr string, f Handler) error {
+	return s.addListener(fd, addr, f)
+}
 
 // AdoptConnection goes on with a connection of another process. One whose listener is not there any more is closed, as
 // between requests any may be.
 func (s *Server) AdoptConnection(st ConnState, fd int) error {
-	i := slices.IndexFunc(s.listeners, func(ln *listener) bool { return ln.addr == st.ListenerAddress })
+	i := slices.IndexFunc(s.listeners, func(ln *listener) bool { return ln.address == st.ListenerAddress })
 	if i < 0 {
 		loop.CloseFD(fd)
 		return nil
 	}
-	p, err := http1.RestoreRequestParser(st.Parser, s.lim.HeadBytes, s.lim.BodyBytes, s.lim.KeepBytes)
+	p, err := http1.RestoreRequestParser(st.Parser, s.limits.HeadBytes, s.limits.BodyBytes, s.limits.KeepBytes)
 	if err != nil {
 		loop.CloseFD(fd)
 		return err
 	}
-	c := &Conn{s: s, ln: s.listeners[i], parser: p, out: st.Unsent, since: st.PhaseSince, opened: st.OpenedAt, moved: s.loop.Now(),
-		served: st.WasServed}
-	if err := s.enter(c, fd); err != nil {
+	c := &Conn{server: s, listener: s.listeners[i], parser: p, unsent: st.Unsent, phaseSince: st.PhaseSince, openedAt: st.OpenedAt, lastReadAt: s.loop.Now(),
+		wasServed: st.WasServed}
+	if err := s.register(c, fd); err != nil {
 		return err
 	}
-	s.elsewhere = max(0, s.elsewhere-1)
-	c.parse()
+	s.predecessorConns = max(0, s.predecessorConns-1)
+	c.parseRequests()
 	return nil
 }
--- a/internal/net/downstream/handover_test.go
+++ b/internal/net/downstream/handover_test.go
@@ -68,7 +68,7 @@
 	answered := 0
 	nettest.Until(t, l, func() bool {
 		for _, c := range b.open {
-			if c.busy {
+			if c.awaitingResponse {
 				answered++
 				c.Reply(200, nil, nil)
 			}
@@ -117,12 +117,12 @@
 	s := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	f := &auto{s: s, after: lim.Ahead}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
-	where, err := loop.Address(s.listeners[0].src.FD())
+	where, err := loop.Address(s.listeners[0].source.FD())
 	require.NoError(t, err)
 	c := dial(t, where)
 	_, err = io.WriteString(c, strings.Repeat("GET /x HTTP/1.1\r\n\r\n", 10))
 	require.NoError(t, err)
-	nettest.Until(t, l, func() bool { return s.held })
+	nettest.Until(t, l, func() bool { return s.suspended })
 	turns := 0
 	nettest.Until(t, l, func() bool { turns++; return turns > 20 })
 	require.Len(t, f.got, lim.Ahead)
@@ -136,7 +136,7 @@
 	require.NoError(t, err)
 	s := New(l, limits.Limits{Downstream: 10, Accepts: 4}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(t, s.Listen("127.0.0.1:0", &script{}))
-	where, err := loop.Address(s.listeners[0].src.FD())
+	where, err := loop.Address(s.listeners[0].source.FD())
 	require.NoError(t, err)
 	fds, err := s.DuplicateListeners()
 	require.NoError(t, err)
--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -12,38 +12,38 @@
 // Listeners: connections are accepted, and it is known how long they may have waited for that.
 
 type listener struct {
-	s     *Server
-	src   *loop.Source
-	addr  string
-	front Handler
-	// waiting is since when connections may wait to be accepted, 0: none does that is known of. At watched that was last
+	server  *Server
+	source  *loop.Source
+	address string
+	handler Handler
+	// backlogSince is since when connections may wait to be accepted, 0: none does that is known of. At armedAt that was last
 	// to be learnt from the system, which tells it at once.
-	waiting, watched time.Duration
+	backlogSince, armedAt time.Duration
 }
 
-// late is how long a connection that is accepted now may have waited.
-func (ln *listener) late() time.Duration {
-	if ln.waiting == 0 {
-		return ln.s.loop.Late()
+// backlogDelay is how long a connection that is accepted now may have waited.
+func (ln *listener) backlogDelay() time.Duration {
+	if ln.backlogSince == 0 {
+		return ln.server.loop.Late()
 	}
-	return ln.s.loop.Now() - ln.waiting
+	return ln.server.loop.Now() - ln.backlogSince
 }
 
-// leave notes that connections may be left waiting.
-func (ln *listener) leave() {
-	ln.watched = ln.s.loop.Now()
-	if ln.waiting == 0 {
-		ln.waiting = ln.watched - ln.s.loop.Late()
+// noteBacklog notes that connections may be left waiting.
+func (ln *listener) noteBacklog() {
+	ln.armedAt = ln.server.loop.Now()
+	if ln.backlogSince == 0 {
+		ln.backlogSince = ln.armedAt - ln.server.loop.Late()
 	}
 }
 
-// toldAtOnce is the time after which the system has surely told of connections that were left waiting.
-const toldAtOnce = 10 * time.Millisecond
+// readinessDelay is the time after which the system has surely told of connections that were left waiting.
+const readinessDelay = 10 * time.Millisecond
 
-// expire forgets that connections may wait where none was told of at once: those that come now have just come.
-func (ln *listener) expire() {
-	if !ln.s.paused && ln.s.loop.Now()-ln.watched > ln.s.loop.Late()+toldAtOnce {
-		ln.waiting = 0
+// expireBacklog forgets that connections may wait where none was told of at once: those that come now have just come.
+func (ln *listener) expireBacklog() {
+	if !ln.server.acceptPaused && ln.server.loop.Now()-ln.armedAt > ln.server.loop.Late()+readinessDelay {
+		ln.backlogSince = 0
 	}
 }
 
@@ -53,16 +53,16 @@
 	if err != nil {
 		return err
 	}
-	return s.watch(fd, addr, f)
+	return s.addListener(fd, addr, f)
 }
 
-func (s *Server) watch(fd int, addr string, f Handler) (err error) {
-	ln := &listener{s: s, addr: addr, front: f}
+func (s *Server) addListener(fd int, addr string, f Handler) (err error) {
+	ln := &listener{server: s, address: addr, handler: f}
 	events := uint32(loop.In)
-	if s.held {
+	if s.suspended {
 		events = 0
 	}
-	if ln.src, err = s.loop.Watch(fd, events, ln); err != nil {
+	if ln.source, err = s.loop.Watch(fd, events, ln); err != nil {
 		return fmt.Errorf("listen on %s: %w", addr, err)
 	}
 	s.listeners = append(s.listeners, ln)
@@ -72,68 +72,68 @@
 // Ready accepts what waits, up to a bound: those who connect by the hundred must not keep the others' answers.
 // After a time in which the process stood still all are taken: what they have sent meanwhile is as old as that.
 func (ln *listener) Ready(uint32) {
-	most := ln.s.lim.Accepts
-	if ln.s.loop.Late() > 0 {
-		most = ln.s.lim.Downstream
+	most := ln.server.limits.Accepts
+	if ln.server.loop.Late() > 0 {
+		most = ln.server.limits.Downstream
 	}
 	ln.accept(most)
 }
 
 func (ln *listener) accept(most int) {
-	s := ln.s
-	ln.expire()
+	s := ln.server
+	ln.expireBacklog()
 	for range most {
-		if s.held {
+		if s.suspended {
 			break
 		}
-		if len(s.conns)+s.elsewhere >= s.lim.Downstream && !s.makeRoom() {
-			s.pause("all connections busy")
+		if len(s.conns)+s.predecessorConns >= s.limits.Downstream && !s.evictOne() {
+			s.pauseAccepting("all connections busy")
 			break
 		}
-		fd, err := loop.Accept(ln.src.FD())
+		fd, err := loop.Accept(ln.source.FD())
 		if errors.Is(err, loop.ErrAgain) {
-			ln.waiting = 0
+			ln.backlogSince = 0
 			return
 		}
-		if loop.OutOfDescriptors(err) && s.makeRoom() { // they are this process's: one less helps
+		if loop.OutOfDescriptors(err) && s.evictOne() { // they are this process's: one less helps
 			continue
 		}
 		if err == nil {
-			err = ln.open(fd)
+			err = ln.openConn(fd)
 		}
 		if err != nil { // the machine is short of something: the connections that there are stay
-			s.pause(err.Error())
+			s.pauseAccepting(err.Error())
 			break
 		}
 	}
-	ln.leave()
+	ln.noteBacklog()
 }
 
-// open begins a connection. One that may have waited is read at once: in the next turn nothing would tell how old is what
+// openConn begins a connection. One that may have waited is read at once: in the next turn nothing would tell how old is what
 // it has sent.
-func (ln *listener) open(fd int) error {
-	s, now := ln.s, ln.s.loop.Now()
-	c := &Conn{s: s, ln: ln, parser: http1.NewRequestParser(s.lim.HeadBytes, s.lim.BodyBytes, s.lim.KeepBytes), since: now,
-		opened: now, moved: now}
-	if err := s.enter(c, fd); err != nil {
+func (ln *listener) openConn(fd int) error {
+	s, now := ln.server, ln.server.loop.Now()
+	c := &Conn{server: s, listener: ln, parser: http1.NewRequestParser(s.limits.HeadBytes, s.limits.BodyBytes, s.limits.KeepBytes), phaseSince: now,
+		openedAt: now, lastReadAt: now}
+	if err := s.register(c, fd); err != nil {
 		return err
 	}
-	if late := ln.late(); late > 0 {
-		c.readLate(late)
+	if late := ln.backlogDelay(); late > 0 {
+		c.readDelayed(late)
 	}
 	return nil
 }
 
-// enter watches a connection's descriptor, or closes it.
-func (s *Server) enter(c *Conn, fd int) (err error) {
-	if c.src, err = s.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
+// register watches a connection's descriptor, or closes it.
+func (s *Server) register(c *Conn, fd int) (err error) {
+	if c.source, err = s.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
 		loop.CloseFD(fd)
 		return err
 	}
-	s.accepted++
-	c.number = s.accepted
+	s.acceptedTotal++
+	c.id = s.acceptedTotal
 	s.conns[c] = struct{}{}
 	c.traceOpened()
-	c.list()
+	c.addToEvictionList()
 	return nil
 }
--- a/internal/net/downstream/read.go
+++ b/internal/net/downstream/read.go
@@ -12,73 +12,73 @@
 
 // read takes what one read brings, and no more than there is room for: the others have their turns, and hundreds that
 // begin long bodies at one instant must not hold the first piece of each at its largest.
-func (c *Conn) read() { c.readLate(c.s.loop.Late()) }
+func (c *Conn) read() { c.readDelayed(c.server.loop.Late()) }
 
-// lateReads is how much more is read, in reads, of what had to wait: its client's end may be right behind, and it had its
+// maxDelayedReads is how much more is read, in reads, of what had to wait: its client's end may be right behind, and it had its
 // time to go.
-const lateReads = 8
+const maxDelayedReads = 8
 
-// readLate reads what may have come so much earlier. Of that nothing is begun before it is known whether its client is still
+// readDelayed reads what may have come so much earlier. Of that nothing is begun before it is known whether its client is still
 // there.
-func (c *Conn) readLate(late time.Duration) {
-	got, stands := c.take(late)
-	for n := 0; stands && got && late > 0 && c.up == nil && n < lateReads; n++ {
-		got, stands = c.take(late)
+func (c *Conn) readDelayed(late time.Duration) {
+	got, stands := c.readOnce(late)
+	for n := 0; stands && got && late > 0 && c.upload == nil && n < maxDelayedReads; n++ {
+		got, stands = c.readOnce(late)
 	}
 	if !stands {
 		return
 	}
-	c.upload()
-	c.parse()
+	c.pumpUpload()
+	c.parseRequests()
 }
 
-// take reads once. It tells whether anything came, and whether the connection still stands.
-func (c *Conn) take(late time.Duration) (got, stands bool) {
-	most := c.s.lim.HeadBytes
-	if c.up != nil {
-		most = max(1, c.up.pipe.Room())
+// readOnce reads once. It tells whether anything came, and whether the connection still stands.
+func (c *Conn) readOnce(late time.Duration) (got, stands bool) {
+	most := c.server.limits.HeadBytes
+	if c.upload != nil {
+		most = max(1, c.upload.pipe.Room())
 	}
-	buf := c.s.loop.Buf()
-	n, err := loop.Read(c.src.FD(), buf[:min(len(buf), most)])
+	buf := c.server.loop.Buf()
+	n, err := loop.Read(c.source.FD(), buf[:min(len(buf), most)])
 	if err != nil && !errors.Is(err, loop.ErrAgain) { // gone, whether with EOF or a reset
-		c.gone(closeReason(err.Error()))
+		c.disconnect(closeReason(err.Error()))
 		return false, false
 	}
 	if n == 0 {
 		return false, true
 	}
-	c.moved = c.s.loop.Now()
-	if !c.busy && !c.parser.Begun() {
-		c.since = c.moved
+	c.lastReadAt = c.server.loop.Now()
+	if !c.awaitingResponse && !c.parser.Begun() {
+		c.phaseSince = c.lastReadAt
 	}
 	d := 0
-	if c.up != nil {
+	if c.upload != nil {
 		d = c.parser.Direct(buf[:n])
-		c.up.got += d
-		c.up.pipe.Put(buf[:d])
+		c.upload.receivedBytes += d
+		c.upload.pipe.Put(buf[:d])
 	}
-	if d < n && !c.tooMuch(n-d) {
+	if d < n && !c.discardOverflow(n-d) {
 		c.parser.Feed(buf[d:n])
-		c.arrivals.came(n-d, c.moved-late)
+		c.arrivals.add(n-d, c.lastReadAt-late)
 	}
 	return true, true
 }
 
-// parse hands on the next request, and the next again if it was answered at once.
-func (c *Conn) parse() {
+// parseRequests hands on the next request, and the next again if it was answered at once.
+func (c *Conn) parseRequests() {
 	if c.parsing {
 		return
 	}
 	c.parsing = true
 	defer func() { c.parsing = false }()
-	for n := 0; !c.busy && !c.lingering && !c.s.held && c.src.FD() >= 0; n++ {
-		if n == c.s.lim.Ahead { // the others have their turn
-			c.s.loop.After(time.Microsecond, c.parse)
+	for n := 0; !c.awaitingResponse && !c.lingering && !c.server.suspended && c.source.FD() >= 0; n++ {
+		if n == c.server.limits.Ahead { // the others have their turn
+			c.server.loop.After(time.Microsecond, c.parseRequests)
 			break
 		}
 		req, err := c.parser.Next()
 		if err != nil {
-			c.complain(err)
+			c.rejectUnparsable(err)
 			return
 		}
 		if req == nil {
@@ -87,61 +87,61 @@
 			}
 			break
 		}
-		c.came = c.arrivals.of(c.parser.Buffered(), c.Now())
-		c.busy, c.head, c.old = true, req.Method == "HEAD", req.Old
-		c.last = c.last || req.Close
-		c.traceRead(req)
-		c.unlist()
+		c.requestArrivedAt = c.arrivals.lastParsed(c.parser.Buffered(), c.Now())
+		c.awaitingResponse, c.isHead, c.isHTTP10 = true, req.Method == "HEAD", req.Old
+		c.closeAfterResponse = c.closeAfterResponse || req.Close
+		c.traceRequestRead(req)
+		c.removeFromList()
 		if req.Open {
-			c.begin(req)
+			c.startUpload(req)
 			continue
 		}
-		c.ln.front.HandleRequest(c, req)
+		c.listener.handler.HandleRequest(c, req)
 	}
-	if !c.busy && !c.lingering && c.src.FD() >= 0 && c.parser.Begun() {
-		c.s.begun.push(c)
+	if !c.awaitingResponse && !c.lingering && c.source.FD() >= 0 && c.parser.Begun() {
+		c.server.receiving.push(c)
 	}
-	c.want()
+	c.updateEvents()
 }
 
-// complain answers what could not be read.
-func (c *Conn) complain(err error) {
+// rejectUnparsable answers what could not be read.
+func (c *Conn) rejectUnparsable(err error) {
 	status := 400
 	var pe *http1.ParseError
 	if errors.As(err, &pe) {
 		status = pe.Status
 	}
-	c.malformed(status, err.Error())
+	c.rejectRequest(status, err.Error())
 }
 
-// want watches for what can be used: no more input than is bounded, output only while some waits.
-func (c *Conn) want() {
-	if c.src.FD() < 0 {
+// updateEvents watches for what can be used: no more input than is bounded, output only while some waits.
+func (c *Conn) updateEvents() {
+	if c.source.FD() < 0 {
 		return
 	}
 	events := uint32(loop.Hangup)
 	switch {
-	case c.s.held && !c.busy && !c.lingering:
+	case c.server.suspended && !c.awaitingResponse && !c.lingering:
 		events = 0
 	case c.lingering:
 		events |= loop.In
-	case c.up != nil:
-		if events = loop.Hangup; c.up.pipe.Room() > 0 { // else only its end is of use now
+	case c.upload != nil:
+		if events = loop.Hangup; c.upload.pipe.Room() > 0 { // else only its end is of use now
 			events |= loop.In
 		}
-	case c.dumped > c.s.lim.LingerBytes:
-	case c.busy, c.parser.Buffered() <= c.most():
+	case c.overflowBytes > c.server.limits.LingerBytes:
+	case c.awaitingResponse, c.parser.Buffered() <= c.maxBufferedBytes():
 		events |= loop.In
 	}
-	if len(c.out) > 0 || c.down != nil && len(c.down.pipe.Next()) > 0 {
+	if len(c.unsent) > 0 || c.download != nil && len(c.download.pipe.Next()) > 0 {
 		events |= loop.Out
 	}
-	c.src.Want(events)
+	c.source.Want(events)
 }
 
-func (c *Conn) malformed(status int, what string) {
-	c.busy, c.last = true, true
-	c.unread = c.unread || status == 413 // its client may write all of it before it reads
-	c.unlist()
-	c.ln.front.HandleMalformed(c, status, what)
+func (c *Conn) rejectRequest(status int, what string) {
+	c.awaitingResponse, c.closeAfterResponse = true, true
+	c.hasUnreadBody = c.hasUnreadBody || status == 413 // its client may write all of it before it reads
+	c.removeFromList()
+	c.listener.handler.HandleMalformed(c, status, what)
 }
--- /dev/null
+++ b/internal/net/downstream/response.go
@@ -0,0 +1,93 @@
+package downstream
+
+import (
+	"ferryfront.example/ferryfront/internal/net/http1"
+	"ferryfront.example/ferryfront/internal/net/loop"
+)
+
+// What goes to a client.
+
+// Reply answers the present request.
+func (c *Conn) Reply(status int, h http1.Headers, body []byte) {
+	if c.source.FD() < 0 || !c.awaitingResponse {
+		return
+	}
+	c.awaitingResponse, c.StreamID = false, 0
+	h = c.withTraceParent(h)
+	if c.upload != nil { // what still comes of the request is read and dropped
+		c.closeAfterResponse = true
+		c.discardUpload()
+	}
+	c.wasServed = c.wasServed || status < 400 || status == 429 || status >= 500
+	c.closeAfterResponse = c.closeAfterResponse || c.server.draining
+	if !c.write(http1.AppendResponse(nil, status, h, body, c.closeAfterResponse, c.isHead)) {
+		return
+	}
+	c.finishResponse()
+}
+
+// withTraceParent adds the trace that the answer gives back.
+func (c *Conn) withTraceParent(h http1.Headers) http1.Headers {
+	if c.TraceParent != "" {
+		h = append(h[:len(h):len(h)], http1.Header{Name: "traceparent", Value: c.TraceParent})
+		c.TraceParent = ""
+	}
+	return h
+}
+
+// finishResponse goes on after an answer, as far as it is ours to write.
+func (c *Conn) finishResponse() {
+	if c.closeAfterResponse {
+		c.closeGracefully(closedAfterResponse)
+		return
+	}
+	c.setIdle()
+	switch {
+	case c.server.transfer != nil && !c.parsing:
+		c.handOver()
+	case c.server.suspended:
+		c.updateEvents()
+	case c.parser.Buffered() > 0:
+		c.parseRequests()
+	}
+}
+
+// write sends what there is room for and keeps the rest. It tells whether the connection still stands.
+func (c *Conn) write(b []byte) bool {
+	if len(c.unsent) > 0 {
+		c.unsent = append(c.unsent, b...)
+		return true
+	}
+	n, err := loop.Write(c.source.FD(), b)
+	if err != nil {
+		c.disconnect(closeReason(err.Error()))
+		return false
+	}
+	if n < len(b) {
+		c.unsent = append(c.unsent, b[n:]...)
+		c.updateEvents()
+	}
+	return true
+}
+
+func (c *Conn) flush() bool {
+	n, err := loop.Write(c.source.FD(), c.unsent)
+	if err != nil {
+		c.disconnect(closeReason(err.Error()))
+		return false
+	}
+	if c.unsent = c.unsent[n:]; len(c.unsent) == 0 {
+		c.unsent = nil
+		if c.lingering {
+			c.shutdownWrite()
+		}
+		c.pumpDownload()
+		if c.source.FD() < 0 {
+			return false
+		}
+	} else if n > 0 && c.download != nil {
+		c.download.progressAt = c.server.loop.Now()
+	}
+	c.updateEvents()
+	return true
+}
--- a/internal/net/upstream/hosts.go
+++ b/internal/net/upstream/hosts.go
@@ -12,27 +12,27 @@
 // host is one upstream host. Its idle connections are used last in, first out: the few that are in
 // use stay warm, the others grow old and are dropped.
 type host struct {
-	name, addr string
-	boot       time.Duration // when it last started, as far as that is told
-	leaving    bool          // nothing new goes there
-	idle       []*conn
+	name, address string
+	bootTime      time.Duration // when it last started, as far as that is told
+	leaving       bool          // nothing new goes there
+	idle          []*conn
 }
 
 // Host enters an upstream host, or what is new of it.
 func (p *Pool) Host(name, addr string, boot time.Duration, leaving bool) {
 	h := p.hosts[name]
 	if h == nil {
-		p.hosts[name] = &host{name: name, addr: addr, boot: boot, leaving: leaving}
+		p.hosts[name] = &host{name: name, address: addr, bootTime: boot, leaving: leaving}
 		return
 	}
 	// Connections to a process that is no more may stand without a word: a request on one would be lost.
-	moved, begun := h.addr != addr, boot != h.boot && boot != 0
-	h.addr, h.boot, h.leaving = addr, boot, leaving
+	moved, begun := h.address != addr, boot != h.bootTime && boot != 0
+	h.address, h.bootTime, h.leaving = addr, boot, leaving
 	if moved || begun || leaving {
 		p.CloseIdle(name)
 	}
 	if moved || leaving {
-		p.withdraw(h)
+		p.withdrawPending(h)
 	}
 }
 
@@ -42,16 +42,16 @@
 	h := p.hosts[name]
 	delete(p.hosts, name)
 	if h != nil {
-		p.withdraw(h)
+		p.withdrawPending(h)
 	}
 }
 
-// withdraw takes back what waits for a connection to a host that leaves, or was at another address: written
+// withdrawPending takes back what waits for a connection to a host that leaves, or was at another address: written
 // once that is up, it would come to the host long after it was told.
-func (p *Pool) withdraw(h *host) {
+func (p *Pool) withdrawPending(h *host) {
 	var waiting []*conn
-	for _, c := range p.out {
-		if c.h == h && !c.up {
+	for _, c := range p.active {
+		if c.host == h && !c.isConnected {
 			waiting = append(waiting, c)
 		}
 	}
@@ -60,7 +60,7 @@
 	})
 	for _, c := range waiting {
 		p.Cancel(c.ref)
-		p.ended(c.ref, c.probe, admission.NotSent, core.Answer{})
+		p.reportOutcome(c.ref, c.isProbe, admission.NotSent, core.Answer{})
 	}
 }
 
@@ -68,7 +68,7 @@
 func (p *Pool) CloseIdle(name string) {
 	if h := p.hosts[name]; h != nil {
 		for len(h.idle) > 0 {
-			h.idle[len(h.idle)-1].close(errNotKept)
+			h.idle[len(h.idle)-1].close(errHostChanged)
 		}
 	}
 }
--- a/internal/net/upstream/crossing_test.go
+++ b/internal/net/upstream/race_test.go
@@ -46,13 +46,13 @@
 // there no more, however soon the connection comes up.
 func TestAHostLeavesWhileAConnectionComesUp(t *testing.T) {
 	for name, news := range map[string]func(*Pool, *host){
-		"leaves": func(p *Pool, h *host) { p.Host("h", h.addr, 0, true) },
+		"leaves": func(p *Pool, h *host) { p.Host("h", h.address, 0, true) },
 		"gone":   func(p *Pool, _ *host) { p.Gone("h") },
 		"moved":  func(p *Pool, _ *host) { p.Host("h", "127.0.0.1:1", 0, false) },
 	} {
 		l, p, sink, asked := silent(t)
 		h := p.hosts["h"]
-		addr := h.addr
+		addr := h.address
 		ask(p, 1) // the kernel may have it up already; this turn does not know
 		news(p, h)
 		require.Equal(t, []admission.Outcome{admission.NotSent}, sink.outcomes, name)
@@ -74,8 +74,8 @@
 		}
 	})
 	ask(p, 1)
-	nettest.Until(t, l, func() bool { return *p.whole == 1 })
-	p.Host("h", p.hosts["h"].addr, 0, true)
+	nettest.Until(t, l, func() bool { return *p.requestsWritten == 1 })
+	p.Host("h", p.hosts["h"].address, 0, true)
 	ask(p, 2)
 	require.Equal(t, []admission.Outcome{admission.NotSent}, sink.outcomes)
 	close(release)
@@ -89,10 +89,10 @@
 	ask(p, 1)
 	ends(t, l, sink, 1)
 	require.Equal(t, 1, p.OpenConnections())
-	p.Host("h", p.hosts["h"].addr, 5, false)
+	p.Host("h", p.hosts["h"].address, 5, false)
 	require.Zero(t, p.OpenConnections())
 	ask(p, 2)
-	nettest.Until(t, l, func() bool { return *p.whole == 2 })
+	nettest.Until(t, l, func() bool { return *p.requestsWritten == 2 })
 	p.Host("h", "127.0.0.1:1", 5, false)
 	require.Equal(t, admission.OK, ends(t, l, sink, 2)[1])
 	require.Zero(t, p.OpenConnections(), "it was to the old address")
@@ -108,7 +108,7 @@
 		p.HandOver(func(_ string, _ time.Duration, fd int) { fds = append(fds, fd) })
 		p.StopHandOver()
 		require.Len(t, fds, 1)
-		p.Host("h", p.hosts["h"].addr, 0, leaving)
+		p.Host("h", p.hosts["h"].address, 0, leaving)
 		require.NoError(t, p.AdoptConnection("h", 0, fds[0]))
 		require.Equal(t, !leaving, p.OpenConnections() == 1)
 	}
@@ -156,10 +156,10 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain")
 		close(both)
 	})
-	p.lim.UpstreamRest = time.Hour
+	p.limits.UpstreamRest = time.Hour
 	ask(p, 1)
 	ends(t, l, sink, 1)
-	p.noisyAt = l.Now() // second answers have been seen, see below
+	p.unsolicitedAt = l.Now() // second answers have been seen, see below
 	p.Start(core.Ref{Stream: 2}, "h", &Message{Method: "POST", Target: "/", AtMostOnce: true}, time.Minute)
 	ends(t, l, sink, 2)
 	require.Equal(t, "ok", string(sink.answers[1].Body))
@@ -186,13 +186,13 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain")
 			both <- struct{}{}
 		})
-		p.lim.UpstreamRest = time.Hour
+		p.limits.UpstreamRest = time.Hour
 		ask(p, 1)
 		ends(t, l, sink, 1)
 		ask(p, 2)
 		require.Equal(t, []admission.Outcome{admission.OK, admission.OK}, ends(t, l, sink, 2))
 		require.Equal(t, 1, p.OpenConnections())
-		require.Zero(t, p.noisyAt)
+		require.Zero(t, p.unsolicitedAt)
 		second <- struct{}{}
 		<-both
 		if waits {
@@ -200,7 +200,7 @@
 		} else {
 			ask(p, 3) // on a new one
 		}
-		require.NotZero(t, p.noisyAt)
+		require.NotZero(t, p.unsolicitedAt)
 	}
 }
 
@@ -213,7 +213,7 @@
 	ask(p, 2)
 	require.False(t, p.Cancel(core.Ref{Stream: 2}))
 	ask(p, 3)
-	nettest.Until(t, l, func() bool { return *p.whole == 1 })
+	nettest.Until(t, l, func() bool { return *p.requestsWritten == 1 })
 	require.False(t, p.Withdraw(core.Ref{Stream: 3}))
 	require.True(t, p.Cancel(core.Ref{Stream: 3}))
 	require.Empty(t, sink.outcomes)
@@ -254,5 +254,5 @@
 func TestAShortageOfThisMachineIsNoFaultOfTheHost(t *testing.T) {
 	require.Equal(t, admission.NotSent, dialOutcome(fmt.Errorf("dial: %w", unix.ENOBUFS)))
 	require.Equal(t, admission.Unreachable, dialOutcome(fmt.Errorf("dial: %w", unix.ECONNREFUSED)))
-	require.Equal(t, admission.Unreachable, dialOutcome(errFull))
+	require.Equal(t, admission.Unreachable, dialOutcome(errPoolExhausted))
 }
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -33,41 +33,41 @@
 		p.sink.UpstreamEnded(p.loop.Now(), ref, admission.NotSent, core.Answer{})
 		return
 	}
-	p.start(ref, name, m, wait, false)
+	p.startRequest(ref, name, m, wait, false)
 }
 
 // Probe asks a host whether it is alive.
 func (p *Pool) Probe(ref core.Ref, name string, wait time.Duration) {
-	p.start(ref, name, &Message{Method: "GET", Target: "/alive"}, wait, true)
+	p.startRequest(ref, name, &Message{Method: "GET", Target: "/alive"}, wait, true)
 }
 
-func (p *Pool) start(ref core.Ref, name string, m *Message, wait time.Duration, probe bool) {
+func (p *Pool) startRequest(ref core.Ref, name string, m *Message, wait time.Duration, probe bool) {
 	h := p.hosts[name]
 	if h == nil {
-		p.ended(ref, probe, admission.Unreachable, core.Answer{})
+		p.reportOutcome(ref, probe, admission.Unreachable, core.Answer{})
 		return
 	}
 	if h.leaving || p.loop.Stalled() { // it was chosen before that was told, or before the process stood still
-		p.ended(ref, probe, admission.NotSent, core.Answer{})
+		p.reportOutcome(ref, probe, admission.NotSent, core.Answer{})
 		return
 	}
-	if c := p.keeps(h, m); c != nil {
-		c.begin(ref, probe, m, wait)
-		c.compose()
+	if c := p.takeIdle(h, m); c != nil {
+		c.assign(ref, probe, m, wait)
+		c.encodeRequest()
 		c.flush()
 		return
 	}
 	c, err := p.dial(h)
 	if err != nil {
-		if now := p.loop.Now(); p.told == 0 || now-p.told > logEvery {
-			p.told = now
+		if now := p.loop.Now(); p.dialErrorLoggedAt == 0 || now-p.dialErrorLoggedAt > dialErrorLogInterval {
+			p.dialErrorLoggedAt = now
 			p.log.Warn("upstream connection not opened", "host", name, "error", err)
 		}
 		p.traceNotOpened(ref, name, err)
-		p.ended(ref, probe, dialOutcome(err), core.Answer{})
+		p.reportOutcome(ref, probe, dialOutcome(err), core.Answer{})
 		return
 	}
-	c.begin(ref, probe, m, wait)
+	c.assign(ref, probe, m, wait)
 }
 
 // dialOutcome tells what a connection that could not be begun says. What this machine is short of says nothing of the host,
@@ -80,45 +80,45 @@
 }
 
 func (p *Pool) dial(h *host) (*conn, error) {
-	if p.conns+p.elsewhere >= p.lim.Upstream && !p.makeRoom() {
-		return nil, errFull
+	if p.connCount+p.predecessorConns >= p.limits.Upstream && !p.evictIdle() {
+		return nil, errPoolExhausted
 	}
-	fd, err := loop.Dial(h.addr)
-	if loop.OutOfDescriptors(err) && p.makeRoom() {
-		fd, err = loop.Dial(h.addr)
+	fd, err := loop.Dial(h.address)
+	if loop.OutOfDescriptors(err) && p.evictIdle() {
+		fd, err = loop.Dial(h.address)
 	}
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{p: p, h: h, addr: h.addr,
-		parser: http1.NewResponseParser(p.lim.HeadBytes, p.lim.BodyBytes, p.lim.KeepBytes)}
-	if c.src, err = p.loop.Watch(fd, loop.Out|loop.Hangup, c); err != nil {
+	c := &conn{pool: p, host: h, address: h.address,
+		parser: http1.NewResponseParser(p.limits.HeadBytes, p.limits.BodyBytes, p.limits.KeepBytes)}
+	if c.source, err = p.loop.Watch(fd, loop.Out|loop.Hangup, c); err != nil {
 		loop.CloseFD(fd)
 		return nil, err
 	}
-	p.conns++
-	c.src.Last() // what it brings is no more than that a request can be written
-	c.dialing = p.loop.After(p.lim.DialLimit, func() { c.fail(io.ErrNoProgress) })
+	p.connCount++
+	c.source.Last() // what it brings is no more than that a request can be written
+	c.dialTimer = p.loop.After(p.limits.DialLimit, func() { c.fail(io.ErrNoProgress) })
 	return c, nil
 }
 
-// begin has the connection carry a request, which is written once it is up.
-func (c *conn) begin(ref core.Ref, probe bool, m *Message, wait time.Duration) {
-	c.traceBegun(ref)
-	c.busy, c.ref, c.probe, c.message, c.ends = true, ref, probe, m, c.p.loop.Now()+wait
-	c.p.out[ref] = c
+// assign has the connection carry a request, which is written once it is up.
+func (c *conn) assign(ref core.Ref, probe bool, m *Message, wait time.Duration) {
+	c.traceAssigned(ref)
+	c.hasRequest, c.ref, c.isProbe, c.message, c.deadline = true, ref, probe, m, c.pool.loop.Now()+wait
+	c.pool.active[ref] = c
 	if m.BodyPipe != nil {
-		c.attach(m.BodyPipe)
+		c.attachBody(m.BodyPipe)
 	}
 }
 
-// compose makes the request's bytes. It is done when they can be written: the host is told what is left of the time then.
-func (c *conn) compose() {
+// encodeRequest makes the request's bytes. It is done when they can be written: the host is told what is left of the time then.
+func (c *conn) encodeRequest() {
 	m := c.message
 	c.message = nil
 	headers := m.Headers
-	if !c.probe {
-		left := c.ends - c.p.loop.Now()
+	if !c.isProbe {
+		left := c.deadline - c.pool.loop.Now()
 		headers = append(headers[:len(headers):len(headers)],
 			http1.Header{Name: "Request-Timeout", Value: strconv.FormatInt(max(1, left.Milliseconds()), 10) + "m"})
 	}
@@ -131,47 +131,47 @@
 	}
 	b := make([]byte, 0, 512+len(m.Body))
 	if m.BodyPipe != nil {
-		c.out = http1.AppendOpenRequest(b, m.Method, m.Target, "service.internal", headers, m.BodyPipe.Length)
+		c.unsent = http1.AppendOpenRequest(b, m.Method, m.Target, "service.internal", headers, m.BodyPipe.Length)
 	} else {
-		c.out = http1.AppendRequest(b, m.Method, m.Target, "service.internal", headers, m.Body)
+		c.unsent = http1.AppendRequest(b, m.Method, m.Target, "service.internal", headers, m.Body)
 	}
 }
 
-// connected writes the request that waited for the connection, unless its time is up.
-func (c *conn) connected() {
-	if c.p.loop.Stalled() { // what has come of clients and lists meanwhile goes first, in the next turn
+// handleConnected writes the request that waited for the connection, unless its time is up.
+func (c *conn) handleConnected() {
+	if c.pool.loop.Stalled() { // what has come of clients and lists meanwhile goes first, in the next turn
 		return
 	}
-	err := loop.Dialled(c.src.FD())
-	if err == nil && c.p.loop.Now() >= c.ends {
-		err = errLate
+	err := loop.Dialled(c.source.FD())
+	if err == nil && c.pool.loop.Now() >= c.deadline {
+		err = errDeadlinePassed
 	}
 	if err != nil {
 		c.fail(err)
 		return
 	}
-	c.up = true
-	c.src.Usual()
-	c.dialing.Stop()
-	c.compose()
+	c.isConnected = true
+	c.source.Usual()
+	c.dialTimer.Stop()
+	c.encodeRequest()
 	c.flush()
 }
 
 func (c *conn) flush() {
 	for {
-		n, err := loop.Write(c.src.FD(), c.out)
-		if c.out = c.out[n:]; n > 0 {
-			c.took = c.p.loop.Now()
+		n, err := loop.Write(c.source.FD(), c.unsent)
+		if c.unsent = c.unsent[n:]; n > 0 {
+			c.bodyProgressAt = c.pool.loop.Now()
 		}
 		if err != nil {
 			c.fail(err)
 			return
 		}
-		if len(c.out) > 0 {
-			c.src.Want(loop.In | loop.Out | loop.Hangup)
+		if len(c.unsent) > 0 {
+			c.source.Want(loop.In | loop.Out | loop.Hangup)
 			return
 		}
-		again, err := c.draw()
+		again, err := c.writeBody()
 		if err != nil {
 			c.fail(err)
 			return
@@ -185,13 +185,13 @@
 		if len(c.body.Next()) > 0 {
 			events |= loop.Out
 		}
-		c.src.Want(events)
+		c.source.Want(events)
 		return
 	}
-	if c.out != nil && !c.probe {
-		*c.p.whole++
-		c.wrote = c.p.loop.Now()
+	if c.unsent != nil && !c.isProbe {
+		*c.pool.requestsWritten++
+		c.writtenAt = c.pool.loop.Now()
 	}
-	c.out = nil
-	c.src.Want(loop.In | loop.Hangup)
+	c.unsent = nil
+	c.source.Want(loop.In | loop.Hangup)
 }
--- a/internal/net/upstream/response.go
+++ b/internal/net/upstream/response.go
@@ -15,34 +15,34 @@
 // What comes back of a request.
 
 func (c *conn) read() {
-	buf := c.p.loop.Buf()
+	buf := c.pool.loop.Buf()
 	for {
 		if c.relay != nil { // no more than there is room for
 			buf = buf[:min(len(buf), max(1, c.relay.pipe.Room()))]
 		}
-		n, err := loop.Read(c.src.FD(), buf)
+		n, err := loop.Read(c.source.FD(), buf)
 		if errors.Is(err, loop.ErrAgain) {
 			return
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) && c.relay != nil && c.parser.EndsHere() {
-				c.closes = true
-				c.relayed()
+				c.closeAfterRelay = true
+				c.finishRelay()
 				return
 			}
-			if errors.Is(err, io.EOF) && c.busy && c.relay == nil && len(c.out) == 0 {
+			if errors.Is(err, io.EOF) && c.hasRequest && c.relay == nil && len(c.unsent) == 0 {
 				// That it was cut off there can't be told from an answer without a length that ends as it must.
 				if resp := c.parser.End(); resp != nil {
-					c.answer(resp)
+					c.completeResponse(resp)
 					return
 				}
 			}
 			c.fail(err)
 			return
 		}
-		if !c.busy { // bytes that nobody asked for
-			c.p.noisyAt = c.p.loop.Now()
-			c.close(errNotQuiet)
+		if !c.hasRequest { // bytes that nobody asked for
+			c.pool.unsolicitedAt = c.pool.loop.Now()
+			c.close(errUnexpectedInput)
 			return
 		}
 		if c.relay != nil { // the others have their turns
@@ -54,7 +54,7 @@
 			if d < n {
 				c.parser.Feed(buf[d:n])
 			}
-			c.pull()
+			c.pumpRelay()
 			return
 		}
 		c.parser.Feed(buf[:n])
@@ -64,16 +64,16 @@
 			c.fail(err)
 			return
 		case resp != nil && resp.Open:
-			c.open(resp)
+			c.startRelay(resp)
 			return
 		case resp != nil:
-			c.answer(resp)
+			c.completeResponse(resp)
 			return
-		case c.early == nil && c.parser.Unbounded():
+		case c.earlyRelayTimer == nil && c.parser.Unbounded():
 			// What is so short that its last byte counts is soon here; of what is long the first bytes count.
-			c.early = c.p.loop.After(c.p.lim.FlowEarly, func() {
-				if resp := c.parser.Early(); resp != nil && c.busy && c.src.FD() >= 0 {
-					c.open(resp)
+			c.earlyRelayTimer = c.pool.loop.After(c.pool.limits.FlowEarly, func() {
+				if resp := c.parser.Early(); resp != nil && c.hasRequest && c.source.FD() >= 0 {
+					c.startRelay(resp)
 				}
 			})
 		}
@@ -83,34 +83,34 @@
 	}
 }
 
-// answer takes a whole response. An answer that came before its request was whole, or with more
+// completeResponse takes a whole response. An completeResponse that came before its request was whole, or with more
 // behind it, leaves a connection that can't be trusted with the next one.
-func (c *conn) answer(resp *http1.Response) {
-	ref, probe := c.ref, c.probe
-	if c.doubtful(resp) {
+func (c *conn) completeResponse(resp *http1.Response) {
+	ref, probe := c.ref, c.isProbe
+	if c.failPossibleDuplicate(resp) {
 		return
 	}
 	if !probe {
-		c.p.reuse.learn(c.p.loop.Now(), c.kept, false)
+		c.pool.resets.record(c.pool.loop.Now(), c.isReused, false)
 	}
-	c.busy = false
-	c.early.Stop()
-	c.early = nil
-	delete(c.p.out, ref)
-	answer := core.Answer{Body: resp.Body, ContentType: resp.Headers.Get("Content-Type"), Billed: billed(resp)}
-	if resp.Close || len(c.out) > 0 || c.body != nil || c.parser.Buffered() > 0 {
-		c.detach()
-		c.close(errLastAnswer)
+	c.hasRequest = false
+	c.earlyRelayTimer.Stop()
+	c.earlyRelayTimer = nil
+	delete(c.pool.active, ref)
+	answer := core.Answer{Body: resp.Body, ContentType: resp.Headers.Get("Content-Type"), Billed: chargedUnits(resp)}
+	if resp.Close || len(c.unsent) > 0 || c.body != nil || c.parser.Buffered() > 0 {
+		c.detachBody()
+		c.close(errNotReusable)
 	} else {
-		c.rest()
+		c.keepIdle()
 	}
-	c.p.ended(ref, probe, outcome(resp), answer)
+	c.pool.reportOutcome(ref, probe, responseOutcome(resp), answer)
 	c.parser.Rest()
 }
 
-// billed reads the true units of a good answer from X-Units-Charged: a whole number from 1 up, else 0,
+// chargedUnits reads the true units of a good answer from X-Units-Charged: a whole number from 1 up, else 0,
 // which tells nothing.
-func billed(r *http1.Response) int {
+func chargedUnits(r *http1.Response) int {
 	if r.Status != 200 {
 		return 0
 	}
@@ -121,8 +121,8 @@
 	return n
 }
 
-// outcome tells what a response says of its request.
-func outcome(r *http1.Response) admission.Outcome {
+// responseOutcome tells what a response says of its request.
+func responseOutcome(r *http1.Response) admission.Outcome {
 	switch {
 	case r.Status == 200:
 		return admission.OK
--- a/internal/net/upstream/reuse_test.go
+++ b/internal/net/upstream/reuse_test.go
@@ -74,13 +74,13 @@
 
 // Hosts that reset new connections as often as kept ones give no cause for a handshake.
 func TestResetsOfAnyConnectionAreNoCauseForNewOnes(t *testing.T) {
-	var r reuse
+	var r resetStats
 	for i := range 1000 {
-		r.learn(0, i%2 == 0, i%20 < 2)
+		r.record(0, i%2 == 0, i%20 < 2)
 	}
-	require.False(t, r.risky(0))
+	require.False(t, r.isReuseRisky(0))
 	for i := range 100 {
-		r.learn(0, true, i%20 == 0)
+		r.record(0, true, i%20 == 0)
 	}
-	require.False(t, r.risky(0), "5%% as on new ones")
+	require.False(t, r.isReuseRisky(0), "5%% as on new ones")
 }
--- a/internal/net/upstream/upstream.go
+++ b/internal/net/upstream/upstream.go
@@ -23,120 +23,120 @@
 
 // Pool holds the connections of all upstream hosts.
 type Pool struct {
-	loop   *loop.Loop
-	lim    limits.Limits
-	log    *slog.Logger
-	sink   Sink
-	hosts  map[string]*host
-	out    map[core.Ref]*conn
-	relays map[*conn]struct{} // those that pass an answer on
-	conns  int
-	debugs bool          // the log takes debug lines
-	whole  *uint64       // counts requests written whole, probes aside
-	told   time.Duration // when the operator was last told of one not opened
-	reuse  reuse
-
-	noisyAt time.Duration // when bytes last came that nobody had asked for, 0: never
-
-	elsewhere int // connections that another process of this ingress holds
-	hand      func(host string, since time.Duration, fd int)
+	loop              *loop.Loop
+	limits            limits.Limits
+	log               *slog.Logger
+	sink              Sink
+	hosts             map[string]*host
+	active            map[core.Ref]*conn
+	relays            map[*conn]struct{} // those that pass an answer on
+	connCount         int
+	debugEnabled      bool          // the log takes debug lines
+	requestsWritten   *uint64       // counts requests written whole, probes aside
+	dialErrorLoggedAt time.Duration // when the operator was last told of one not opened
+	resets            resetStats
+
+	unsolicitedAt time.Duration // when bytes last came that nobody had asked for, 0: never
+
+	predecessorConns int // connections that another process of this ingress holds
+	transfer         func(host string, since time.Duration, fd int)
 }
 
 // New returns a pool that knows no hosts. SetSink must follow before the first request.
 // whole counts the requests that have been written whole.
 func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, whole *uint64) *Pool {
-	p := &Pool{loop: l, lim: lim, log: log, whole: whole, hosts: map[string]*host{}, out: map[core.Ref]*conn{},
-		relays: map[*conn]struct{}{}, debugs: core.Debugs(log)}
-	l.After(sweepEvery, p.sweep)
+	p := &Pool{loop: l, limits: lim, log: log, requestsWritten: whole, hosts: map[string]*host{}, active: map[core.Ref]*conn{},
+		relays: map[*conn]struct{}{}, debugEnabled: core.Debugs(log)}
+	l.After(sweepInterval, p.sweep)
 	return p
 }
 
 // SetSink names who is told of outcomes.
 func (p *Pool) SetSink(s Sink) { p.sink = s }
 
-// logEvery: connections that can't be opened, to an address that can't be read or for want of room, are told
+// dialErrorLogInterval: connections that can't be opened, to an address that can't be read or for want of room, are told
 // of so often, however many requests meet them.
-const logEvery = 10 * time.Second
+const dialErrorLogInterval = 10 * time.Second
 
-// sweepEvery is how often idle connections are looked through.
-const sweepEvery = 500 * time.Millisecond
+// sweepInterval is how often idle connections are looked through.
+const sweepInterval = 500 * time.Millisecond
 
 // sweep drops connections before the other side would: a request written as it closes is a reset,
 // and may have run.
 func (p *Pool) sweep() {
-	p.loop.After(sweepEvery, p.sweep)
+	p.loop.After(sweepInterval, p.sweep)
 	now := p.loop.Now()
 	for _, h := range p.hosts {
-		if p.conns == 0 { // of thousands of hosts none need be looked through
+		if p.connCount == 0 { // of thousands of hosts none need be looked through
 			break
 		}
 		old := 0
-		for old < len(h.idle) && now-h.idle[old].since+sweepEvery >= p.lim.UpstreamIdle {
+		for old < len(h.idle) && now-h.idle[old].idleSince+sweepInterval >= p.limits.UpstreamIdle {
 			old++
 		}
 		for _, c := range append([]*conn(nil), h.idle[:old]...) {
-			c.close(errIdle)
+			c.close(errIdleTimeout)
 		}
 	}
-	p.silent(now)
+	p.failStalled(now)
 }
 
 // OpenConnections tells how many are open.
-func (p *Pool) OpenConnections() int { return p.conns }
+func (p *Pool) OpenConnections() int { return p.connCount }
 
 // conn is one connection.
 type conn struct {
-	p       *Pool
-	h       *host
-	addr    string // of the host, when it was opened
-	src     *loop.Source
-	parser  *http1.ResponseParser
-	up      bool
-	busy    bool
-	probe   bool
-	ref     core.Ref
-	message *Message      // of a request that waits for the connection to come up, nil: none
-	ends    time.Duration // when the time of that request is up
-	out     []byte        // of the request, not written yet
-	since   time.Duration
-	kept    bool          // it has served a request before this one
-	wrote   time.Duration // the request was whole on it
-	dialing *loop.Timer
-	took    time.Duration // the host last took some of body
-	body    *flow.Pipe    // of the request, what is not in out yet; nil: nothing
-	early   *loop.Timer   // for an answer of which nobody can tell how long it will be
-	relay   *relay        // of the answer, passed on while it comes; nil: it is not
-	closes  bool          // the connection ends with that
+	pool            *Pool
+	host            *host
+	address         string // of the host, when it was opened
+	source          *loop.Source
+	parser          *http1.ResponseParser
+	isConnected     bool
+	hasRequest      bool
+	isProbe         bool
+	ref             core.Ref
+	message         *Message      // of a request that waits for the connection to come up, nil: none
+	deadline        time.Duration // when the time of that request is up
+	unsent          []byte        // of the request, not written yet
+	idleSince       time.Duration
+	isReused        bool          // it has served a request before this one
+	writtenAt       time.Duration // the request was whole on it
+	dialTimer       *loop.Timer
+	bodyProgressAt  time.Duration // the host last took some of body
+	body            *flow.Pipe    // of the request, what is not in out yet; nil: nothing
+	earlyRelayTimer *loop.Timer   // for an answer of which nobody can tell how long it will be
+	relay           *relay        // of the answer, passed on while it comes; nil: it is not
+	closeAfterRelay bool          // the connection ends with that
 }
 
 // Cancel gives up a request by closing its connection: whatever comes of it reaches nobody. It tells whether
 // the request may have run.
 func (p *Pool) Cancel(ref core.Ref) (ran bool) {
-	c := p.out[ref]
+	c := p.active[ref]
 	if c == nil {
 		return true
 	}
-	ran = c.whole()
-	c.busy = false
-	c.detach()
-	delete(p.out, ref)
-	c.close(errGivenUp)
+	ran = c.isFullyWritten()
+	c.hasRequest = false
+	c.detachBody()
+	delete(p.active, ref)
+	c.close(errCancelled)
 	return ran
 }
 
 // Withdraw gives up a request that is not wholly written, and so can't have run. It tells whether it did.
 func (p *Pool) Withdraw(ref core.Ref) bool {
-	if c := p.out[ref]; c == nil || c.whole() {
+	if c := p.active[ref]; c == nil || c.isFullyWritten() {
 		return false
 	}
 	p.Cancel(ref)
 	return true
 }
 
-// whole tells whether the request's last byte is written.
-func (c *conn) whole() bool { return c.up && len(c.out) == 0 && c.body == nil }
+// isFullyWritten tells whether the request's last byte is written.
+func (c *conn) isFullyWritten() bool { return c.isConnected && len(c.unsent) == 0 && c.body == nil }
 
-func (p *Pool) ended(ref core.Ref, probe bool, o admission.Outcome, a core.Answer) {
+func (p *Pool) reportOutcome(ref core.Ref, probe bool, o admission.Outcome, a core.Answer) {
 	if probe {
 		p.sink.ProbeEnded(p.loop.Now(), ref, o)
 		return
@@ -146,17 +146,17 @@
 
 // Ready goes on with what the connection was about.
 func (c *conn) Ready(events uint32) {
-	if !c.up {
+	if !c.isConnected {
 		if events&(loop.Out|loop.Hangup) == 0 {
 			return
 		}
-		c.connected()
+		c.handleConnected()
 		return
 	}
 	if events&(loop.In|loop.Hangup) != 0 {
 		c.read()
 	}
-	if events&loop.Out != 0 && c.relay == nil && c.src.FD() >= 0 && (len(c.out) > 0 || c.body != nil) {
+	if events&loop.Out != 0 && c.relay == nil && c.source.FD() >= 0 && (len(c.unsent) > 0 || c.body != nil) {
 		c.flush()
 	}
 }
@@ -166,43 +166,43 @@
 func (c *conn) fail(cause error) {
 	if c.relay != nil { // its answer can't be taken back; who takes it can tell that it is not whole
 		pipe := c.relay.pipe
-		c.unrelay()
+		c.clearRelay()
 		c.close(cause)
 		pipe.End(false)
 		return
 	}
 	o := admission.Broken
 	switch {
-	case errors.Is(cause, errLate): // no fault of the host's
+	case errors.Is(cause, errDeadlinePassed): // no fault of the host's
 		o = admission.NotSent
-	case !c.whole():
+	case !c.isFullyWritten():
 		o = admission.Unreachable
 	}
-	busy := c.busy
-	c.busy = false
-	c.detach()
+	busy := c.hasRequest
+	c.hasRequest = false
+	c.detachBody()
 	c.close(cause)
 	if busy {
-		if now := c.p.loop.Now(); o == admission.Broken && !c.probe && c.parser.Buffered() == 0 && now-c.wrote < reuseSoon {
-			c.p.reuse.learn(now, c.kept, true)
+		if now := c.pool.loop.Now(); o == admission.Broken && !c.isProbe && c.parser.Buffered() == 0 && now-c.writtenAt < resetWindow {
+			c.pool.resets.record(now, c.isReused, true)
 		}
-		delete(c.p.out, c.ref)
-		c.p.ended(c.ref, c.probe, o, core.Answer{})
+		delete(c.pool.active, c.ref)
+		c.pool.reportOutcome(c.ref, c.isProbe, o, core.Answer{})
 	}
 }
 
 func (c *conn) close(cause error) {
-	if c.src.FD() < 0 {
+	if c.source.FD() < 0 {
 		return
 	}
 	c.traceClosed(cause)
-	c.dialing.Stop()
-	c.early.Stop()
-	c.src.Close()
-	c.p.conns--
-	for i, o := range c.h.idle {
+	c.dialTimer.Stop()
+	c.earlyRelayTimer.Stop()
+	c.source.Close()
+	c.pool.connCount--
+	for i, o := range c.host.idle {
 		if o == c {
-			c.h.idle = append(c.h.idle[:i], c.h.idle[i+1:]...)
+			c.host.idle = append(c.host.idle[:i], c.host.idle[i+1:]...)
 			break
 		}
 	}
