--- a/internal/net/downstream/body.go
+++ b/internal/net/downstream/body.go
@@ -10,16 +10,16 @@
 
 // Bodies that are passed on while they come: requests' upwards, answers' downwards.
 
-// upload is a request's body of which more comes.
-type upload struct {
-	pipe          *flow.Pipe
-	rateSince     time.Duration // from when its rate counts; moved on while there is no room for more
-	receivedBytes int
+// bodyUpload is a request's body of which more comes.
+type bodyUpload struct {
+	pipe      *flow.Pipe
+	rateSince time.Duration // from when its rate counts; moved on while there is no room for more
+	received  int
 }
 
 // startUpload hands on an open request: its front may send it on before its body has come.
 func (c *Conn) startUpload(req *http1.Request) {
-	u := &upload{pipe: flow.New(c.server.limits.Window(c.server.activeUploads), req.Length), rateSince: c.server.loop.Now()}
+	u := &bodyUpload{pipe: flow.New(c.server.bounds.Window(c.server.activeUploads), req.Length), rateSince: c.server.loop.Now()}
 	u.pipe.Put(req.Body) // it is held there alone
 	c.parser.Slim()
 	req.Body, req.Rest, c.upload = nil, u.pipe, u
@@ -47,7 +47,7 @@
 		c.rejectUnparsable(err)
 		return
 	}
-	u.receivedBytes += len(b)
+	u.received += len(b)
 	u.pipe.Put(b)
 	c.parser.Slim()
 	if whole {
@@ -93,11 +93,11 @@
 		u.rateSince += sweepInterval
 		return false
 	}
-	return now-u.rateSince > c.server.limits.RequestTime(u.receivedBytes)
+	return now-u.rateSince > c.server.bounds.RequestTime(u.received)
 }
 
-// download is an answer's body of which more comes.
-type download struct {
+// responseRelay is an answer's body of which more comes.
+type responseRelay struct {
 	pipe       *flow.Pipe
 	framing    http1.Framing
 	done       func(whole bool)
@@ -116,7 +116,7 @@
 	h = c.withTraceParent(h)
 	c.wasServed = true
 	c.closeAfterResponse = c.closeAfterResponse || c.server.draining || c.upload != nil
-	d := &download{pipe: rest, done: done, progressAt: c.server.loop.Now()}
+	d := &responseRelay{pipe: rest, done: done, progressAt: c.server.loop.Now()}
 	switch {
 	case rest.Length >= 0:
 	case c.isHTTP10:
@@ -125,18 +125,18 @@
 		d.framing = http1.ByChunks
 	}
 	c.discardUpload()
-	c.download = d
+	c.relay = d
 	b := http1.AppendOpenResponse(nil, status, h, rest.Length, d.framing, c.closeAfterResponse)
 	if !c.write(b) {
 		return
 	}
-	rest.OnData = c.pumpDownload
-	c.pumpDownload()
+	rest.OnData = c.pumpRelay
+	c.pumpRelay()
 }
 
-// pumpDownload writes what has come, as long as the client takes it.
-func (c *Conn) pumpDownload() {
-	d := c.download
+// pumpRelay writes what has come, as long as the client takes it.
+func (c *Conn) pumpRelay() {
+	d := c.relay
 	if d == nil || c.source.FD() < 0 {
 		return
 	}
@@ -161,9 +161,9 @@
 	}
 	switch {
 	case d.pipe.Broken() && len(d.pipe.Next()) == 0:
-		c.abortDownload()
-	case d.pipe.Whole() && c.download == d:
-		c.download = nil
+		c.abortRelay()
+	case d.pipe.Whole() && c.relay == d:
+		c.relay = nil
 		if d.framing == http1.ByChunks && !c.write(http1.AppendLastChunk(nil)) {
 			return
 		}
@@ -173,12 +173,12 @@
 	}
 }
 
-// abortDownload ends a connection whose answer can't be finished. One whose end would be taken for the answer's is reset.
-func (c *Conn) abortDownload() {
-	if c.download.framing == http1.ByClose {
+// abortRelay ends a connection whose answer can't be finished. One whose end would be taken for the answer's is reset.
+func (c *Conn) abortRelay() {
+	if c.relay.framing == http1.ByClose {
 		c.source.Reset()
 	}
-	done := c.download.done
+	done := c.relay.done
 	c.close(closedRelayAborted)
 	done(false)
 }
@@ -196,15 +196,15 @@
 // reads would else never see the answer that came meanwhile.
 func (c *Conn) lingerTimeout() time.Duration {
 	if c.hasUnreadBody {
-		return c.server.limits.FlowSilence
+		return c.server.bounds.FlowSilence
 	}
-	return c.server.limits.Linger
+	return c.server.bounds.Linger
 }
 
 // ActiveRelays tells how many answers are on their way and not wholly written.
 func (s *Server) ActiveRelays() (n int) {
 	for c := range s.conns {
-		if c.download != nil {
+		if c.relay != nil {
 			n++
 		}
 	}
--- a/internal/net/downstream/close.go
+++ b/internal/net/downstream/close.go
@@ -44,7 +44,7 @@
 	case errors.Is(err, loop.ErrAgain):
 	case errors.Is(err, io.EOF) && len(c.unsent) > 0:
 		c.source.Want(loop.Out) // the client has ended its side and still takes the answer
-	case err != nil, c.discardedBytes > c.server.limits.LingerBytes && !c.hasUnreadBody, c.discardedBytes > c.server.limits.BodyBytes+c.server.limits.LingerBytes:
+	case err != nil, c.discardedBytes > c.server.bounds.LingerBytes && !c.hasUnreadBody, c.discardedBytes > c.server.bounds.BodyBytes+c.server.bounds.LingerBytes:
 		c.close(closedAfterLinger)
 	}
 }
@@ -112,8 +112,8 @@
 // AbortCloseDelimitedRelays ends the connections whose answers are still on their way and would pass for whole as the process ends.
 func (s *Server) AbortCloseDelimitedRelays() {
 	for c := range s.conns {
-		if c.download != nil && c.download.framing == http1.ByClose {
-			c.abortDownload()
+		if c.relay != nil && c.relay.framing == http1.ByClose {
+			c.abortRelay()
 		}
 	}
 }
--- a/internal/net/downstream/close_test.go
+++ b/internal/net/downstream/close_test.go
@@ -166,7 +166,7 @@
 // A request comes as its connection would be closed to make room for another: it is answered, and the connection kept.
 func TestARequestCrossesTheMakingOfRoom(t *testing.T) {
 	l, s, f, ask := resting(t, func(lim *limits.Limits) { lim.FreshTime = time.Millisecond })
-	l.After(10*s.limits.FreshTime, func() {
+	l.After(10*s.bounds.FreshTime, func() {
 		ask()
 		require.False(t, s.evictOne(), "nothing is silent")
 	})
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -22,9 +22,9 @@
 // Server holds all client connections, of every front, and their common bound.
 type Server struct {
 	loop             *loop.Loop
-	limits           limits.Limits
+	bounds           limits.Limits
 	log              *slog.Logger
-	listeners        []*listener
+	listeners        []*clientListener
 	conns            map[*Conn]struct{}
 	newConns         connList // connections that have shown nothing yet, the oldest first
 	receiving        connList // those of which part of a request has come, longest without more of it first
@@ -45,7 +45,7 @@
 
 // New returns a server without listeners.
 func New(l *loop.Loop, lim limits.Limits, log *slog.Logger) *Server {
-	s := &Server{loop: l, limits: lim, log: log, conns: map[*Conn]struct{}{}, debugEnabled: core.Debugs(log)}
+	s := &Server{loop: l, bounds: lim, log: log, conns: map[*Conn]struct{}{}, debugEnabled: core.Debugs(log)}
 	l.After(sweepInterval, s.sweep)
 	return s
 }
@@ -60,8 +60,8 @@
 		switch {
 		case c.lingering && now-c.phaseSince > c.lingerTimeout():
 			c.close(closedLingerTimeout)
-		case c.download != nil:
-			if now-c.download.progressAt > s.limits.FlowSilence {
+		case c.relay != nil:
+			if now-c.relay.progressAt > s.bounds.FlowSilence {
 				c.disconnect(closedNoProgress)
 			}
 		case c.upload != nil && c.isUploadTooSlow(now):
@@ -70,10 +70,10 @@
 		case s.suspended: // not read, so what it has not shown is not its fault
 		case c.awaitingResponse || c.lingering:
 		case c.parser.Begun():
-			if now-c.phaseSince > s.limits.RequestTime(c.parser.Body()) {
+			if now-c.phaseSince > s.bounds.RequestTime(c.parser.Body()) {
 				c.rejectRequest(408, "request not whole in time")
 			}
-		case !c.wasServed && now-c.openedAt > s.limits.FirstTime, now-c.phaseSince > s.limits.DownstreamIdle:
+		case !c.wasServed && now-c.openedAt > s.bounds.FirstTime, now-c.phaseSince > s.bounds.DownstreamIdle:
 			c.closeIfIdle(closedIdle)
 		}
 	}
@@ -98,25 +98,25 @@
 	server             *Server
 	id                 uint64 // in the log
 	source             *loop.Source
-	listener           *listener
+	listener           *clientListener
 	parser             *http1.RequestParser
 	unsent             []byte        // not written yet
 	phaseSince         time.Duration // idle, or ending; of a request that has begun, its first byte
 	openedAt           time.Duration
-	lastReadAt         time.Duration // bytes last came
-	arrivals           arrivals      // of what is not parsed yet
-	requestArrivedAt   time.Duration // when the last byte of the present request did
-	wasServed          bool          // it has had an answer that is no complaint
-	discardedBytes     int           // bytes read after the end
-	overflowBytes      int           // of what was sent too far ahead
-	hasUnreadBody      bool          // of a request that was answered before it had come
-	awaitingResponse   bool          // a request awaits its answer
-	isHead             bool          // its method is HEAD
-	isHTTP10           bool          // it is of HTTP/1.0
-	upload             *upload       // of the present request's body, nil if it is whole
-	download           *download     // of the present answer's, nil if it was given whole
-	closeAfterResponse bool          // close after the present answer
-	lingering          bool          // our side has ended; what still comes is read and dropped
+	lastReadAt         time.Duration  // bytes last came
+	arrivals           arrivals       // of what is not parsed yet
+	requestArrivedAt   time.Duration  // when the last byte of the present request did
+	wasServed          bool           // it has had an answer that is no complaint
+	discardedBytes     int            // bytes read after the end
+	overflowBytes      int            // of what was sent too far ahead
+	hasUnreadBody      bool           // of a request that was answered before it had come
+	awaitingResponse   bool           // a request awaits its answer
+	isHead             bool           // its method is HEAD
+	isHTTP10           bool           // it is of HTTP/1.0
+	upload             *bodyUpload    // of the present request's body, nil if it is whole
+	relay              *responseRelay // of the present answer's, nil if it was given whole
+	closeAfterResponse bool           // close after the present answer
+	lingering          bool           // our side has ended; what still comes is read and dropped
 	parsing            bool
 	prev, next         *Conn // in the list that it is in
 	list               *connList
@@ -188,9 +188,9 @@
 	c.traceClosed(why)
 	c.source.Close()
 	c.discardUpload()
-	if c.download != nil {
-		c.download.pipe.Drop()
-		c.download = nil
+	if c.relay != nil {
+		c.relay.pipe.Drop()
+		c.relay = nil
 	}
 	c.removeFromList()
 	delete(c.server.conns, c)
--- a/internal/net/downstream/eviction.go
+++ b/internal/net/downstream/eviction.go
@@ -44,13 +44,13 @@
 	var c *Conn
 	longest := time.Duration(0)
 	look := func(l *connList, weight time.Duration) {
-		if f := l.first; f != nil && now-f.lastReadAt > s.limits.FreshTime && weight*(now-f.lastReadAt) > longest {
+		if f := l.first; f != nil && now-f.lastReadAt > s.bounds.FreshTime && weight*(now-f.lastReadAt) > longest {
 			c, longest = f, weight*(now-f.lastReadAt)
 		}
 	}
 	look(&s.newConns, newConnWeight)
 	look(&s.receiving, 1)
-	if s.newConns.length+s.receiving.length <= s.limits.Downstream/2 {
+	if s.newConns.length+s.receiving.length <= s.bounds.Downstream/2 {
 		look(&s.idle, servedConnWeight)
 	}
 	return c
@@ -77,7 +77,7 @@
 	for _, ln := range s.listeners {
 		ln.source.Want(0)
 	}
-	s.loop.After(s.limits.FreshTime, s.resumeAccepting)
+	s.loop.After(s.bounds.FreshTime, s.resumeAccepting)
 }
 
 // pauseLogInterval: a flood that pauses accepting again and again is told of so often.
--- a/internal/net/downstream/handover.go
+++ b/internal/net/downstream/handover.go
@@ -114,12 +114,12 @@
 // AdoptConnection goes on with a connection of another process. One whose listener is not there any more is closed, as
 // between requests any may be.
 func (s *Server) AdoptConnection(st ConnState, fd int) error {
-	i := slices.IndexFunc(s.listeners, func(ln *listener) bool { return ln.address == st.ListenerAddress })
+	i := slices.IndexFunc(s.listeners, func(ln *clientListener) bool { return ln.address == st.ListenerAddress })
 	if i < 0 {
 		loop.CloseFD(fd)
 		return nil
 	}
-	p, err := http1.RestoreRequestParser(st.Parser, s.limits.HeadBytes, s.limits.BodyBytes, s.limits.KeepBytes)
+	p, err := http1.RestoreRequestParser(st.Parser, s.bounds.HeadBytes, s.bounds.BodyBytes, s.bounds.KeepBytes)
 	if err != nil {
 		loop.CloseFD(fd)
 		return err
--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -11,7 +11,7 @@
 
 // Listeners: connections are accepted, and it is known how long they may have waited for that.
 
-type listener struct {
+type clientListener struct {
 	server  *Server
 	source  *loop.Source
 	address string
@@ -22,7 +22,7 @@
 }
 
 // backlogDelay is how long a connection that is accepted now may have waited.
-func (ln *listener) backlogDelay() time.Duration {
+func (ln *clientListener) backlogDelay() time.Duration {
 	if ln.backlogSince == 0 {
 		return ln.server.loop.Late()
 	}
@@ -30,7 +30,7 @@
 }
 
 // noteBacklog notes that connections may be left waiting.
-func (ln *listener) noteBacklog() {
+func (ln *clientListener) noteBacklog() {
 	ln.armedAt = ln.server.loop.Now()
 	if ln.backlogSince == 0 {
 		ln.backlogSince = ln.armedAt - ln.server.loop.Late()
@@ -41,7 +41,7 @@
 const readinessDelay = 10 * time.Millisecond
 
 // expireBacklog forgets that connections may wait where none was told of at once: those that come now have just come.
-func (ln *listener) expireBacklog() {
+func (ln *clientListener) expireBacklog() {
 	if !ln.server.acceptPaused && ln.server.loop.Now()-ln.armedAt > ln.server.loop.Late()+readinessDelay {
 		ln.backlogSince = 0
 	}
@@ -57,7 +57,7 @@
 }
 
 func (s *Server) addListener(fd int, addr string, f Handler) (err error) {
-	ln := &listener{server: s, address: addr, handler: f}
+	ln := &clientListener{server: s, address: addr, handler: f}
 	events := uint32(loop.In)
 	if s.suspended {
 		events = 0
@@ -71,22 +71,22 @@
 
 // Ready accepts what waits, up to a bound: those who connect by the hundred must not keep the others' answers.
 // After a time in which the process stood still all are taken: what they have sent meanwhile is as old as that.
-func (ln *listener) Ready(uint32) {
-	most := ln.server.limits.Accepts
+func (ln *clientListener) Ready(uint32) {
+	most := ln.server.bounds.Accepts
 	if ln.server.loop.Late() > 0 {
-		most = ln.server.limits.Downstream
+		most = ln.server.bounds.Downstream
 	}
 	ln.accept(most)
 }
 
-func (ln *listener) accept(most int) {
+func (ln *clientListener) accept(most int) {
 	s := ln.server
 	ln.expireBacklog()
 	for range most {
 		if s.suspended {
 			break
 		}
-		if len(s.conns)+s.predecessorConns >= s.limits.Downstream && !s.evictOne() {
+		if len(s.conns)+s.predecessorConns >= s.bounds.Downstream && !s.evictOne() {
 			s.pauseAccepting("all connections busy")
 			break
 		}
@@ -111,9 +111,9 @@
 
 // openConn begins a connection. One that may have waited is read at once: in the next turn nothing would tell how old is what
 // it has sent.
-func (ln *listener) openConn(fd int) error {
+func (ln *clientListener) openConn(fd int) error {
 	s, now := ln.server, ln.server.loop.Now()
-	c := &Conn{server: s, listener: ln, parser: http1.NewRequestParser(s.limits.HeadBytes, s.limits.BodyBytes, s.limits.KeepBytes), phaseSince: now,
+	c := &Conn{server: s, listener: ln, parser: http1.NewRequestParser(s.bounds.HeadBytes, s.bounds.BodyBytes, s.bounds.KeepBytes), phaseSince: now,
 		openedAt: now, lastReadAt: now}
 	if err := s.register(c, fd); err != nil {
 		return err
--- a/internal/net/downstream/pipeline.go
+++ b/internal/net/downstream/pipeline.go
@@ -3,7 +3,7 @@
 // What a client sends ahead of its answers.
 
 // maxBufferedBytes bounds what is held of what a client sends ahead of its answers.
-func (c *Conn) maxBufferedBytes() int { return c.server.limits.HeadBytes + c.server.limits.KeepBytes }
+func (c *Conn) maxBufferedBytes() int { return c.server.bounds.HeadBytes + c.server.bounds.KeepBytes }
 
 // discardOverflow tells whether a client has sent more ahead of its answers than is held for it. All that is dropped, with what
 // comes, and its connection ends with the present answer; it is read on all the same, within bounds, since its end may
--- a/internal/net/downstream/read.go
+++ b/internal/net/downstream/read.go
@@ -34,7 +34,7 @@
 
 // readOnce reads once. It tells whether anything came, and whether the connection still stands.
 func (c *Conn) readOnce(late time.Duration) (got, stands bool) {
-	most := c.server.limits.HeadBytes
+	most := c.server.bounds.HeadBytes
 	if c.upload != nil {
 		most = max(1, c.upload.pipe.Room())
 	}
@@ -54,7 +54,7 @@
 	d := 0
 	if c.upload != nil {
 		d = c.parser.Direct(buf[:n])
-		c.upload.receivedBytes += d
+		c.upload.received += d
 		c.upload.pipe.Put(buf[:d])
 	}
 	if d < n && !c.discardOverflow(n-d) {
@@ -72,7 +72,7 @@
 	c.parsing = true
 	defer func() { c.parsing = false }()
 	for n := 0; !c.awaitingResponse && !c.lingering && !c.server.suspended && c.source.FD() >= 0; n++ {
-		if n == c.server.limits.Ahead { // the others have their turn
+		if n == c.server.bounds.Ahead { // the others have their turn
 			c.server.loop.After(time.Microsecond, c.parseRequests)
 			break
 		}
@@ -129,11 +129,11 @@
 		if events = loop.Hangup; c.upload.pipe.Room() > 0 { // else only its end is of use now
 			events |= loop.In
 		}
-	case c.overflowBytes > c.server.limits.LingerBytes:
+	case c.overflowBytes > c.server.bounds.LingerBytes:
 	case c.awaitingResponse, c.parser.Buffered() <= c.maxBufferedBytes():
 		events |= loop.In
 	}
-	if len(c.unsent) > 0 || c.download != nil && len(c.download.pipe.Next()) > 0 {
+	if len(c.unsent) > 0 || c.relay != nil && len(c.relay.pipe.Next()) > 0 {
 		events |= loop.Out
 	}
 	c.source.Want(events)
--- a/internal/net/downstream/response.go
+++ b/internal/net/downstream/response.go
@@ -81,12 +81,12 @@
 		if c.lingering {
 			c.shutdownWrite()
 		}
-		c.pumpDownload()
+		c.pumpRelay()
 		if c.source.FD() < 0 {
 			return false
 		}
-	} else if n > 0 && c.download != nil {
-		c.download.progressAt = c.server.loop.Now()
+	} else if n > 0 && c.relay != nil {
+		c.relay.progressAt = c.server.loop.Now()
 	}
 	c.updateEvents()
 	return true
--- a/internal/net/upstream/body.go
+++ b/internal/net/upstream/body.go
@@ -83,7 +83,7 @@
 	ref := c.ref
 	c.earlyRelayTimer.Stop()
 	delete(c.pool.active, ref)
-	pipe := flow.New(c.pool.limits.Window(len(c.pool.relays)), resp.Length)
+	pipe := flow.New(c.pool.bounds.Window(len(c.pool.relays)), resp.Length)
 	c.relay = &relay{pipe: pipe, progressAt: c.pool.loop.Now()}
 	c.closeAfterRelay = resp.Close || len(c.unsent) > 0 || c.body != nil
 	c.detachBody()
@@ -159,14 +159,14 @@
 	for c := range p.relays {
 		if c.relay.pipe.Room() == 0 {
 			c.relay.progressAt = now
-		} else if now-c.relay.progressAt > p.limits.FlowSilence {
+		} else if now-c.relay.progressAt > p.bounds.FlowSilence {
 			c.fail(errNoProgress)
 		}
 	}
 	for _, c := range p.active {
 		if c.body == nil || len(c.unsent) == 0 && len(c.body.Next()) == 0 { // whole, or its client is waited for, which has a time of its own
 			c.bodyProgressAt = now
-		} else if c.isConnected && now-c.bodyProgressAt > p.limits.FlowSilence {
+		} else if c.isConnected && now-c.bodyProgressAt > p.bounds.FlowSilence {
 			c.fail(errNoProgress)
 		}
 	}
--- a/internal/net/upstream/handover.go
+++ b/internal/net/upstream/handover.go
@@ -46,12 +46,12 @@
 func (p *Pool) AdoptConnection(name string, since time.Duration, fd int) error {
 	p.predecessorConns = max(0, p.predecessorConns-1)
 	h := p.hosts[name]
-	if h == nil || h.leaving || p.connCount+p.predecessorConns >= p.limits.Upstream {
+	if h == nil || h.leaving || p.connCount+p.predecessorConns >= p.bounds.Upstream {
 		loop.CloseFD(fd)
 		return nil
 	}
 	c := &conn{pool: p, host: h, address: h.address, isConnected: true, idleSince: since,
-		parser: http1.NewResponseParser(p.limits.HeadBytes, p.limits.BodyBytes, p.limits.KeepBytes)}
+		parser: http1.NewResponseParser(p.bounds.HeadBytes, p.bounds.BodyBytes, p.bounds.KeepBytes)}
 	var err error
 	if c.source, err = p.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
 		loop.CloseFD(fd)
--- a/internal/net/upstream/hosts.go
+++ b/internal/net/upstream/hosts.go
@@ -9,9 +9,9 @@
 	"ferryfront.example/ferryfront/internal/core"
 )
 
-// host is one upstream host. Its idle connections are used last in, first out: the few that are in
+// upstreamHost is one upstream upstreamHost. Its idle connections are used last in, first out: the few that are in
 // use stay warm, the others grow old and are dropped.
-type host struct {
+type upstreamHost struct {
 	name, address string
 	bootTime      time.Duration // when it last started, as far as that is told
 	leaving       bool          // nothing new goes there
@@ -22,7 +22,7 @@
 func (p *Pool) Host(name, addr string, boot time.Duration, leaving bool) {
 	h := p.hosts[name]
 	if h == nil {
-		p.hosts[name] = &host{name: name, address: addr, bootTime: boot, leaving: leaving}
+		p.hosts[name] = &upstreamHost{name: name, address: addr, bootTime: boot, leaving: leaving}
 		return
 	}
 	// Connections to a process that is no more may stand without a word: a request on one would be lost.
@@ -48,7 +48,7 @@
 
 // withdrawPending takes back what waits for a connection to a host that leaves, or was at another address: written
 // once that is up, it would come to the host long after it was told.
-func (p *Pool) withdrawPending(h *host) {
+func (p *Pool) withdrawPending(h *upstreamHost) {
 	var waiting []*conn
 	for _, c := range p.active {
 		if c.host == h && !c.isConnected {
--- a/internal/net/upstream/race_test.go
+++ b/internal/net/upstream/race_test.go
@@ -45,10 +45,10 @@
 // A host is told to leave, or is gone, or has moved, while a request waits for its connection: that has not run and goes
 // there no more, however soon the connection comes up.
 func TestAHostLeavesWhileAConnectionComesUp(t *testing.T) {
-	for name, news := range map[string]func(*Pool, *host){
-		"leaves": func(p *Pool, h *host) { p.Host("h", h.address, 0, true) },
-		"gone":   func(p *Pool, _ *host) { p.Gone("h") },
-		"moved":  func(p *Pool, _ *host) { p.Host("h", "127.0.0.1:1", 0, false) },
+	for name, news := range map[string]func(*Pool, *upstreamHost){
+		"leaves": func(p *Pool, h *upstreamHost) { p.Host("h", h.address, 0, true) },
+		"gone":   func(p *Pool, _ *upstreamHost) { p.Gone("h") },
+		"moved":  func(p *Pool, _ *upstreamHost) { p.Host("h", "127.0.0.1:1", 0, false) },
 	} {
 		l, p, sink, asked := silent(t)
 		h := p.hosts["h"]
@@ -156,7 +156,7 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain")
 		close(both)
 	})
-	p.limits.UpstreamRest = time.Hour
+	p.bounds.UpstreamRest = time.Hour
 	ask(p, 1)
 	ends(t, l, sink, 1)
 	p.unsolicitedAt = l.Now() // second answers have been seen, see below
@@ -186,7 +186,7 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain")
 			both <- struct{}{}
 		})
-		p.limits.UpstreamRest = time.Hour
+		p.bounds.UpstreamRest = time.Hour
 		ask(p, 1)
 		ends(t, l, sink, 1)
 		ask(p, 2)
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -79,8 +79,8 @@
 	return admission.Unreachable
 }
 
-func (p *Pool) dial(h *host) (*conn, error) {
-	if p.connCount+p.predecessorConns >= p.limits.Upstream && !p.evictIdle() {
+func (p *Pool) dial(h *upstreamHost) (*conn, error) {
+	if p.connCount+p.predecessorConns >= p.bounds.Upstream && !p.evictIdle() {
 		return nil, errPoolExhausted
 	}
 	fd, err := loop.Dial(h.address)
@@ -91,14 +91,14 @@
 		return nil, err
 	}
 	c := &conn{pool: p, host: h, address: h.address,
-		parser: http1.NewResponseParser(p.limits.HeadBytes, p.limits.BodyBytes, p.limits.KeepBytes)}
+		parser: http1.NewResponseParser(p.bounds.HeadBytes, p.bounds.BodyBytes, p.bounds.KeepBytes)}
 	if c.source, err = p.loop.Watch(fd, loop.Out|loop.Hangup, c); err != nil {
 		loop.CloseFD(fd)
 		return nil, err
 	}
 	p.connCount++
 	c.source.Last() // what it brings is no more than that a request can be written
-	c.dialTimer = p.loop.After(p.limits.DialLimit, func() { c.fail(io.ErrNoProgress) })
+	c.dialTimer = p.loop.After(p.bounds.DialLimit, func() { c.fail(io.ErrNoProgress) })
 	return c, nil
 }
 
--- a/internal/net/upstream/response.go
+++ b/internal/net/upstream/response.go
@@ -71,7 +71,7 @@
 			return
 		case c.earlyRelayTimer == nil && c.parser.Unbounded():
 			// What is so short that its last byte counts is soon here; of what is long the first bytes count.
-			c.earlyRelayTimer = c.pool.loop.After(c.pool.limits.FlowEarly, func() {
+			c.earlyRelayTimer = c.pool.loop.After(c.pool.bounds.FlowEarly, func() {
 				if resp := c.parser.Early(); resp != nil && c.hasRequest && c.source.FD() >= 0 {
 					c.startRelay(resp)
 				}
@@ -91,7 +91,7 @@
 		return
 	}
 	if !probe {
-		c.pool.resets.record(c.pool.loop.Now(), c.isReused, false)
+		c.pool.resetStats.record(c.pool.loop.Now(), c.isReused, false)
 	}
 	c.hasRequest = false
 	c.earlyRelayTimer.Stop()
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -48,12 +48,12 @@
 // takeIdle returns the kept connection that a message is to go on, nil: a new one. Where one is passed over as
 // risky, the oldest makes room, so that there are no more of them than without. What must not run twice goes on
 // none that has just answered: a second answer to the request before may follow, see [conn.fresh].
-func (p *Pool) takeIdle(h *host, m *Message) *conn {
+func (p *Pool) takeIdle(h *upstreamHost, m *Message) *conn {
 	n := len(h.idle)
 	if n == 0 {
 		return nil
 	}
-	if m.AtMostOnce && p.resets.isReuseRisky(p.loop.Now()) {
+	if m.AtMostOnce && p.resetStats.isReuseRisky(p.loop.Now()) {
 		h.idle[0].close(errReuseRisky)
 		return nil
 	}
@@ -79,7 +79,7 @@
 // connection rest would cost a handshake wherever the next request waits for the answer before.
 func (c *conn) mayReceiveDuplicate() bool {
 	now := c.pool.loop.Now()
-	return c.pool.unsolicitedAt > 0 && now-c.pool.unsolicitedAt < unsolicitedMemory && now-c.idleSince < c.pool.limits.UpstreamRest
+	return c.pool.unsolicitedAt > 0 && now-c.pool.unsolicitedAt < unsolicitedMemory && now-c.idleSince < c.pool.bounds.UpstreamRest
 }
 
 // failPossibleDuplicate ends a connection whose answer may be a second one to the request before.
--- a/internal/net/upstream/upstream.go
+++ b/internal/net/upstream/upstream.go
@@ -24,17 +24,17 @@
 // Pool holds the connections of all upstream hosts.
 type Pool struct {
 	loop              *loop.Loop
-	limits            limits.Limits
+	bounds            limits.Limits
 	log               *slog.Logger
 	sink              Sink
-	hosts             map[string]*host
+	hosts             map[string]*upstreamHost
 	active            map[core.Ref]*conn
 	relays            map[*conn]struct{} // those that pass an answer on
 	connCount         int
 	debugEnabled      bool          // the log takes debug lines
 	requestsWritten   *uint64       // counts requests written whole, probes aside
 	dialErrorLoggedAt time.Duration // when the operator was last told of one not opened
-	resets            resetStats
+	resetStats        resetStats
 
 	unsolicitedAt time.Duration // when bytes last came that nobody had asked for, 0: never
 
@@ -45,7 +45,7 @@
 // New returns a pool that knows no hosts. SetSink must follow before the first request.
 // whole counts the requests that have been written whole.
 func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, whole *uint64) *Pool {
-	p := &Pool{loop: l, limits: lim, log: log, requestsWritten: whole, hosts: map[string]*host{}, active: map[core.Ref]*conn{},
+	p := &Pool{loop: l, bounds: lim, log: log, requestsWritten: whole, hosts: map[string]*upstreamHost{}, active: map[core.Ref]*conn{},
 		relays: map[*conn]struct{}{}, debugEnabled: core.Debugs(log)}
 	l.After(sweepInterval, p.sweep)
 	return p
@@ -71,7 +71,7 @@
 			break
 		}
 		old := 0
-		for old < len(h.idle) && now-h.idle[old].idleSince+sweepInterval >= p.limits.UpstreamIdle {
+		for old < len(h.idle) && now-h.idle[old].idleSince+sweepInterval >= p.bounds.UpstreamIdle {
 			old++
 		}
 		for _, c := range append([]*conn(nil), h.idle[:old]...) {
@@ -87,7 +87,7 @@
 // conn is one connection.
 type conn struct {
 	pool            *Pool
-	host            *host
+	host            *upstreamHost
 	address         string // of the host, when it was opened
 	source          *loop.Source
 	parser          *http1.ResponseParser
@@ -184,7 +184,7 @@
 	c.close(cause)
 	if busy {
 		if now := c.pool.loop.Now(); o == admission.Broken && !c.isProbe && c.parser.Buffered() == 0 && now-c.writtenAt < resetWindow {
-			c.pool.resets.record(now, c.isReused, true)
+			c.pool.resetStats.record(now, c.isReused, true)
 		}
 		delete(c.pool.active, c.ref)
 		c.pool.reportOutcome(c.ref, c.isProbe, o, core.Answer{})
