--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -217,7 +217,7 @@
 	}
 	d.told = cfg
 	// Every refusal tells when to come back, also where clients are not known to heed it.
-	cfg.Settings.RetryAfter = true
+	cfg.Settings.CanSendRetryAfter = true
 	d.cfg = cfg
 	// A front's file that is refused ends the start before anything is opened.
 	var file openapi.File
@@ -254,7 +254,7 @@
 		d.core.UseCounter(d.counter)
 	}
 	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.hosts, cfg.Known, cfg.Seed)
-	d.watcher.Drain(cfg.Drained)
+	d.watcher.SetDrained(cfg.Drained)
 	d.server = downstream.New(l, cfg.Limits, d.log)
 	first := platform.New(d.core, cfg.Settings, d.known)
 	d.fronts = append(d.fronts, opening{cfg.Listen, first, func() {}, first.Follow})
@@ -272,7 +272,7 @@
 
 // secondFront is the front that a file describes, beside the platform's.
 func (d *Daemon) secondFront(file openapi.File, table *routes.Table, stamp openapi.Stamp) opening {
-	f := openapi.New(d.core, d.cfg.Settings, file, table, d.watcher.Known, d.log)
+	f := openapi.New(d.core, d.cfg.Settings, file, table, d.watcher.IsReady, d.log)
 	settings := &atomic.Pointer[admission.Settings]{} // read by the reloader's goroutine
 	start := d.cfg.Settings
 	settings.Store(&start)
@@ -358,7 +358,7 @@
 
 // noteStall tells the operator that the process stood still: stopped, or without a processor.
 func (d *Daemon) noteStall(now time.Duration) {
-	if late := d.loop.Late(); late > 0 && now-d.stallTold > stallEvery {
+	if late := d.loop.MaxReadDelay(); late > 0 && now-d.stallTold > stallEvery {
 		d.stallTold = now
 		d.log.Warn("process stood still", "at_most", late)
 	}
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -111,7 +111,7 @@
 		p.send(&pb.Envelope{Body: &pb.Envelope_Welcome{Welcome: &pb.Welcome{Protocol: phase.Protocol, Version: d.o.Version,
 			Name: d.cfg.Name, Listeners: d.server.ListenerAddresses()}}})
 	case phase.CopyAhead:
-		p.since, p.ids, p.unsettled = d.loop.Now(), d.module.Customers(0), d.module.Unsettled()
+		p.since, p.ids, p.unsettled = d.loop.Now(), d.module.Customers(0), d.module.ActiveCustomers()
 		p.copyAhead()
 	case phase.Freeze:
 		p.frozenAt = d.loop.Now()
@@ -246,7 +246,7 @@
 	}
 	open := d.core.Share(p)
 	list := d.watcher.Current()
-	m := &pb.Snapshot{Gateway: handover.Gateway(state), ClockOffset: int64(d.loop.Offset()), LastStream: open.LastID,
+	m := &pb.Snapshot{Gateway: handover.Gateway(state), ClockOffset: int64(d.loop.ClockOffset()), LastStream: open.LastID,
 		ListVersion: list.Version, Hosts: handover.Hosts(list), Listeners: d.server.ListenerAddresses()}
 	m.Streams, m.Keys = handover.Open(open)
 	p.send(&pb.Envelope{Body: &pb.Envelope_Snapshot{Snapshot: m}}, listeners...)
@@ -279,7 +279,7 @@
 		p.send(&pb.Envelope{Body: &pb.Envelope_CounterReleased{CounterReleased: &pb.CounterReleased{}}})
 	}
 	if d.counter != nil {
-		d.counter.Release(released)
+		d.counter.Drain(released)
 	}
 	d.o.Notify("MAINPID=" + strconv.Itoa(p.report.Pid))
 }
@@ -291,7 +291,7 @@
 	d.core.Unshare()
 	d.hosts.StopHandOver()
 	if d.counter != nil {
-		d.counter.Regain()
+		d.counter.Resume()
 	}
 	d.server.Resume()
 	shareMemory(d.cfg.Limits, 1)
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -183,7 +183,7 @@
 	case *pb.Envelope_Attempt:
 		if restored {
 			ev, at := handover.FromAttempt(m.Attempt)
-			d.module.PredecessorAttempt(now, ev)
+			d.module.PredecessorAttemptEnded(now, ev)
 			d.core.TheirsEnded(ev.ID, ev.Server, at-ev.Took, ev.Outcome)
 		}
 	case *pb.Envelope_Done:
@@ -236,7 +236,7 @@
 		if slices.Contains(s.welcome.GetListeners(), f.addr) {
 			continue
 		}
-		fd, err := loop.ListenBeside(f.addr)
+		fd, err := loop.ListenReusePort(f.addr)
 		if err != nil {
 			s.handle(phase.Unfit{Why: err.Error()})
 			return
@@ -256,7 +256,7 @@
 	if s.machine.State != phase.Building {
 		return
 	}
-	if s.d.watcher.Known() {
+	if s.d.watcher.IsReady() {
 		s.handle(phase.Ready{})
 		return
 	}
@@ -270,11 +270,11 @@
 	if len(names) != len(s.listeners) {
 		return fmt.Errorf("%d listeners were told of and %d have come", len(names), len(s.listeners))
 	}
-	d.loop.SetOffset(time.Duration(s.snapshot.GetClockOffset()))
-	if err := d.module.Resume(handover.FromGateway(s.snapshot.GetGateway())); err != nil {
+	d.loop.SetClockOffset(time.Duration(s.snapshot.GetClockOffset()))
+	if err := d.module.Restore(handover.FromGateway(s.snapshot.GetGateway())); err != nil {
 		return err
 	}
-	s.customers = uint64(d.module.Known())
+	s.customers = uint64(d.module.CustomerCount())
 	now := d.loop.Now()
 	open := handover.FromOpen(s.snapshot)
 	d.core.Adopt(now, open, d.module.Adopt(now))
@@ -310,7 +310,7 @@
 	d.openControlGroup()
 	d.await()
 	d.log.Info("taken over", "version", d.o.Version, "from", s.welcome.GetVersion(), "listen", d.cfg.Listen,
-		"customers", s.customers, "streams", d.core.Theirs(), "clock", d.loop.Offset())
+		"customers", s.customers, "streams", d.core.Theirs(), "clock", d.loop.ClockOffset())
 	d.o.Notify("READY=1", "MAINPID="+strconv.Itoa(os.Getpid()))
 }
 
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -133,18 +133,18 @@
 // seedOf keeps our random numbers apart from the decision module's, which has the same seed.
 const seedOf = 0x64697363
 
-// Known tells whether the cluster is known: discovery has told it, or it has turned us away or stays silent and
+// IsReady tells whether the cluster is known: discovery has told it, or it has turned us away or stays silent and
 // the list from before the start has to do. To wait for more would keep a whole fleet that is released at once
 // out of service for as long as discovery is overbooked by it.
-func (w *Watcher) Known() bool {
+func (w *Watcher) IsReady() bool {
 	return w.told || w.failed && len(w.known) > 0 || w.loop.Now()-w.from > w.lim.ReadyWait
 }
 
-// Told tells whether discovery itself has spoken since the start.
-func (w *Watcher) Told() bool { return w.told }
+// HasSynced tells whether discovery itself has spoken since the start.
+func (w *Watcher) HasSynced() bool { return w.told }
 
-// Listed tells how many hosts are in the list as it stands.
-func (w *Watcher) Listed() int { return len(w.known) }
+// HostCount tells how many hosts are in the list as it stands.
+func (w *Watcher) HostCount() int { return len(w.known) }
 
 // Current is the list as it stands, in order of name.
 func (w *Watcher) Current() List {
@@ -174,9 +174,9 @@
 	}
 }
 
-// Move follows discovery to another address. What the old one still tells counts until the new one has
+// SetAddr follows discovery to another address. What the old one still tells counts until the new one has
 // told the whole list: versions of one address say nothing of another's.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) SetAddr(addr string) {
 	if addr == w.addr {
 		return
 	}
@@ -231,7 +231,7 @@
 	w.next = nil
 	err := x.open()
 	switch {
-	case loop.OutOfResources(err): // of this machine: discovery was not asked, and is not spared by waiting
+	case loop.IsOutOfResources(err): // of this machine: discovery was not asked, and is not spared by waiting
 		w.tell(err.Error())
 		w.again = w.loop.After(w.lim.BackoffFirst, w.dial)
 		return
@@ -360,7 +360,7 @@
 // Ready goes on with the watch.
 func (x *watch) Ready(events uint32) {
 	if !x.up {
-		if err := loop.Dialled(x.src.FD()); err != nil {
+		if err := loop.DialResult(x.src.FD()); err != nil {
 			x.fail(err.Error())
 			return
 		}
@@ -374,7 +374,7 @@
 			return
 		}
 		if x.out = x.out[n:]; len(x.out) == 0 {
-			x.src.Want(loop.In | loop.Hangup)
+			x.src.SetEvents(loop.In | loop.Hangup)
 		}
 	}
 	if events&(loop.In|loop.Hangup) != 0 {
@@ -384,7 +384,7 @@
 
 // read takes what one read brings: whatever discovery sends, the other connections have their turns.
 func (x *watch) read() {
-	buf := x.w.loop.Buf()
+	buf := x.w.loop.ReadBuffer()
 	n, err := loop.Read(x.src.FD(), buf)
 	if errors.Is(err, loop.ErrAgain) {
 		return
@@ -408,7 +408,7 @@
 		x.fail(fmt.Sprintf("watch ended with status %d", resp.Status))
 		return
 	}
-	if status, body := x.parser.Partial(); status == 200 {
+	if status, body := x.parser.TakePartialBody(); status == 200 {
 		x.lines(body)
 	}
 }
--- a/internal/net/downstream/body.go
+++ b/internal/net/downstream/body.go
@@ -19,17 +19,17 @@
 
 // startUpload hands on an open request: its front may send it on before its body has come.
 func (c *Conn) startUpload(req *http1.Request) {
-	u := &bodyUpload{pipe: flow.New(c.server.bounds.Window(c.server.activeUploads), req.Length), rateSince: c.server.loop.Now()}
-	u.pipe.Put(req.Body) // it is held there alone
-	c.parser.Slim()
-	req.Body, req.Rest, c.upload = nil, u.pipe, u
+	u := &bodyUpload{pipe: flow.New(c.server.bounds.Window(c.server.activeUploads), req.ContentLength), rateSince: c.server.loop.Now()}
+	u.pipe.Append(req.Body) // it is held there alone
+	c.parser.ReleaseBodyBuffers()
+	req.Body, req.BodyPipe, c.upload = nil, u.pipe, u
 	c.server.activeUploads++
-	u.pipe.OnRoom = c.updateEvents
+	u.pipe.OnFreeSpace = c.updateEvents
 	c.listener.handler.HandleRequest(c, req)
 	if c.upload == nil {
 		return
 	}
-	if c.parser.WantsContinue() {
+	if c.parser.TakeExpectContinue() {
 		c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	c.pumpUpload()
@@ -37,22 +37,22 @@
 
 // pumpUpload passes on what has come of the body, as far as there is room.
 func (c *Conn) pumpUpload() {
-	if c.upload == nil || c.source.FD() < 0 || c.upload.pipe.Room() == 0 && c.parser.Buffered() > 0 {
+	if c.upload == nil || c.source.FD() < 0 || c.upload.pipe.FreeSpace() == 0 && c.parser.Buffered() > 0 {
 		return
 	}
 	u := c.upload
-	b, whole, err := c.parser.Pull()
+	b, whole, err := c.parser.NextBodyPart()
 	if err != nil {
 		c.abortUpload()
 		c.rejectUnparsable(err)
 		return
 	}
 	u.received += len(b)
-	u.pipe.Put(b)
-	c.parser.Slim()
+	u.pipe.Append(b)
+	c.parser.ReleaseBodyBuffers()
 	if whole {
 		c.clearUpload()
-		u.pipe.End(true)
+		u.pipe.CloseWrite(true)
 		if c.awaitingResponse {
 			c.listener.handler.HandleBodyComplete(c)
 		}
@@ -60,7 +60,7 @@
 }
 
 // isUploadBlocked tells whether more of a body has come than there is room for, so that its client's end is not read for long.
-func (c *Conn) isUploadBlocked() bool { return c.upload != nil && c.upload.pipe.Room() == 0 }
+func (c *Conn) isUploadBlocked() bool { return c.upload != nil && c.upload.pipe.FreeSpace() == 0 }
 
 // closeBlockedUpload: the client has ended its side behind more of a body than there is room for. It is gone from now on, not once all of
 // that has been read; what has come is read and dropped, since to close on it would reset the connection.
@@ -80,7 +80,7 @@
 func (c *Conn) abortUpload() {
 	u := c.upload
 	c.clearUpload()
-	u.pipe.End(false)
+	u.pipe.CloseWrite(false)
 	if c.awaitingResponse {
 		c.listener.handler.HandleClientGone(c)
 	}
@@ -89,7 +89,7 @@
 // isUploadTooSlow tells whether a body comes slower than it may. Time for which nobody takes it is not its client's.
 func (c *Conn) isUploadTooSlow(now time.Duration) bool {
 	u := c.upload
-	if u.pipe.Room() == 0 {
+	if u.pipe.FreeSpace() == 0 {
 		u.rateSince += sweepInterval
 		return false
 	}
@@ -109,7 +109,7 @@
 // gives is never cut, however long after the client's time: of a long answer the first bytes count.
 func (c *Conn) Relay(status int, h http1.Headers, rest *flow.Pipe, done func(whole bool)) {
 	if c.source.FD() < 0 || !c.awaitingResponse {
-		rest.Drop()
+		rest.CloseRead()
 		return
 	}
 	c.StreamID = 0
@@ -118,15 +118,15 @@
 	c.closeAfterResponse = c.closeAfterResponse || c.server.draining || c.upload != nil
 	d := &responseRelay{pipe: rest, done: done, progressAt: c.server.loop.Now()}
 	switch {
-	case rest.Length >= 0:
+	case rest.ContentLength >= 0:
 	case c.isHTTP10:
-		d.framing, c.closeAfterResponse = http1.ByClose, true
+		d.framing, c.closeAfterResponse = http1.FramedByClose, true
 	default:
-		d.framing = http1.ByChunks
+		d.framing = http1.FramedByChunks
 	}
 	c.discardUpload()
 	c.relay = d
-	b := http1.AppendOpenResponse(nil, status, h, rest.Length, d.framing, c.closeAfterResponse)
+	b := http1.AppendResponseHead(nil, status, h, rest.ContentLength, d.framing, c.closeAfterResponse)
 	if !c.write(b) {
 		return
 	}
@@ -143,9 +143,9 @@
 	if len(c.unsent) == 0 {
 		d.progressAt = c.server.loop.Now()
 	}
-	if b := d.pipe.Next(); len(b) > 0 && len(c.unsent) == 0 {
+	if b := d.pipe.Bytes(); len(b) > 0 && len(c.unsent) == 0 {
 		n := len(b)
-		if d.framing == http1.ByChunks {
+		if d.framing == http1.FramedByChunks {
 			if !c.write(http1.AppendChunk(make([]byte, 0, n+16), b)) {
 				return
 			}
@@ -156,15 +156,15 @@
 				return
 			}
 		}
-		d.pipe.Took(n)
+		d.pipe.Consume(n)
 		c.updateEvents()
 	}
 	switch {
-	case d.pipe.Broken() && len(d.pipe.Next()) == 0:
+	case d.pipe.IsTruncated() && len(d.pipe.Bytes()) == 0:
 		c.abortRelay()
-	case d.pipe.Whole() && c.relay == d:
+	case d.pipe.IsComplete() && c.relay == d:
 		c.relay = nil
-		if d.framing == http1.ByChunks && !c.write(http1.AppendLastChunk(nil)) {
+		if d.framing == http1.FramedByChunks && !c.write(http1.AppendLastChunk(nil)) {
 			return
 		}
 		c.awaitingResponse = false
@@ -175,8 +175,8 @@
 
 // abortRelay ends a connection whose answer can't be finished. One whose end would be taken for the answer's is reset.
 func (c *Conn) abortRelay() {
-	if c.relay.framing == http1.ByClose {
-		c.source.Reset()
+	if c.relay.framing == http1.FramedByClose {
+		c.source.ResetOnClose()
 	}
 	done := c.relay.done
 	c.close(closedRelayAborted)
@@ -186,7 +186,7 @@
 // discardUpload lets go of the rest of a request that has its answer. It is still read, and goes nowhere.
 func (c *Conn) discardUpload() {
 	if c.upload != nil {
-		c.upload.pipe.Drop()
+		c.upload.pipe.CloseRead()
 		c.clearUpload()
 		c.hasUnreadBody = true
 	}
--- a/internal/net/downstream/close.go
+++ b/internal/net/downstream/close.go
@@ -28,7 +28,7 @@
 }
 
 func (c *Conn) shutdownWrite() {
-	if err := loop.EndSending(c.source.FD()); err != nil {
+	if err := loop.CloseWrite(c.source.FD()); err != nil {
 		c.close(closeReason(err.Error()))
 		return
 	}
@@ -38,12 +38,12 @@
 // discardInput reads what still comes, one read a turn and not without end: a client that sends on and on must not
 // hold the loop.
 func (c *Conn) discardInput() {
-	n, err := loop.Read(c.source.FD(), c.server.loop.Buf())
+	n, err := loop.Read(c.source.FD(), c.server.loop.ReadBuffer())
 	c.discardedBytes += n
 	switch {
 	case errors.Is(err, loop.ErrAgain):
 	case errors.Is(err, io.EOF) && len(c.unsent) > 0:
-		c.source.Want(loop.Out) // the client has ended its side and still takes the answer
+		c.source.SetEvents(loop.Out) // the client has ended its side and still takes the answer
 	case err != nil, c.discardedBytes > c.server.bounds.LingerBytes && !c.hasUnreadBody, c.discardedBytes > c.server.bounds.BodyBytes+c.server.bounds.LingerBytes:
 		c.close(closedAfterLinger)
 	}
@@ -78,7 +78,7 @@
 	for _, ln := range s.listeners {
 		// Another process of this ingress may hold the socket, too. Closed here alone, it would stay in our epoll
 		// and be told of for as long as anybody waits to be accepted.
-		ln.source.Mute()
+		ln.source.Unwatch()
 		ln.source.Close()
 	}
 	s.closeIdle()
@@ -97,7 +97,7 @@
 		return
 	}
 	c.read()
-	if !c.awaitingResponse && !c.lingering && !c.parser.Begun() {
+	if !c.awaitingResponse && !c.lingering && !c.parser.HasMessageStarted() {
 		c.closeGracefully(why)
 	}
 }
@@ -112,7 +112,7 @@
 // AbortCloseDelimitedRelays ends the connections whose answers are still on their way and would pass for whole as the process ends.
 func (s *Server) AbortCloseDelimitedRelays() {
 	for c := range s.conns {
-		if c.relay != nil && c.relay.framing == http1.ByClose {
+		if c.relay != nil && c.relay.framing == http1.FramedByClose {
 			c.abortRelay()
 		}
 	}
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -69,8 +69,8 @@
 			c.rejectRequest(408, "request not whole in time")
 		case s.suspended: // not read, so what it has not shown is not its fault
 		case c.awaitingResponse || c.lingering:
-		case c.parser.Begun():
-			if now-c.phaseSince > s.bounds.RequestTime(c.parser.Body()) {
+		case c.parser.HasMessageStarted():
+			if now-c.phaseSince > s.bounds.RequestTime(c.parser.BodyBytesRead()) {
 				c.rejectRequest(408, "request not whole in time")
 			}
 		case !c.wasServed && now-c.openedAt > s.bounds.FirstTime, now-c.phaseSince > s.bounds.DownstreamIdle:
@@ -131,14 +131,14 @@
 func (c *Conn) setIdle() {
 	c.phaseSince = c.server.loop.Now()
 	c.lastReadAt = c.phaseSince
-	c.parser.Rest()
+	c.parser.ReleaseIdleBuffers()
 	c.addToEvictionList()
 }
 
 // addToEvictionList enters a connection on which nothing is owed among those that may have to make room.
 func (c *Conn) addToEvictionList() {
 	switch {
-	case c.parser.Begun():
+	case c.parser.HasMessageStarted():
 		c.server.receiving.push(c)
 	case c.wasServed:
 		c.server.idle.push(c)
@@ -157,9 +157,9 @@
 		return
 	}
 	switch {
-	case events&loop.Broken != 0: // whatever of it is not read yet
+	case events&loop.HangupOrError != 0: // whatever of it is not read yet
 		c.disconnect(closedReset)
-	case events&loop.Ended != 0 && c.isUploadBlocked():
+	case events&loop.ReadHangup != 0 && c.isUploadBlocked():
 		c.closeBlockedUpload()
 	case c.server.suspended && !c.awaitingResponse: // what has come is read by whoever goes on with the connection
 	case events&(loop.In|loop.Hangup) != 0:
@@ -171,7 +171,7 @@
 func (c *Conn) disconnect(why closeReason) {
 	busy := c.awaitingResponse
 	if c.upload != nil {
-		c.upload.pipe.End(false)
+		c.upload.pipe.CloseWrite(false)
 		c.clearUpload()
 	}
 	c.close(why)
@@ -189,7 +189,7 @@
 	c.source.Close()
 	c.discardUpload()
 	if c.relay != nil {
-		c.relay.pipe.Drop()
+		c.relay.pipe.CloseRead()
 		c.relay = nil
 	}
 	c.removeFromList()
--- a/internal/net/downstream/eviction.go
+++ b/internal/net/downstream/eviction.go
@@ -75,7 +75,7 @@
 		s.log.Warn("accepting paused", "connections", len(s.conns), "cause", why)
 	}
 	for _, ln := range s.listeners {
-		ln.source.Want(0)
+		ln.source.SetEvents(0)
 	}
 	s.loop.After(s.bounds.FreshTime, s.resumeAccepting)
 }
@@ -94,6 +94,6 @@
 func (s *Server) watchListeners() {
 	for _, ln := range s.listeners {
 		ln.armedAt = s.loop.Now()
-		ln.source.Want(loop.In)
+		ln.source.SetEvents(loop.In)
 	}
 }
--- a/internal/net/downstream/handover.go
+++ b/internal/net/downstream/handover.go
@@ -18,7 +18,7 @@
 	Unsent               []byte
 	PhaseSince, OpenedAt time.Duration
 	WasServed            bool
-	Parser               http1.State
+	Parser               http1.RequestParserState
 }
 
 // ListenerAddresses are those of the listeners, in the order in which they were opened.
@@ -45,7 +45,7 @@
 func (s *Server) Suspend() {
 	s.suspended = true
 	for _, ln := range s.listeners {
-		ln.source.Want(0)
+		ln.source.SetEvents(0)
 	}
 	for c := range s.conns {
 		c.updateEvents()
--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -24,7 +24,7 @@
 // backlogDelay is how long a connection that is accepted now may have waited.
 func (ln *clientListener) backlogDelay() time.Duration {
 	if ln.backlogSince == 0 {
-		return ln.server.loop.Late()
+		return ln.server.loop.MaxReadDelay()
 	}
 	return ln.server.loop.Now() - ln.backlogSince
 }
@@ -33,7 +33,7 @@
 func (ln *clientListener) noteBacklog() {
 	ln.armedAt = ln.server.loop.Now()
 	if ln.backlogSince == 0 {
-		ln.backlogSince = ln.armedAt - ln.server.loop.Late()
+		ln.backlogSince = ln.armedAt - ln.server.loop.MaxReadDelay()
 	}
 }
 
@@ -42,14 +42,14 @@
 
 // expireBacklog forgets that connections may wait where none was told of at once: those that come now have just come.
 func (ln *clientListener) expireBacklog() {
-	if !ln.server.acceptPaused && ln.server.loop.Now()-ln.armedAt > ln.server.loop.Late()+readinessDelay {
+	if !ln.server.acceptPaused && ln.server.loop.Now()-ln.armedAt > ln.server.loop.MaxReadDelay()+readinessDelay {
 		ln.backlogSince = 0
 	}
 }
 
 // Listen opens a listener for a front.
 func (s *Server) Listen(addr string, f Handler) error {
-	fd, err := loop.ListenBeside(addr)
+	fd, err := loop.ListenReusePort(addr)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 // After a time in which the process stood still all are taken: what they have sent meanwhile is as old as that.
 func (ln *clientListener) Ready(uint32) {
 	most := ln.server.bounds.Accepts
-	if ln.server.loop.Late() > 0 {
+	if ln.server.loop.MaxReadDelay() > 0 {
 		most = ln.server.bounds.Downstream
 	}
 	ln.accept(most)
@@ -95,7 +95,7 @@
 			ln.backlogSince = 0
 			return
 		}
-		if loop.OutOfDescriptors(err) && s.evictOne() { // they are this process's: one less helps
+		if loop.IsOutOfDescriptors(err) && s.evictOne() { // they are this process's: one less helps
 			continue
 		}
 		if err == nil {
--- a/internal/net/downstream/pipeline.go
+++ b/internal/net/downstream/pipeline.go
@@ -12,6 +12,6 @@
 	if c.overflowBytes == 0 && (!c.awaitingResponse || c.upload != nil || c.parser.Buffered()+more <= c.maxBufferedBytes()) {
 		return false
 	}
-	c.overflowBytes, c.closeAfterResponse = c.overflowBytes+c.parser.Dump()+more, true
+	c.overflowBytes, c.closeAfterResponse = c.overflowBytes+c.parser.DiscardBuffered()+more, true
 	return true
 }
--- a/internal/net/downstream/read.go
+++ b/internal/net/downstream/read.go
@@ -12,7 +12,7 @@
 
 // read takes what one read brings, and no more than there is room for: the others have their turns, and hundreds that
 // begin long bodies at one instant must not hold the first piece of each at its largest.
-func (c *Conn) read() { c.readDelayed(c.server.loop.Late()) }
+func (c *Conn) read() { c.readDelayed(c.server.loop.MaxReadDelay()) }
 
 // maxDelayedReads is how much more is read, in reads, of what had to wait: its client's end may be right behind, and it had its
 // time to go.
@@ -36,9 +36,9 @@
 func (c *Conn) readOnce(late time.Duration) (got, stands bool) {
 	most := c.server.bounds.HeadBytes
 	if c.upload != nil {
-		most = max(1, c.upload.pipe.Room())
+		most = max(1, c.upload.pipe.FreeSpace())
 	}
-	buf := c.server.loop.Buf()
+	buf := c.server.loop.ReadBuffer()
 	n, err := loop.Read(c.source.FD(), buf[:min(len(buf), most)])
 	if err != nil && !errors.Is(err, loop.ErrAgain) { // gone, whether with EOF or a reset
 		c.disconnect(closeReason(err.Error()))
@@ -48,14 +48,14 @@
 		return false, true
 	}
 	c.lastReadAt = c.server.loop.Now()
-	if !c.awaitingResponse && !c.parser.Begun() {
+	if !c.awaitingResponse && !c.parser.HasMessageStarted() {
 		c.phaseSince = c.lastReadAt
 	}
 	d := 0
 	if c.upload != nil {
-		d = c.parser.Direct(buf[:n])
+		d = c.parser.TakeRawBody(buf[:n])
 		c.upload.received += d
-		c.upload.pipe.Put(buf[:d])
+		c.upload.pipe.Append(buf[:d])
 	}
 	if d < n && !c.discardOverflow(n-d) {
 		c.parser.Feed(buf[d:n])
@@ -82,23 +82,23 @@
 			return
 		}
 		if req == nil {
-			if c.parser.WantsContinue() {
+			if c.parser.TakeExpectContinue() {
 				c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 			}
 			break
 		}
 		c.requestArrivedAt = c.arrivals.lastParsed(c.parser.Buffered(), c.Now())
-		c.awaitingResponse, c.isHead, c.isHTTP10 = true, req.Method == "HEAD", req.Old
+		c.awaitingResponse, c.isHead, c.isHTTP10 = true, req.Method == "HEAD", req.IsHTTP10
 		c.closeAfterResponse = c.closeAfterResponse || req.Close
 		c.traceRequestRead(req)
 		c.removeFromList()
-		if req.Open {
+		if req.IsStreamed {
 			c.startUpload(req)
 			continue
 		}
 		c.listener.handler.HandleRequest(c, req)
 	}
-	if !c.awaitingResponse && !c.lingering && c.source.FD() >= 0 && c.parser.Begun() {
+	if !c.awaitingResponse && !c.lingering && c.source.FD() >= 0 && c.parser.HasMessageStarted() {
 		c.server.receiving.push(c)
 	}
 	c.updateEvents()
@@ -126,17 +126,17 @@
 	case c.lingering:
 		events |= loop.In
 	case c.upload != nil:
-		if events = loop.Hangup; c.upload.pipe.Room() > 0 { // else only its end is of use now
+		if events = loop.Hangup; c.upload.pipe.FreeSpace() > 0 { // else only its end is of use now
 			events |= loop.In
 		}
 	case c.overflowBytes > c.server.bounds.LingerBytes:
 	case c.awaitingResponse, c.parser.Buffered() <= c.maxBufferedBytes():
 		events |= loop.In
 	}
-	if len(c.unsent) > 0 || c.relay != nil && len(c.relay.pipe.Next()) > 0 {
+	if len(c.unsent) > 0 || c.relay != nil && len(c.relay.pipe.Bytes()) > 0 {
 		events |= loop.Out
 	}
-	c.source.Want(events)
+	c.source.SetEvents(events)
 }
 
 func (c *Conn) rejectRequest(status int, what string) {
--- a/internal/net/downstream/trace.go
+++ b/internal/net/downstream/trace.go
@@ -28,7 +28,7 @@
 func (c *Conn) traceRequestRead(r *http1.Request) {
 	if c.server.debugEnabled {
 		c.server.log.Debug("request read", "connection", c.id, "request", r.Headers.Get("Request-Id"), "waited", c.RequestAge(),
-			"late", c.server.loop.Late())
+			"late", c.server.loop.MaxReadDelay())
 	}
 }
 
--- a/internal/net/upstream/body.go
+++ b/internal/net/upstream/body.go
@@ -13,7 +13,7 @@
 
 // Gone tells whether part of the body has been written and is held nowhere any more: such a message can't be sent
 // again.
-func (m *Message) Gone() bool { return m.BodyPipe != nil && m.BodyPipe.Taken() }
+func (m *Message) Gone() bool { return m.BodyPipe != nil && m.BodyPipe.HasConsumed() }
 
 // BodyPipe is what still comes of an answer.
 func BodyPipe(a core.Answer) *flow.Pipe {
@@ -45,24 +45,24 @@
 	if c.body == nil {
 		return false, nil
 	}
-	b := c.body.Next()
-	if c.body.Length >= 0 {
+	b := c.body.Bytes()
+	if c.body.ContentLength >= 0 {
 		n, err := loop.Write(c.source.FD(), b)
 		if n > 0 {
 			c.bodyProgressAt = c.pool.loop.Now()
 		}
-		c.body.Took(n)
-		if c.body.Whole() {
+		c.body.Consume(n)
+		if c.body.IsComplete() {
 			c.detachBody()
 		}
 		return false, err
 	}
-	if len(b) == 0 && !c.body.Whole() {
+	if len(b) == 0 && !c.body.IsComplete() {
 		return false, nil
 	}
 	c.unsent = http1.AppendChunk(make([]byte, 0, len(b)+24), b)
-	c.body.Took(len(b))
-	if c.body.Whole() {
+	c.body.Consume(len(b))
+	if c.body.IsComplete() {
 		c.unsent = http1.AppendLastChunk(c.unsent)
 		c.detachBody()
 	}
@@ -83,21 +83,21 @@
 	ref := c.ref
 	c.earlyRelayTimer.Stop()
 	delete(c.pool.active, ref)
-	pipe := flow.New(c.pool.bounds.Window(len(c.pool.relays)), resp.Length)
+	pipe := flow.New(c.pool.bounds.Window(len(c.pool.relays)), resp.ContentLength)
 	c.relay = &relay{pipe: pipe, progressAt: c.pool.loop.Now()}
 	c.closeAfterRelay = resp.Close || len(c.unsent) > 0 || c.body != nil
 	c.detachBody()
 	c.pool.relays[c] = struct{}{}
-	pipe.OnRoom = func() {
-		if pipe.Dropped() {
+	pipe.OnFreeSpace = func() {
+		if pipe.IsReadClosed() {
 			c.clearRelay()
 			c.close(errClientGone)
 			return
 		}
 		c.updateRelayEvents()
 	}
-	pipe.Put(resp.Body)
-	c.parser.Slim()
+	pipe.Append(resp.Body)
+	c.parser.ReleaseBodyBuffers()
 	c.pool.reportOutcome(ref, c.isProbe, responseOutcome(resp), core.Answer{ContentType: resp.Headers.Get("Content-Type"), Rest: pipe})
 	if c.relay != nil {
 		c.pumpRelay()
@@ -106,15 +106,15 @@
 
 // pumpRelay moves on what has come of the answer.
 func (c *conn) pumpRelay() {
-	b, whole, err := c.parser.Pull()
+	b, whole, err := c.parser.NextBodyPart()
 	if err != nil {
 		c.fail(err)
 		return
 	}
 	r := c.relay
 	r.progressAt = c.pool.loop.Now()
-	r.pipe.Put(b)
-	c.parser.Slim()
+	r.pipe.Append(b)
+	c.parser.ReleaseBodyBuffers()
 	if whole && c.relay == r {
 		c.finishRelay()
 		return
@@ -127,11 +127,11 @@
 	if c.relay == nil || c.source.FD() < 0 {
 		return
 	}
-	if c.relay.pipe.Room() == 0 {
-		c.source.Want(0) // a reset is told all the same
+	if c.relay.pipe.FreeSpace() == 0 {
+		c.source.SetEvents(0) // a reset is told all the same
 		return
 	}
-	c.source.Want(loop.In | loop.Hangup)
+	c.source.SetEvents(loop.In | loop.Hangup)
 }
 
 // finishRelay ends an answer that has come whole. The connection is free for the next request.
@@ -143,12 +143,12 @@
 	} else {
 		c.keepIdle()
 	}
-	pipe.End(true)
-	c.parser.Rest()
+	pipe.CloseWrite(true)
+	c.parser.ReleaseIdleBuffers()
 }
 
 func (c *conn) clearRelay() {
-	c.relay.pipe.OnRoom = nil
+	c.relay.pipe.OnFreeSpace = nil
 	c.relay, c.hasRequest = nil, false
 	delete(c.pool.relays, c)
 }
@@ -157,14 +157,14 @@
 // request's body.
 func (p *Pool) failStalled(now time.Duration) {
 	for c := range p.relays {
-		if c.relay.pipe.Room() == 0 {
+		if c.relay.pipe.FreeSpace() == 0 {
 			c.relay.progressAt = now
 		} else if now-c.relay.progressAt > p.bounds.FlowSilence {
 			c.fail(errNoProgress)
 		}
 	}
 	for _, c := range p.active {
-		if c.body == nil || len(c.unsent) == 0 && len(c.body.Next()) == 0 { // whole, or its client is waited for, which has a time of its own
+		if c.body == nil || len(c.unsent) == 0 && len(c.body.Bytes()) == 0 { // whole, or its client is waited for, which has a time of its own
 			c.bodyProgressAt = now
 		} else if c.isConnected && now-c.bodyProgressAt > p.bounds.FlowSilence {
 			c.fail(errNoProgress)
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -47,7 +47,7 @@
 		p.reportOutcome(ref, probe, admission.Unreachable, core.Answer{})
 		return
 	}
-	if h.leaving || p.loop.Stalled() { // it was chosen before that was told, or before the process stood still
+	if h.leaving || p.loop.HasStalled() { // it was chosen before that was told, or before the process stood still
 		p.reportOutcome(ref, probe, admission.NotSent, core.Answer{})
 		return
 	}
@@ -73,7 +73,7 @@
 // dialOutcome tells what a connection that could not be begun says. What this machine is short of says nothing of the host,
 // which must not be ejected for it.
 func dialOutcome(err error) admission.Outcome {
-	if loop.OutOfResources(err) {
+	if loop.IsOutOfResources(err) {
 		return admission.NotSent
 	}
 	return admission.Unreachable
@@ -84,7 +84,7 @@
 		return nil, errPoolExhausted
 	}
 	fd, err := loop.Dial(h.address)
-	if loop.OutOfDescriptors(err) && p.evictIdle() {
+	if loop.IsOutOfDescriptors(err) && p.evictIdle() {
 		fd, err = loop.Dial(h.address)
 	}
 	if err != nil {
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	p.connCount++
-	c.source.Last() // what it brings is no more than that a request can be written
+	c.source.ServeLast() // what it brings is no more than that a request can be written
 	c.dialTimer = p.loop.After(p.bounds.DialLimit, func() { c.fail(io.ErrNoProgress) })
 	return c, nil
 }
@@ -131,7 +131,7 @@
 	}
 	b := make([]byte, 0, 512+len(m.Body))
 	if m.BodyPipe != nil {
-		c.unsent = http1.AppendOpenRequest(b, m.Method, m.Target, "service.internal", headers, m.BodyPipe.Length)
+		c.unsent = http1.AppendRequestHead(b, m.Method, m.Target, "service.internal", headers, m.BodyPipe.ContentLength)
 	} else {
 		c.unsent = http1.AppendRequest(b, m.Method, m.Target, "service.internal", headers, m.Body)
 	}
@@ -139,10 +139,10 @@
 
 // handleConnected writes the request that waited for the connection, unless its time is up.
 func (c *conn) handleConnected() {
-	if c.pool.loop.Stalled() { // what has come of clients and lists meanwhile goes first, in the next turn
+	if c.pool.loop.HasStalled() { // what has come of clients and lists meanwhile goes first, in the next turn
 		return
 	}
-	err := loop.Dialled(c.source.FD())
+	err := loop.DialResult(c.source.FD())
 	if err == nil && c.pool.loop.Now() >= c.deadline {
 		err = errDeadlinePassed
 	}
@@ -151,7 +151,7 @@
 		return
 	}
 	c.isConnected = true
-	c.source.Usual()
+	c.source.ServeNormally()
 	c.dialTimer.Stop()
 	c.encodeRequest()
 	c.flush()
@@ -168,7 +168,7 @@
 			return
 		}
 		if len(c.unsent) > 0 {
-			c.source.Want(loop.In | loop.Out | loop.Hangup)
+			c.source.SetEvents(loop.In | loop.Out | loop.Hangup)
 			return
 		}
 		again, err := c.writeBody()
@@ -182,10 +182,10 @@
 	}
 	if c.body != nil { // more comes, or the host has yet to take some
 		events := uint32(loop.In | loop.Hangup)
-		if len(c.body.Next()) > 0 {
+		if len(c.body.Bytes()) > 0 {
 			events |= loop.Out
 		}
-		c.source.Want(events)
+		c.source.SetEvents(events)
 		return
 	}
 	if c.unsent != nil && !c.isProbe {
@@ -193,5 +193,5 @@
 		c.writtenAt = c.pool.loop.Now()
 	}
 	c.unsent = nil
-	c.source.Want(loop.In | loop.Hangup)
+	c.source.SetEvents(loop.In | loop.Hangup)
 }
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -28,7 +28,7 @@
 const unsolicitedMemory = time.Minute
 
 // resetStats is what was seen of resets.
-type resetStats struct{ reusedConns, newConns estimate.Fading }
+type resetStats struct{ reusedConns, newConns estimate.FadingAverage }
 
 // record takes in the end of a request: whether it was reset before a byte of its answer came, soon after it was
 // written.
@@ -37,7 +37,7 @@
 	if kept {
 		of = &r.reusedConns
 	}
-	of.Tell(now, resetRateMemory, resetRateWeight, reset)
+	of.LearnBool(now, resetRateMemory, resetRateWeight, reset)
 }
 
 // isReuseRisky tells whether kept connections lose so many more than new ones that a handshake costs less.
@@ -95,7 +95,7 @@
 // isQuiet tells whether nothing has come of a connection at rest, not even its end, which may wait to be read in
 // this turn: a request written now would be lost, or what belongs to no request be taken for its answer.
 func (c *conn) isQuiet() bool {
-	_, err := loop.Read(c.source.FD(), c.pool.loop.Buf()[:1])
+	_, err := loop.Read(c.source.FD(), c.pool.loop.ReadBuffer()[:1])
 	if err == nil {
 		c.pool.unsolicitedAt = c.pool.loop.Now()
 	}
