--- a/internal/net/downstream/arrivals.go
+++ b/internal/net/downstream/arrivals.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// arrivals remembers when the bytes of a connection came that are held and not parsed yet: the time that a client gives
-// for an answer runs from its request's last byte, also where that waits behind the request before.
+// arrivals records when the buffered, unparsed input of a connection arrived. The timeout that a client states for its
+// request runs from the request's last byte, even if the request waits behind the one before it.
 type arrivals struct {
-	total int64 // bytes that have come and were held
+	total int64 // bytes buffered since the connection was opened
 	marks []arrival
 }
 
-// arrival tells that all bytes up to a place had come at a time.
+// arrival records that all bytes before an offset had arrived at a time.
 type arrival struct {
 	upTo int64
 	at   time.Duration
 }
 
-// arrivalMergeWindow: bytes that come closer together than this are remembered together, with the time of the first.
+// arrivalMergeWindow is the time within which received bytes share one record, with the time of the first.
 const arrivalMergeWindow = 5 * time.Millisecond
 
-// maxArrivals bounds what is remembered of a client that writes in many pieces. Beyond it the oldest go: what came with
-// them counts as come with the next.
+// maxArrivals is the number of records that are kept for a client that writes in many small parts. Beyond it the oldest
+// is dropped, and its bytes count as having arrived with the next.
 const maxArrivals = 64
 
-// add notes bytes that are held from now on.
+// add records bytes that have been added to the buffer.
 func (a *arrivals) add(bytes int, at time.Duration) {
 	if bytes <= 0 {
 		return
@@ -38,10 +38,10 @@
 	a.marks = append(a.marks, arrival{a.total, at})
 }
 
-// lastParsed tells when the last byte came lastParsed what is parsed already, where so many bytes are held that are not; now, where
-// nothing is known lastParsed it.
-func (a *arrivals) lastParsed(held int, now time.Duration) time.Duration {
-	parsed := a.total - int64(held)
+// lastParsed returns when the last parsed byte arrived, given the number of buffered bytes that are not parsed yet. It
+// returns now if there is no record of that byte, and drops the records before it.
+func (a *arrivals) lastParsed(unparsed int, now time.Duration) time.Duration {
+	parsed := a.total - int64(unparsed)
 	done := 0
 	for done < len(a.marks) && a.marks[done].upTo < parsed {
 		done++
--- a/internal/net/downstream/body.go
+++ b/internal/net/downstream/body.go
@@ -8,19 +8,18 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Bodies that are passed on while they come: requests' upwards, answers' downwards.
-
-// bodyUpload is a request's body of which more comes.
+// bodyUpload is the body of an open request, which is forwarded while it is being received.
 type bodyUpload struct {
 	pipe      *flow.Pipe
-	rateSince time.Duration // from when its rate counts; moved on while there is no room for more
-	received  int
+	rateSince time.Duration // start of the rate measurement; postponed while the pipe is full
+	received  int           // bytes
 }
 
-// startUpload hands on an open request: its front may send it on before its body has come.
+// startUpload passes an open request to the handler, which may send it upstream before its body is complete.
 func (c *Conn) startUpload(req *http1.Request) {
-	u := &bodyUpload{pipe: flow.New(c.server.bounds.Window(c.server.activeUploads), req.ContentLength), rateSince: c.server.loop.Now()}
-	u.pipe.Append(req.Body) // it is held there alone
+	u := &bodyUpload{pipe: flow.New(c.server.bounds.Window(c.server.activeUploads), req.ContentLength),
+		rateSince: c.server.loop.Now()}
+	u.pipe.Append(req.Body) // the parser's copy is released
 	c.parser.ReleaseBodyBuffers()
 	req.Body, req.BodyPipe, c.upload = nil, u.pipe, u
 	c.server.activeUploads++
@@ -35,7 +34,7 @@
 	c.pumpUpload()
 }
 
-// pumpUpload passes on what has come of the body, as far as there is room.
+// pumpUpload moves received bytes of the body into the pipe, as far as there is space.
 func (c *Conn) pumpUpload() {
 	if c.upload == nil || c.source.FD() < 0 || c.upload.pipe.FreeSpace() == 0 && c.parser.Buffered() > 0 {
 		return
@@ -59,24 +58,27 @@
 	}
 }
 
-// isUploadBlocked tells whether more of a body has come than there is room for, so that its client's end is not read for long.
+// isUploadBlocked reports whether the pipe of the request body is full. Nothing is read then, not even the end of the
+// client's side.
 func (c *Conn) isUploadBlocked() bool { return c.upload != nil && c.upload.pipe.FreeSpace() == 0 }
 
-// closeBlockedUpload: the client has ended its side behind more of a body than there is room for. It is gone from now on, not once all of
-// that has been read; what has come is read and dropped, since to close on it would reset the connection.
+// closeBlockedUpload handles a client that has closed its side while the pipe of its request body is full. The client
+// counts as gone at once, not only after its remaining input has been read. That input is read and discarded, because
+// closing the socket with unread input would reset the connection.
 func (c *Conn) closeBlockedUpload() {
 	c.abortUpload()
 	c.awaitingResponse, c.hasUnreadBody = false, true
 	c.closeGracefully(closedUploadBlocked)
 }
 
-// clearUpload: the present request has no more to come.
+// clearUpload ends the forwarding of the current request's body.
 func (c *Conn) clearUpload() {
 	c.upload = nil
 	c.server.activeUploads--
 }
 
-// abortUpload ends an upload that will never be whole, and its stream with it.
+// abortUpload ends an upload that will never be complete. The handler learns that the client is gone, which ends the
+// stream.
 func (c *Conn) abortUpload() {
 	u := c.upload
 	c.clearUpload()
@@ -86,7 +88,8 @@
 	}
 }
 
-// isUploadTooSlow tells whether a body comes slower than it may. Time for which nobody takes it is not its client's.
+// isUploadTooSlow reports whether a body arrives slower than the minimum rate. It must be called once per sweep, since
+// it takes the sweep interval out of the measurement if the pipe is full: a slow reader is not the client's fault.
 func (c *Conn) isUploadTooSlow(now time.Duration) bool {
 	u := c.upload
 	if u.pipe.FreeSpace() == 0 {
@@ -96,29 +99,31 @@
 	return now-u.rateSince > c.server.bounds.RequestTime(u.received)
 }
 
-// responseRelay is an answer's body of which more comes.
+// responseRelay is a response body that is forwarded while it is being received from the upstream host.
 type responseRelay struct {
 	pipe       *flow.Pipe
 	framing    http1.Framing
 	done       func(whole bool)
-	progressAt time.Duration // when the client last took some, or there was none to take
+	progressAt time.Duration // last time that the client took bytes, or that none were available
 }
 
-// Relay answers the present request with a body that is still coming. Should it break off, so does the connection:
-// the client can tell that it has not all of it. done is told which it was, unless the client leaves. What its host still
-// gives is never cut, however long after the client's time: of a long answer the first bytes count.
-func (c *Conn) Relay(status int, h http1.Headers, rest *flow.Pipe, done func(whole bool)) {
+// Relay answers the current request with a body that is still being received. If the body ends early, the connection is
+// closed so that the client can tell that the response is incomplete. done is called once with whether the body is
+// complete, unless the client disconnects. A relay is not cut off at the client's deadline, however late it ends,
+// because a long response counts as answered with its first bytes. If the connection is closed or the request already
+// has a response, Relay only drops the body.
+func (c *Conn) Relay(status int, h http1.Headers, body *flow.Pipe, done func(whole bool)) {
 	if c.source.FD() < 0 || !c.awaitingResponse {
-		rest.CloseRead()
+		body.CloseRead()
 		return
 	}
 	c.StreamID = 0
 	h = c.withTraceParent(h)
 	c.wasServed = true
 	c.closeAfterResponse = c.closeAfterResponse || c.server.draining || c.upload != nil
-	d := &responseRelay{pipe: rest, done: done, progressAt: c.server.loop.Now()}
+	d := &responseRelay{pipe: body, done: done, progressAt: c.server.loop.Now()}
 	switch {
-	case rest.ContentLength >= 0:
+	case body.ContentLength >= 0:
 	case c.isHTTP10:
 		d.framing, c.closeAfterResponse = http1.FramedByClose, true
 	default:
@@ -126,15 +131,16 @@
 	}
 	c.discardUpload()
 	c.relay = d
-	b := http1.AppendResponseHead(nil, status, h, rest.ContentLength, d.framing, c.closeAfterResponse)
+	b := http1.AppendResponseHead(nil, status, h, body.ContentLength, d.framing, c.closeAfterResponse)
 	if !c.write(b) {
 		return
 	}
-	rest.OnData = c.pumpRelay
+	body.OnData = c.pumpRelay
 	c.pumpRelay()
 }
 
-// pumpRelay writes what has come, as long as the client takes it.
+// pumpRelay writes received bytes of the response body, as long as the client takes them, and finishes the response at
+// the end of the body.
 func (c *Conn) pumpRelay() {
 	d := c.relay
 	if d == nil || c.source.FD() < 0 {
@@ -173,7 +179,8 @@
 	}
 }
 
-// abortRelay ends a connection whose answer can't be finished. One whose end would be taken for the answer's is reset.
+// abortRelay closes a connection whose response can't be completed. If the end of the connection would mark the end of
+// the response, the connection is reset instead.
 func (c *Conn) abortRelay() {
 	if c.relay.framing == http1.FramedByClose {
 		c.source.ResetOnClose()
@@ -183,7 +190,7 @@
 	done(false)
 }
 
-// discardUpload lets go of the rest of a request that has its answer. It is still read, and goes nowhere.
+// discardUpload drops the rest of the body of a request that is already answered. It is still read, but not forwarded.
 func (c *Conn) discardUpload() {
 	if c.upload != nil {
 		c.upload.pipe.CloseRead()
@@ -192,8 +199,8 @@
 	}
 }
 
-// lingerTimeout is for how long bytes are still read after our end. A client that writes all of a long body before it
-// reads would else never see the answer that came meanwhile.
+// lingerTimeout returns how long a lingering connection still reads input. It is longer after an unread body: a client
+// that writes all of a long body before it reads would otherwise never see the response sent meanwhile.
 func (c *Conn) lingerTimeout() time.Duration {
 	if c.hasUnreadBody {
 		return c.server.bounds.FlowSilence
@@ -201,7 +208,7 @@
 	return c.server.bounds.Linger
 }
 
-// ActiveRelays tells how many answers are on their way and not wholly written.
+// ActiveRelays returns the number of relayed responses that are not completely written.
 func (s *Server) ActiveRelays() (n int) {
 	for c := range s.conns {
 		if c.relay != nil {
--- a/internal/net/downstream/close.go
+++ b/internal/net/downstream/close.go
@@ -10,16 +10,14 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// The end of a connection, and of all of them.
-
-// closeGracefully ends our side once all is written. The other side is read on for a while: to close on bytes
-// not read would reset the connection and could destroy the answer on its way.
-func (c *Conn) closeGracefully(why closeReason) {
+// closeGracefully closes the sending side once all output is written, and then lingers: input is read for a while,
+// because closing a socket with unread input resets the connection and can destroy the response in flight.
+func (c *Conn) closeGracefully(reason closeReason) {
 	if c.lingering || c.source.FD() < 0 {
 		return
 	}
 	c.removeFromList()
-	c.traceClosing(why)
+	c.traceClosing(reason)
 	c.lingering, c.phaseSince = true, c.server.loop.Now()
 	if len(c.unsent) == 0 {
 		c.shutdownWrite()
@@ -27,6 +25,7 @@
 	c.updateEvents()
 }
 
+// shutdownWrite closes the sending side. The connection may be evicted from then on.
 func (c *Conn) shutdownWrite() {
 	if err := loop.CloseWrite(c.source.FD()); err != nil {
 		c.close(closeReason(err.Error()))
@@ -35,33 +34,36 @@
 	c.server.lingering.push(c)
 }
 
-// discardInput reads what still comes, one read a turn and not without end: a client that sends on and on must not
-// hold the loop.
+// discardInput reads and discards input of a lingering connection. It does one read per turn and closes the connection
+// after a maximum of bytes, so that a client that never stops sending can't block the loop.
 func (c *Conn) discardInput() {
 	n, err := loop.Read(c.source.FD(), c.server.loop.ReadBuffer())
 	c.discardedBytes += n
 	switch {
 	case errors.Is(err, loop.ErrAgain):
 	case errors.Is(err, io.EOF) && len(c.unsent) > 0:
-		c.source.SetEvents(loop.Out) // the client has ended its side and still takes the answer
-	case err != nil, c.discardedBytes > c.server.bounds.LingerBytes && !c.hasUnreadBody, c.discardedBytes > c.server.bounds.BodyBytes+c.server.bounds.LingerBytes:
+		c.source.SetEvents(loop.Out) // the client has closed its sending side and still reads the response
+	case err != nil, c.discardedBytes > c.server.bounds.LingerBytes && !c.hasUnreadBody,
+		c.discardedBytes > c.server.bounds.BodyBytes+c.server.bounds.LingerBytes:
 		c.close(closedAfterLinger)
 	}
 }
 
-// maxCloseRetries and closeRetryInterval are how often and how far apart the last connections are tried to be accepted while the
-// machine is short of something. Closed before, the listener would reset them with the requests that they have sent.
+// Closing the listeners is retried while the machine lacks a resource to accept the last connections. Closing at once
+// would reset those connections together with the requests that they have sent.
 const (
 	maxCloseRetries    = 25
 	closeRetryInterval = 20 * time.Millisecond
 )
 
-// CloseListeners takes what still waits to be accepted, then takes no more, and ends idle connections. See Closed.
+// CloseListeners accepts the connections that still wait, closes the listeners, and closes idle connections. It may
+// take several turns to finish; [Server.ListenersClosed] reports when it has.
 func (s *Server) CloseListeners() { s.closeListeners(maxCloseRetries) }
 
-// ListenersClosed tells whether no new connections are taken any more.
+// ListenersClosed reports whether the listeners are closed, so that no new connections are accepted.
 func (s *Server) ListenersClosed() bool { return s.listenersClosed }
 
+// closeListeners tries to close the listeners, and reschedules itself up to retries times while an accept fails.
 func (s *Server) closeListeners(retries int) {
 	if s.listenersClosed {
 		return
@@ -69,47 +71,48 @@
 	s.acceptPending()
 	s.closeIdle()
 	s.acceptFailed = false
-	s.acceptPending() // where all places were taken, those that end here make room for whoever still waits
+	s.acceptPending() // at the connection limit, the connections closed above make room for waiting ones
 	if s.acceptFailed && retries > 0 {
 		s.loop.After(closeRetryInterval, func() { s.closeListeners(retries - 1) })
 		return
 	}
 	s.listenersClosed = true
 	for _, ln := range s.listeners {
-		// Another process of this ingress may hold the socket, too. Closed here alone, it would stay in our epoll
-		// and be told of for as long as anybody waits to be accepted.
+		// Another process of this ingress may hold the socket, too. If it were only closed here, it would stay in the
+		// epoll set of this process and be reported as ready for as long as any connection waits.
 		ln.source.Unwatch()
 		ln.source.Close()
 	}
 	s.closeIdle()
 }
 
-// closeIdle ends the connections on which nothing has come.
+// closeIdle closes the connections that are idle and have no unread request.
 func (s *Server) closeIdle() {
 	for c := range s.conns {
 		c.closeIfIdle(closedDraining)
 	}
 }
 
-// closeIfIdle ends a connection between requests, unless one has come that was not read yet: that is answered.
-func (c *Conn) closeIfIdle(why closeReason) {
+// closeIfIdle closes a connection between requests. It reads first: a request that has arrived is answered instead.
+func (c *Conn) closeIfIdle(reason closeReason) {
 	if c.awaitingResponse || c.lingering {
 		return
 	}
 	c.read()
 	if !c.awaitingResponse && !c.lingering && !c.parser.HasMessageStarted() {
-		c.closeGracefully(why)
+		c.closeGracefully(reason)
 	}
 }
 
-// acceptPending takes all that waits and there is room for. Where one can't be accepted, it sets shut.
+// acceptPending accepts all waiting connections, up to the limit. It sets acceptFailed if one can't be accepted.
 func (s *Server) acceptPending() {
 	for _, ln := range s.listeners {
 		ln.accept(math.MaxInt)
 	}
 }
 
-// AbortCloseDelimitedRelays ends the connections whose answers are still on their way and would pass for whole as the process ends.
+// AbortCloseDelimitedRelays resets the connections whose relayed response is delimited by the end of the connection.
+// It is for the exit of the process, which would otherwise make those incomplete responses look complete.
 func (s *Server) AbortCloseDelimitedRelays() {
 	for c := range s.conns {
 		if c.relay != nil && c.relay.framing == http1.FramedByClose {
--- a/internal/net/downstream/conn_list.go
+++ b/internal/net/downstream/conn_list.go
@@ -1,11 +1,12 @@
 package downstream
 
-// connList is a doubly linked connList of connections.
+// connList is a doubly linked list of connections. A connection is in one list at most.
 type connList struct {
 	first, last *Conn
 	length      int
 }
 
+// push appends a connection, after removing it from the list that it is in.
 func (l *connList) push(c *Conn) {
 	c.removeFromList()
 	c.prev, c.next, c.list = l.last, nil, l
@@ -18,7 +19,7 @@
 	l.last = c
 }
 
-// removeFromList takes a connection out of its list, if it is in one.
+// removeFromList removes the connection from its list, if it is in one.
 func (c *Conn) removeFromList() {
 	l := c.list
 	if l == nil {
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -1,4 +1,8 @@
-// Package downstream holds the client side: listeners and client connections.
+// Package downstream accepts client connections, reads HTTP requests from them, and writes the responses.
+//
+// A [Server] owns all listeners and connections. Everything runs on the goroutine of one event loop; no method may be
+// called from another goroutine, and none blocks. The package never decides what a request gets: it passes each
+// request to the [Handler] of its listener.
 package downstream
 
 import (
@@ -11,48 +15,61 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Handler is given the requests of its listener. It answers each with one [Conn.Reply], at once or later.
+// Handler receives the requests of a listener. It answers each one with a single [Conn.Reply] or [Conn.Relay], at once
+// or later.
 type Handler interface {
+	// HandleRequest is called with each request. The body of an open request (r.Open) is still being received.
 	HandleRequest(c *Conn, r *http1.Request)
-	HandleClientGone(c *Conn)   // the client of an unanswered request has gone
-	HandleBodyComplete(c *Conn) // the body of a request that was open has come to its end
+
+	// HandleClientGone is called when the client of an unanswered request has disconnected.
+	HandleClientGone(c *Conn)
+
+	// HandleBodyComplete is called when the body of an open, unanswered request has been received completely.
+	HandleBodyComplete(c *Conn)
+
+	// HandleMalformed is called for input that is not a valid request, or a request that arrives too slowly. status
+	// and what are the status code and the text of the error response, which the handler sends with [Conn.Reply].
 	HandleMalformed(c *Conn, status int, what string)
 }
 
-// Server holds all client connections, of every front, and their common bound.
+// Server holds the client connections of all listeners and enforces their common limit.
 type Server struct {
-	loop             *loop.Loop
-	bounds           limits.Limits
-	log              *slog.Logger
-	listeners        []*clientListener
-	conns            map[*Conn]struct{}
-	newConns         connList // connections that have shown nothing yet, the oldest first
-	receiving        connList // those of which part of a request has come, longest without more of it first
-	idle             connList // connections between requests, longest idle first
-	lingering        connList // those whose answer is all that is left, the oldest first
-	acceptPaused     bool     // listeners are not watched: no descriptors
-	acceptFailed     bool     // a connection could not be accepted since this was last set to false
-	draining         bool
-	listenersClosed  bool          // no new connections
-	pauseLoggedAt    time.Duration // when the operator was last told of a pause
-	suspended        bool          // nobody is read: another process is about to take over
-	transfer         func(ConnState, int)
-	debugEnabled     bool   // the log takes debug lines
-	acceptedTotal    uint64 // connections, from the start
-	activeUploads    int    // requests whose bodies are passed on while they come
-	predecessorConns int    // connections that another process holds
+	loop      *loop.Loop
+	bounds    limits.Limits
+	log       *slog.Logger
+	listeners []*clientListener
+	conns     map[*Conn]struct{}
+
+	// The connections that may be evicted, by state, each list with the first candidate in front.
+	newConns  connList // not served yet, and no request begun; oldest first
+	receiving connList // part of a request received; longest without input first
+	idle      connList // served, and no request begun; longest idle first
+	lingering connList // last response written and sending side closed; oldest first
+
+	acceptPaused     bool                 // the listeners are not polled, for want of connections or descriptors
+	acceptFailed     bool                 // an accept has failed since this was last cleared
+	draining         bool                 // every response closes its connection
+	listenersClosed  bool                 // no new connections are accepted
+	pauseLoggedAt    time.Duration        // last time that an accept pause was logged
+	suspended        bool                 // no new input is read while another process takes over
+	transfer         func(ConnState, int) // receives connections that are handed over; nil: no handover
+	debugEnabled     bool                 // the log accepts debug records
+	acceptedTotal    uint64               // connections accepted or adopted since the start
+	activeUploads    int                  // request bodies that are forwarded while they are received
+	predecessorConns int                  // client connections that the predecessor process still holds
 }
 
-// New returns a server without listeners.
-func New(l *loop.Loop, lim limits.Limits, log *slog.Logger) *Server {
-	s := &Server{loop: l, bounds: lim, log: log, conns: map[*Conn]struct{}{}, debugEnabled: core.Debugs(log)}
+// New returns a server without listeners that runs on the given loop.
+func New(l *loop.Loop, bounds limits.Limits, log *slog.Logger) *Server {
+	s := &Server{loop: l, bounds: bounds, log: log, conns: map[*Conn]struct{}{}, debugEnabled: core.Debugs(log)}
 	l.After(sweepInterval, s.sweep)
 	return s
 }
 
-// sweepInterval is how often connections are checked for having been silent too long.
+// sweepInterval is the time between two checks of all connections for timeouts.
 const sweepInterval = 250 * time.Millisecond
 
+// sweep enforces the timeouts of all connections: linger, relay progress, request arrival and idle.
 func (s *Server) sweep() {
 	s.loop.After(sweepInterval, s.sweep)
 	now := s.loop.Now()
@@ -67,7 +84,7 @@
 		case c.upload != nil && c.isUploadTooSlow(now):
 			c.abortUpload()
 			c.rejectRequest(408, "request not whole in time")
-		case s.suspended: // not read, so what it has not shown is not its fault
+		case s.suspended: // nothing is read, so missing input is not the client's fault
 		case c.awaitingResponse || c.lingering:
 		case c.parser.HasMessageStarted():
 			if now-c.phaseSince > s.bounds.RequestTime(c.parser.BodyBytesRead()) {
@@ -79,55 +96,66 @@
 	}
 }
 
-// Drain begins the end: every answer from now on closes its connection.
+// Drain starts the shutdown: every response from now on closes its connection.
 func (s *Server) Drain() { s.draining = true }
 
-// IsAccepting tells whether new connections are taken and read.
+// IsAccepting reports whether new connections are accepted and read.
 func (s *Server) IsAccepting() bool {
 	return len(s.listeners) > 0 && !s.suspended && !s.listenersClosed && !s.draining
 }
 
-// OpenConnections tells how many are open.
+// OpenConnections returns the number of client connections that this process holds.
 func (s *Server) OpenConnections() int { return len(s.conns) }
 
-// Conn is one client connection. It carries one request at a time; what a client sends ahead waits.
+// Conn is one client connection. It carries one request at a time; pipelined requests wait in the buffer.
 type Conn struct {
-	StreamID    uint64 // the front's mark of the request that is being answered
-	TraceParent string // traceparent that its answer gives back, empty for none
-
-	server             *Server
-	id                 uint64 // in the log
-	source             *loop.Source
-	listener           *clientListener
-	parser             *http1.RequestParser
-	unsent             []byte        // not written yet
-	phaseSince         time.Duration // idle, or ending; of a request that has begun, its first byte
-	openedAt           time.Duration
-	lastReadAt         time.Duration  // bytes last came
-	arrivals           arrivals       // of what is not parsed yet
-	requestArrivedAt   time.Duration  // when the last byte of the present request did
-	wasServed          bool           // it has had an answer that is no complaint
-	discardedBytes     int            // bytes read after the end
-	overflowBytes      int            // of what was sent too far ahead
-	hasUnreadBody      bool           // of a request that was answered before it had come
-	awaitingResponse   bool           // a request awaits its answer
-	isHead             bool           // its method is HEAD
-	isHTTP10           bool           // it is of HTTP/1.0
-	upload             *bodyUpload    // of the present request's body, nil if it is whole
-	relay              *responseRelay // of the present answer's, nil if it was given whole
-	closeAfterResponse bool           // close after the present answer
-	lingering          bool           // our side has ended; what still comes is read and dropped
-	parsing            bool
-	prev, next         *Conn // in the list that it is in
-	list               *connList
+	// StreamID identifies the stream of the current request. The handler sets it; the response clears it.
+	StreamID uint64
+
+	// TraceParent is the traceparent header of the next response; empty: none. The handler sets it.
+	TraceParent string
+
+	server   *Server
+	id       uint64 // number of the connection in the log
+	source   *loop.Source
+	listener *clientListener
+	parser   *http1.RequestParser
+	unsent   []byte // response bytes that the socket has not taken yet
+
+	// phaseSince is when the current phase began: idle, receiving a request (its first byte), or lingering.
+	phaseSince time.Duration
+	openedAt   time.Duration
+	lastReadAt time.Duration // last time that bytes were received, or that the connection became idle
+
+	arrivals         arrivals      // arrival times of the buffered input
+	requestArrivedAt time.Duration // arrival of the last parsed byte of the current request
+
+	wasServed      bool // has had a response other than a client error; 429 counts as served
+	discardedBytes int  // input bytes discarded while lingering
+	overflowBytes  int  // pipelined bytes discarded because they exceeded the buffer
+	hasUnreadBody  bool // a request was answered or given up before its body had been received
+
+	awaitingResponse   bool           // a request is unanswered or its response is being relayed
+	isHead             bool           // the method of the current request is HEAD
+	isHTTP10           bool           // the current request is of HTTP/1.0
+	upload             *bodyUpload    // the request body that is still being received; nil: none
+	relay              *responseRelay // the response body that is still being relayed; nil: none
+	closeAfterResponse bool           // the current response is the last one
+	lingering          bool           // no more is sent after unsent; input is read and discarded
+	parsing            bool           // parseRequests is on the call stack
+
+	prev, next *Conn     // neighbors in list
+	list       *connList // the list that holds the connection; nil: none
 }
 
-// Now is the time of this turn.
+// Now returns the time of the current loop turn.
 func (c *Conn) Now() time.Duration { return c.server.loop.Now() }
 
-// RequestAge is how long ago the present request came: its client's patience began then.
+// RequestAge returns the time since the current request arrived, which is when the timeout that its client states
+// began to run.
 func (c *Conn) RequestAge() time.Duration { return max(0, c.Now()-c.requestArrivedAt) }
 
+// setIdle starts the idle phase after a response.
 func (c *Conn) setIdle() {
 	c.phaseSince = c.server.loop.Now()
 	c.lastReadAt = c.phaseSince
@@ -135,7 +163,7 @@
 	c.addToEvictionList()
 }
 
-// addToEvictionList enters a connection on which nothing is owed among those that may have to make room.
+// addToEvictionList makes a connection without an unanswered request eligible for eviction.
 func (c *Conn) addToEvictionList() {
 	switch {
 	case c.parser.HasMessageStarted():
@@ -147,7 +175,7 @@
 	}
 }
 
-// Ready reads, writes, or learns that the client has gone.
+// Ready handles the connection's readiness events: it writes, reads, or detects that the client has disconnected.
 func (c *Conn) Ready(events uint32) {
 	if events&loop.Out != 0 && !c.flush() {
 		return
@@ -157,35 +185,37 @@
 		return
 	}
 	switch {
-	case events&loop.HangupOrError != 0: // whatever of it is not read yet
+	case events&loop.HangupOrError != 0: // unread input is of no use any more
 		c.disconnect(closedReset)
 	case events&loop.ReadHangup != 0 && c.isUploadBlocked():
 		c.closeBlockedUpload()
-	case c.server.suspended && !c.awaitingResponse: // what has come is read by whoever goes on with the connection
+	case c.server.suspended && !c.awaitingResponse: // the process that continues the connection reads its input
 	case events&(loop.In|loop.Hangup) != 0:
 		c.read()
 	}
 }
 
-// disconnect: the client has closed, or the connection is of no more use to it.
-func (c *Conn) disconnect(why closeReason) {
-	busy := c.awaitingResponse
+// disconnect closes a connection that is gone or useless to its client, and notifies the handler if a request is
+// unanswered.
+func (c *Conn) disconnect(reason closeReason) {
+	awaitingResponse := c.awaitingResponse
 	if c.upload != nil {
 		c.upload.pipe.CloseWrite(false)
 		c.clearUpload()
 	}
-	c.close(why)
-	if busy {
+	c.close(reason)
+	if awaitingResponse {
 		c.awaitingResponse = false
 		c.listener.handler.HandleClientGone(c)
 	}
 }
 
-func (c *Conn) close(why closeReason) {
+// close closes the socket at once and releases what the connection holds. It does not notify the handler.
+func (c *Conn) close(reason closeReason) {
 	if c.source.FD() < 0 {
 		return
 	}
-	c.traceClosed(why)
+	c.traceClosed(reason)
 	c.source.Close()
 	c.discardUpload()
 	if c.relay != nil {
--- a/internal/net/downstream/eviction.go
+++ b/internal/net/downstream/eviction.go
@@ -6,12 +6,13 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Room for those who connect where all places are taken.
-
-// evictOne closes the connection that is worth least: one that is ending, or else the one that has been silent
-// longest. So who writes slowly is kept as long as it writes. One that has shown nothing yet counts as silent for
-// longer than it was; one that had an answer goes only while most places are held by such as had one: the usual
-// clients' are new ones soon, and the next wait until there is room. A server may close any of these.
+// evictOne closes one connection to make room for a new one, and reports whether it did. HTTP allows a server to close
+// any connection that is eligible.
+//
+// It chooses a lingering connection if there is one, else the one that has been silent for the longest weighted time,
+// so that a slow client keeps its connection as long as it writes. Idle connections that have been served are eligible
+// only while unserved ones hold at most half of the places. Otherwise a flood of new connections would push out regular
+// clients, whose connections would then soon be new ones, too; further clients wait in the kernel's queue instead.
 func (s *Server) evictOne() bool {
 	if c := s.lingering.first; c != nil {
 		c.close(closedEvicted)
@@ -22,7 +23,7 @@
 		if c == nil {
 			return false
 		}
-		c.read() // what it has asked meanwhile is answered
+		c.read() // a request that has arrived meanwhile is answered
 		if c.source.FD() < 0 {
 			return true
 		}
@@ -35,36 +36,36 @@
 	return false
 }
 
-// maxEvictionTries is how many connections may turn out not to be silent before the search for one gives up.
+// maxEvictionTries is the number of candidates that may turn out not to be silent before evictOne gives up.
 const maxEvictionTries = 8
 
-// evictionCandidate is the connection to be closed first among those on which nothing is owed, nil: none may be.
+// evictionCandidate returns the connection without an unanswered request that has the longest weighted silence, or nil
+// if none has been silent for the minimum time.
 func (s *Server) evictionCandidate() *Conn {
 	now := s.loop.Now()
-	var c *Conn
+	var candidate *Conn
 	longest := time.Duration(0)
-	look := func(l *connList, weight time.Duration) {
-		if f := l.first; f != nil && now-f.lastReadAt > s.bounds.FreshTime && weight*(now-f.lastReadAt) > longest {
-			c, longest = f, weight*(now-f.lastReadAt)
+	consider := func(l *connList, weight time.Duration) {
+		if c := l.first; c != nil && now-c.lastReadAt > s.bounds.FreshTime && weight*(now-c.lastReadAt) > longest {
+			candidate, longest = c, weight*(now-c.lastReadAt)
 		}
 	}
-	look(&s.newConns, newConnWeight)
-	look(&s.receiving, 1)
+	consider(&s.newConns, newConnWeight)
+	consider(&s.receiving, 1)
 	if s.newConns.length+s.receiving.length <= s.bounds.Downstream/2 {
-		look(&s.idle, servedConnWeight)
+		consider(&s.idle, servedConnWeight)
 	}
-	return c
+	return candidate
 }
 
-// How many times its silence counts of a connection that has never shown a byte, and of one that owes us nothing;
-// of one that is writing a request it counts once.
+// Weights of a connection's silence. The silence of a connection that is sending a request has the weight 1.
 const (
-	newConnWeight    = 4
-	servedConnWeight = 2
+	newConnWeight    = 4 // not served yet, and no request begun
+	servedConnWeight = 2 // served, and no request begun
 )
 
-// pauseAccepting leaves new connections in the kernel's queue until one of the present ones closes.
-func (s *Server) pauseAccepting(why string) {
+// pauseAccepting leaves new connections in the kernel's queue until a connection closes, FreshTime at most.
+func (s *Server) pauseAccepting(cause string) {
 	s.acceptFailed = true
 	if s.acceptPaused {
 		return
@@ -72,7 +73,7 @@
 	s.acceptPaused = true
 	if now := s.loop.Now(); s.pauseLoggedAt == 0 || now-s.pauseLoggedAt > pauseLogInterval {
 		s.pauseLoggedAt = now
-		s.log.Warn("accepting paused", "connections", len(s.conns), "cause", why)
+		s.log.Warn("accepting paused", "connections", len(s.conns), "cause", cause)
 	}
 	for _, ln := range s.listeners {
 		ln.source.SetEvents(0)
@@ -80,9 +81,10 @@
 	s.loop.After(s.bounds.FreshTime, s.resumeAccepting)
 }
 
-// pauseLogInterval: a flood that pauses accepting again and again is told of so often.
+// pauseLogInterval is the minimum time between two log records of a pause, since a flood causes many pauses.
 const pauseLogInterval = 10 * time.Second
 
+// resumeAccepting ends a pause, unless the server is suspended or its listeners are closed.
 func (s *Server) resumeAccepting() {
 	if s.acceptPaused && !s.listenersClosed && !s.suspended {
 		s.acceptPaused = false
@@ -90,7 +92,7 @@
 	}
 }
 
-// watchListeners watches the listeners again.
+// watchListeners polls the listeners again.
 func (s *Server) watchListeners() {
 	for _, ln := range s.listeners {
 		ln.armedAt = s.loop.Now()
--- a/internal/net/downstream/handover.go
+++ b/internal/net/downstream/handover.go
@@ -9,19 +9,19 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// What a server does while another process takes its place: it reads no more, and then either reads on or
-// sends its connections after the listeners, each as soon as nothing is owed on it.
+// A server whose process is being replaced is suspended: it reads no new input. It then either resumes, or hands its
+// connections over to the other process, each as soon as it has no unanswered request. The listeners go first.
 
-// ConnState is a connection on which nothing is owed but, maybe, the rest of an answer.
+// ConnState is the state of a connection without an unanswered request, for another process to continue it.
 type ConnState struct {
-	ListenerAddress      string // its address
-	Unsent               []byte
-	PhaseSince, OpenedAt time.Duration
-	WasServed            bool
-	Parser               http1.RequestParserState
+	ListenerAddress      string                   // identifies the listener that accepted the connection
+	Unsent               []byte                   // rest of the last response, not written yet
+	PhaseSince, OpenedAt time.Duration            // loop times of the phase's begin and of the accept
+	WasServed            bool                     // has had a response other than a client error; 429 counts as served
+	Parser               http1.RequestParserState // buffered input and parser state
 }
 
-// ListenerAddresses are those of the listeners, in the order in which they were opened.
+// ListenerAddresses returns the addresses of the listeners, in the order in which they were opened.
 func (s *Server) ListenerAddresses() (addrs []string) {
 	for _, ln := range s.listeners {
 		addrs = append(addrs, ln.address)
@@ -29,7 +29,8 @@
 	return addrs
 }
 
-// DuplicateListeners duplicates the listening sockets, in the order of Addresses.
+// DuplicateListeners returns duplicates of the listening sockets, in the order of ListenerAddresses. On an error it
+// returns none, and duplicates made so far stay open.
 func (s *Server) DuplicateListeners() (fds []int, err error) {
 	for _, ln := range s.listeners {
 		fd, err := loop.Duplicate(ln.source.FD())
@@ -41,7 +42,7 @@
 	return fds, nil
 }
 
-// Suspend accepts and reads no more. What waits stays in the kernel.
+// Suspend stops accepting connections and reading new requests. Waiting connections and input stay in the kernel.
 func (s *Server) Suspend() {
 	s.suspended = true
 	for _, ln := range s.listeners {
@@ -52,7 +53,7 @@
 	}
 }
 
-// Resume accepts and reads again.
+// Resume ends Suspend and HandOver: connections are accepted and requests read again.
 func (s *Server) Resume() {
 	s.suspended, s.transfer, s.acceptPaused = false, nil, false
 	s.watchListeners()
@@ -61,6 +62,7 @@
 	}
 }
 
+// connsByAge returns all connections, the oldest first.
 func (s *Server) connsByAge() []*Conn {
 	conns := make([]*Conn, 0, len(s.conns))
 	for c := range s.conns {
@@ -70,10 +72,10 @@
 	return conns
 }
 
-// HandOver gives every connection away, at once or when its answer is written; the descriptor is the
-// receiver's. It is for a server that is held, and stays so.
-func (s *Server) HandOver(to func(st ConnState, fd int)) {
-	s.transfer = to
+// HandOver passes every connection to receive: at once, or when its current request is answered. receive becomes the
+// owner of the descriptor. The server must be suspended and stay so.
+func (s *Server) HandOver(receive func(st ConnState, fd int)) {
+	s.transfer = receive
 	for _, c := range s.connsByAge() {
 		if !c.awaitingResponse {
 			c.handOver()
@@ -81,7 +83,7 @@
 	}
 }
 
-// BusyConnections tells on how many connections an answer is owed.
+// BusyConnections returns the number of connections with an unanswered request.
 func (s *Server) BusyConnections() (n int) {
 	for c := range s.conns {
 		if c.awaitingResponse {
@@ -91,41 +93,44 @@
 	return n
 }
 
-// SetPredecessorConnections tells how many connections another process of this ingress holds: they count in the common bound.
+// SetPredecessorConnections sets how many client connections the predecessor process still holds. They count toward
+// the common connection limit.
 func (s *Server) SetPredecessorConnections(n int) { s.predecessorConns = max(0, n) }
 
-// handOver hands a connection over, unless it is one that ends here.
+// handOver passes the connection to the other process, unless it is closing anyway.
 func (c *Conn) handOver() {
 	if c.lingering || c.closeAfterResponse || c.source.FD() < 0 {
 		return
 	}
-	st := ConnState{ListenerAddress: c.listener.address, Unsent: c.unsent, PhaseSince: c.phaseSince, OpenedAt: c.openedAt, WasServed: c.wasServed, Parser: c.parser.State()}
+	st := ConnState{ListenerAddress: c.listener.address, Unsent: c.unsent, PhaseSince: c.phaseSince,
+		OpenedAt: c.openedAt, WasServed: c.wasServed, Parser: c.parser.State()}
 	fd := c.source.Detach()
 	c.removeFromList()
 	delete(c.server.conns, c)
 	c.server.transfer(st, fd)
 }
 
-// AdoptListener opens a listener for a front on a socket that listens already.
-func (s *Server) AdoptListener(fd int, addr string, f Handler) error {
-	return s.addListener(fd, addr, f)
+// AdoptListener adds a listener on a socket that is already listening. It fails if the socket can't be polled.
+func (s *Server) AdoptListener(fd int, address string, h Handler) error {
+	return s.addListener(fd, address, h)
 }
 
-// AdoptConnection goes on with a connection of another process. One whose listener is not there any more is closed, as
-// between requests any may be.
+// AdoptConnection continues a connection of the predecessor process. If its listener no longer exists, the connection
+// is closed without an error, as a server may do between requests. It closes the descriptor and fails if the parser
+// state is invalid or the socket can't be polled.
 func (s *Server) AdoptConnection(st ConnState, fd int) error {
 	i := slices.IndexFunc(s.listeners, func(ln *clientListener) bool { return ln.address == st.ListenerAddress })
 	if i < 0 {
 		loop.CloseFD(fd)
 		return nil
 	}
-	p, err := http1.RestoreRequestParser(st.Parser, s.bounds.HeadBytes, s.bounds.BodyBytes, s.bounds.KeepBytes)
+	parser, err := http1.RestoreRequestParser(st.Parser, s.bounds.HeadBytes, s.bounds.BodyBytes, s.bounds.KeepBytes)
 	if err != nil {
 		loop.CloseFD(fd)
 		return err
 	}
-	c := &Conn{server: s, listener: s.listeners[i], parser: p, unsent: st.Unsent, phaseSince: st.PhaseSince, openedAt: st.OpenedAt, lastReadAt: s.loop.Now(),
-		wasServed: st.WasServed}
+	c := &Conn{server: s, listener: s.listeners[i], parser: parser, unsent: st.Unsent, phaseSince: st.PhaseSince,
+		openedAt: st.OpenedAt, lastReadAt: s.loop.Now(), wasServed: st.WasServed}
 	if err := s.register(c, fd); err != nil {
 		return err
 	}
--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -9,19 +9,21 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Listeners: connections are accepted, and it is known how long they may have waited for that.
-
+// clientListener is a listening socket. It tracks how long connections may have waited to be accepted, since a client's
+// timeout runs during that wait, too.
 type clientListener struct {
 	server  *Server
 	source  *loop.Source
-	address string
+	address string // as configured, host:port
 	handler Handler
-	// backlogSince is since when connections may wait to be accepted, 0: none does that is known of. At armedAt that was last
-	// to be learnt from the system, which tells it at once.
+
+	// backlogSince is the time since which connections may be waiting to be accepted; 0: none is known to wait.
+	// armedAt is when polling last resumed, or accept last left connections waiting. epoll reports connections that
+	// wait at that time at once.
 	backlogSince, armedAt time.Duration
 }
 
-// backlogDelay is how long a connection that is accepted now may have waited.
+// backlogDelay returns how long a connection that is accepted now may have waited.
 func (ln *clientListener) backlogDelay() time.Duration {
 	if ln.backlogSince == 0 {
 		return ln.server.loop.MaxReadDelay()
@@ -29,7 +31,7 @@
 	return ln.server.loop.Now() - ln.backlogSince
 }
 
-// noteBacklog notes that connections may be left waiting.
+// noteBacklog records that connections may still be waiting.
 func (ln *clientListener) noteBacklog() {
 	ln.armedAt = ln.server.loop.Now()
 	if ln.backlogSince == 0 {
@@ -37,57 +39,60 @@
 	}
 }
 
-// readinessDelay is the time after which the system has surely told of connections that were left waiting.
+// readinessDelay is the time within which epoll has certainly reported connections that were left waiting.
 const readinessDelay = 10 * time.Millisecond
 
-// expireBacklog forgets that connections may wait where none was told of at once: those that come now have just come.
+// expireBacklog clears the backlog if epoll did not report one at once: connections that are accepted now are new.
 func (ln *clientListener) expireBacklog() {
 	if !ln.server.acceptPaused && ln.server.loop.Now()-ln.armedAt > ln.server.loop.MaxReadDelay()+readinessDelay {
 		ln.backlogSince = 0
 	}
 }
 
-// Listen opens a listener for a front.
-func (s *Server) Listen(addr string, f Handler) error {
-	fd, err := loop.ListenReusePort(addr)
+// Listen opens a listener on an address of the form host:port. It fails if the address can't be bound.
+func (s *Server) Listen(address string, h Handler) error {
+	fd, err := loop.ListenReusePort(address)
 	if err != nil {
 		return err
 	}
-	return s.addListener(fd, addr, f)
+	return s.addListener(fd, address, h)
 }
 
-func (s *Server) addListener(fd int, addr string, f Handler) (err error) {
-	ln := &clientListener{server: s, address: addr, handler: f}
+// addListener polls a listening socket, unless the server is suspended.
+func (s *Server) addListener(fd int, address string, h Handler) (err error) {
+	ln := &clientListener{server: s, address: address, handler: h}
 	events := uint32(loop.In)
 	if s.suspended {
 		events = 0
 	}
 	if ln.source, err = s.loop.Watch(fd, events, ln); err != nil {
-		return fmt.Errorf("listen on %s: %w", addr, err)
+		return fmt.Errorf("listen on %s: %w", address, err)
 	}
 	s.listeners = append(s.listeners, ln)
 	return nil
 }
 
-// Ready accepts what waits, up to a bound: those who connect by the hundred must not keep the others' answers.
-// After a time in which the process stood still all are taken: what they have sent meanwhile is as old as that.
+// Ready accepts waiting connections, up to a maximum per turn so that a burst of connections does not delay responses.
+// After a stall of the process it accepts all of them, because only this turn knows how old their input may be.
 func (ln *clientListener) Ready(uint32) {
-	most := ln.server.bounds.Accepts
+	limit := ln.server.bounds.Accepts
 	if ln.server.loop.MaxReadDelay() > 0 {
-		most = ln.server.bounds.Downstream
+		limit = ln.server.bounds.Downstream
 	}
-	ln.accept(most)
+	ln.accept(limit)
 }
 
-func (ln *clientListener) accept(most int) {
-	s := ln.server
+// accept accepts up to limit connections. At the connection limit it evicts one for each, and if it can't, it pauses
+// accepting.
+func (ln *clientListener) accept(limit int) {
+	server := ln.server
 	ln.expireBacklog()
-	for range most {
-		if s.suspended {
+	for range limit {
+		if server.suspended {
 			break
 		}
-		if len(s.conns)+s.predecessorConns >= s.bounds.Downstream && !s.evictOne() {
-			s.pauseAccepting("all connections busy")
+		if len(server.conns)+server.predecessorConns >= server.bounds.Downstream && !server.evictOne() {
+			server.pauseAccepting("connection limit reached and no connection can be evicted")
 			break
 		}
 		fd, err := loop.Accept(ln.source.FD())
@@ -95,36 +100,37 @@
 			ln.backlogSince = 0
 			return
 		}
-		if loop.IsOutOfDescriptors(err) && s.evictOne() { // they are this process's: one less helps
+		if loop.IsOutOfDescriptors(err) && server.evictOne() { // closing a connection frees a descriptor of this process
 			continue
 		}
 		if err == nil {
 			err = ln.openConn(fd)
 		}
-		if err != nil { // the machine is short of something: the connections that there are stay
-			s.pauseAccepting(err.Error())
+		if err != nil { // the machine lacks another resource, which evicting connections does not free
+			server.pauseAccepting(err.Error())
 			break
 		}
 	}
 	ln.noteBacklog()
 }
 
-// openConn begins a connection. One that may have waited is read at once: in the next turn nothing would tell how old is what
-// it has sent.
+// openConn registers an accepted connection. One that may have waited is read at once, because the next turn can't tell
+// how old its input is.
 func (ln *clientListener) openConn(fd int) error {
 	s, now := ln.server, ln.server.loop.Now()
-	c := &Conn{server: s, listener: ln, parser: http1.NewRequestParser(s.bounds.HeadBytes, s.bounds.BodyBytes, s.bounds.KeepBytes), phaseSince: now,
-		openedAt: now, lastReadAt: now}
+	c := &Conn{server: s, listener: ln,
+		parser:     http1.NewRequestParser(s.bounds.HeadBytes, s.bounds.BodyBytes, s.bounds.KeepBytes),
+		phaseSince: now, openedAt: now, lastReadAt: now}
 	if err := s.register(c, fd); err != nil {
 		return err
 	}
-	if late := ln.backlogDelay(); late > 0 {
-		c.readDelayed(late)
+	if delay := ln.backlogDelay(); delay > 0 {
+		c.readDelayed(delay)
 	}
 	return nil
 }
 
-// register watches a connection's descriptor, or closes it.
+// register polls a connection's socket and adds the connection to the server. It closes the descriptor on failure.
 func (s *Server) register(c *Conn, fd int) (err error) {
 	if c.source, err = s.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
 		loop.CloseFD(fd)
--- a/internal/net/downstream/pipeline.go
+++ b/internal/net/downstream/pipeline.go
@@ -1,13 +1,12 @@
 package downstream
 
-// What a client sends ahead of its answers.
-
-// maxBufferedBytes bounds what is held of what a client sends ahead of its answers.
+// maxBufferedBytes is the maximum size of the pipelined input that is buffered for a connection.
 func (c *Conn) maxBufferedBytes() int { return c.server.bounds.HeadBytes + c.server.bounds.KeepBytes }
 
-// discardOverflow tells whether a client has sent more ahead of its answers than is held for it. All that is dropped, with what
-// comes, and its connection ends with the present answer; it is read on all the same, within bounds, since its end may
-// lie behind, and a request whose client has gone is not to be sent on.
+// discardOverflow handles a client that pipelines more than the buffer holds, of which more bytes have just been read.
+// It reports whether that is so: then all pipelined input is discarded, from now on, and the current response closes
+// the connection. Reading goes on up to a maximum, because the end of the client's side may follow, and a request whose
+// client has disconnected must not be sent upstream.
 func (c *Conn) discardOverflow(more int) bool {
 	if c.overflowBytes == 0 && (!c.awaitingResponse || c.upload != nil || c.parser.Buffered()+more <= c.maxBufferedBytes()) {
 		return false
--- a/internal/net/downstream/read.go
+++ b/internal/net/downstream/read.go
@@ -8,39 +8,39 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// What comes of a client: bytes, requests, what can't be read as one.
-
-// read takes what one read brings, and no more than there is room for: the others have their turns, and hundreds that
-// begin long bodies at one instant must not hold the first piece of each at its largest.
+// read reads the socket and processes the input. One call normally reads once, and no more than the buffer has space
+// for: other connections must get their turn, and hundreds of long bodies that begin at the same time must not each
+// buffer a first part of maximum size.
 func (c *Conn) read() { c.readDelayed(c.server.loop.MaxReadDelay()) }
 
-// maxDelayedReads is how much more is read, in reads, of what had to wait: its client's end may be right behind, and it had its
-// time to go.
+// maxDelayedReads is the number of additional reads of input that had to wait. The client had time to disconnect, and
+// the end of its side may be right behind the input.
 const maxDelayedReads = 8
 
-// readDelayed reads what may have come so much earlier. Of that nothing is begun before it is known whether its client is still
-// there.
-func (c *Conn) readDelayed(late time.Duration) {
-	got, stands := c.readOnce(late)
-	for n := 0; stands && got && late > 0 && c.upload == nil && n < maxDelayedReads; n++ {
-		got, stands = c.readOnce(late)
+// readDelayed reads input that may have arrived up to delay earlier. If delay is positive, no request is started before
+// further reads have shown whether the client is still connected.
+func (c *Conn) readDelayed(delay time.Duration) {
+	received, open := c.readOnce(delay)
+	for n := 0; open && received && delay > 0 && c.upload == nil && n < maxDelayedReads; n++ {
+		received, open = c.readOnce(delay)
 	}
-	if !stands {
+	if !open {
 		return
 	}
 	c.pumpUpload()
 	c.parseRequests()
 }
 
-// readOnce reads once. It tells whether anything came, and whether the connection still stands.
-func (c *Conn) readOnce(late time.Duration) (got, stands bool) {
-	most := c.server.bounds.HeadBytes
+// readOnce reads the socket once and buffers the input, which may have arrived up to delay earlier. It reports whether
+// bytes were received, and whether the connection is still open.
+func (c *Conn) readOnce(delay time.Duration) (received, open bool) {
+	limit := c.server.bounds.HeadBytes
 	if c.upload != nil {
-		most = max(1, c.upload.pipe.FreeSpace())
+		limit = max(1, c.upload.pipe.FreeSpace())
 	}
 	buf := c.server.loop.ReadBuffer()
-	n, err := loop.Read(c.source.FD(), buf[:min(len(buf), most)])
-	if err != nil && !errors.Is(err, loop.ErrAgain) { // gone, whether with EOF or a reset
+	n, err := loop.Read(c.source.FD(), buf[:min(len(buf), limit)])
+	if err != nil && !errors.Is(err, loop.ErrAgain) { // end of stream or reset
 		c.disconnect(closeReason(err.Error()))
 		return false, false
 	}
@@ -59,12 +59,12 @@
 	}
 	if d < n && !c.discardOverflow(n-d) {
 		c.parser.Feed(buf[d:n])
-		c.arrivals.add(n-d, c.lastReadAt-late)
+		c.arrivals.add(n-d, c.lastReadAt-delay)
 	}
 	return true, true
 }
 
-// parseRequests hands on the next request, and the next again if it was answered at once.
+// parseRequests passes the next buffered request to the handler, and further ones as long as each is answered at once.
 func (c *Conn) parseRequests() {
 	if c.parsing {
 		return
@@ -72,7 +72,7 @@
 	c.parsing = true
 	defer func() { c.parsing = false }()
 	for n := 0; !c.awaitingResponse && !c.lingering && !c.server.suspended && c.source.FD() >= 0; n++ {
-		if n == c.server.bounds.Ahead { // the others have their turn
+		if n == c.server.bounds.Ahead { // other connections get their turn first
 			c.server.loop.After(time.Microsecond, c.parseRequests)
 			break
 		}
@@ -104,7 +104,7 @@
 	c.updateEvents()
 }
 
-// rejectUnparsable answers what could not be read.
+// rejectUnparsable answers input that is not a valid request, with the parser's status or 400.
 func (c *Conn) rejectUnparsable(err error) {
 	status := 400
 	var pe *http1.ParseError
@@ -114,7 +114,8 @@
 	c.rejectRequest(status, err.Error())
 }
 
-// updateEvents watches for what can be used: no more input than is bounded, output only while some waits.
+// updateEvents polls for the events that the connection can use: input while the buffer has space for it, output while
+// bytes wait to be written.
 func (c *Conn) updateEvents() {
 	if c.source.FD() < 0 {
 		return
@@ -126,7 +127,7 @@
 	case c.lingering:
 		events |= loop.In
 	case c.upload != nil:
-		if events = loop.Hangup; c.upload.pipe.FreeSpace() > 0 { // else only its end is of use now
+		if events = loop.Hangup; c.upload.pipe.FreeSpace() > 0 { // a full pipe only needs the end of the connection
 			events |= loop.In
 		}
 	case c.overflowBytes > c.server.bounds.LingerBytes:
@@ -139,9 +140,10 @@
 	c.source.SetEvents(events)
 }
 
+// rejectRequest has the handler answer an invalid or too slow request. The response closes the connection.
 func (c *Conn) rejectRequest(status int, what string) {
 	c.awaitingResponse, c.closeAfterResponse = true, true
-	c.hasUnreadBody = c.hasUnreadBody || status == 413 // its client may write all of it before it reads
+	c.hasUnreadBody = c.hasUnreadBody || status == 413 // the client may write the whole body before it reads
 	c.removeFromList()
 	c.listener.handler.HandleMalformed(c, status, what)
 }
--- a/internal/net/downstream/response.go
+++ b/internal/net/downstream/response.go
@@ -5,16 +5,15 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// What goes to a client.
-
-// Reply answers the present request.
+// Reply answers the current request with a complete response. It does nothing if the connection is closed or the
+// request already has a response.
 func (c *Conn) Reply(status int, h http1.Headers, body []byte) {
 	if c.source.FD() < 0 || !c.awaitingResponse {
 		return
 	}
 	c.awaitingResponse, c.StreamID = false, 0
 	h = c.withTraceParent(h)
-	if c.upload != nil { // what still comes of the request is read and dropped
+	if c.upload != nil { // the rest of the request is read and discarded
 		c.closeAfterResponse = true
 		c.discardUpload()
 	}
@@ -26,7 +25,7 @@
 	c.finishResponse()
 }
 
-// withTraceParent adds the trace that the answer gives back.
+// withTraceParent returns the headers with the traceparent header of the response added, if there is one.
 func (c *Conn) withTraceParent(h http1.Headers) http1.Headers {
 	if c.TraceParent != "" {
 		h = append(h[:len(h):len(h)], http1.Header{Name: "traceparent", Value: c.TraceParent})
@@ -35,7 +34,8 @@
 	return h
 }
 
-// finishResponse goes on after an answer, as far as it is ours to write.
+// finishResponse continues after a response has been written or buffered: it closes the connection, hands it over, or
+// processes the next request.
 func (c *Conn) finishResponse() {
 	if c.closeAfterResponse {
 		c.closeGracefully(closedAfterResponse)
@@ -52,7 +52,7 @@
 	}
 }
 
-// write sends what there is room for and keeps the rest. It tells whether the connection still stands.
+// write sends what the socket takes and buffers the rest. It reports whether the connection is still open.
 func (c *Conn) write(b []byte) bool {
 	if len(c.unsent) > 0 {
 		c.unsent = append(c.unsent, b...)
@@ -70,6 +70,8 @@
 	return true
 }
 
+// flush sends buffered output, and continues a relay or a graceful close once all of it is sent. It reports whether the
+// connection is still open.
 func (c *Conn) flush() bool {
 	n, err := loop.Write(c.source.FD(), c.unsent)
 	if err != nil {
--- a/internal/net/downstream/trace.go
+++ b/internal/net/downstream/trace.go
@@ -2,20 +2,21 @@
 
 import "ferryfront.example/ferryfront/internal/net/http1"
 
-// closeReason tells the operator why a client's connection was closed: one of these, or an error of the system's.
+// closeReason is the logged reason for closing a client connection: one of the constants below, or the text of a system
+// error.
 type closeReason string
 
 const (
-	closedLingerTimeout closeReason = "the client did not end its side in time"
-	closedNoProgress    closeReason = "the client takes nothing of its answer"
-	closedIdle          closeReason = "idle for too long"
+	closedLingerTimeout closeReason = "client did not close its side in time"
+	closedNoProgress    closeReason = "client does not read its response"
+	closedIdle          closeReason = "idle timeout"
 	closedReset         closeReason = "reset by the client"
-	closedAfterResponse closeReason = "answered, and this was to be the last answer"
-	closedAfterLinger   closeReason = "ended on both sides, or sent too much after our end"
+	closedAfterResponse closeReason = "last response sent"
+	closedAfterLinger   closeReason = "closed by the client, or too much input, after the last response"
 	closedDraining      closeReason = "draining"
-	closedUploadBlocked closeReason = "the client has ended its side behind a body for which there is no room"
-	closedRelayAborted  closeReason = "its answer broke off"
-	closedEvicted       closeReason = "to make room for another"
+	closedUploadBlocked closeReason = "client closed its side while its request body was held back"
+	closedRelayAborted  closeReason = "relayed response ended early"
+	closedEvicted       closeReason = "evicted for a new connection"
 )
 
 func (c *Conn) traceOpened() {
@@ -24,7 +25,8 @@
 	}
 }
 
-// traceRequestRead joins the lines of a connection to those of its requests.
+// traceRequestRead logs the connection together with the Request-Id, which connects its log records to those of the
+// request.
 func (c *Conn) traceRequestRead(r *http1.Request) {
 	if c.server.debugEnabled {
 		c.server.log.Debug("request read", "connection", c.id, "request", r.Headers.Get("Request-Id"), "waited", c.RequestAge(),
@@ -32,15 +34,15 @@
 	}
 }
 
-func (c *Conn) traceClosing(why closeReason) {
+func (c *Conn) traceClosing(reason closeReason) {
 	if c.server.debugEnabled {
-		c.server.log.Debug("client connection ends", "connection", c.id, "reason", string(why), "unsent", len(c.unsent))
+		c.server.log.Debug("client connection ends", "connection", c.id, "reason", string(reason), "unsent", len(c.unsent))
 	}
 }
 
-func (c *Conn) traceClosed(why closeReason) {
+func (c *Conn) traceClosed(reason closeReason) {
 	if c.server.debugEnabled {
-		c.server.log.Debug("client connection closed", "connection", c.id, "reason", string(why), "owed", c.awaitingResponse,
+		c.server.log.Debug("client connection closed", "connection", c.id, "reason", string(reason), "owed", c.awaitingResponse,
 			"unsent", len(c.unsent), "held", c.parser.Buffered())
 	}
 }
