--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -14,7 +14,7 @@
 type clientListener struct {
 	server  *Server
 	source  *loop.Source
-	address string // as configured, host:port
+	address string // as configured, ip:port
 	handler Handler
 
 	// backlogSince is the time since which connections may be waiting to be accepted; 0: none is known to wait.
@@ -49,7 +49,7 @@
 	}
 }
 
-// Listen opens a listener on an address of the form host:port. It fails if the address can't be bound.
+// Listen opens a listener on an address of the form ip:port. It fails if the address can't be bound.
 func (s *Server) Listen(address string, h Handler) error {
 	fd, err := loop.ListenReusePort(address)
 	if err != nil {
@@ -106,7 +106,7 @@
 		if err == nil {
 			err = ln.openConn(fd)
 		}
-		if err != nil { // the machine lacks another resource, which evicting connections does not free
+		if err != nil { // the machine is short of a resource: the existing connections are kept
 			server.pauseAccepting(err.Error())
 			break
 		}
--- a/internal/net/upstream/body.go
+++ b/internal/net/upstream/body.go
@@ -9,29 +9,27 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Bodies that are passed on while they come: requests' to the host, answers' from it.
-
-// Gone tells whether part of the body has been written and is held nowhere any more: such a message can't be sent
-// again.
+// Gone reports whether part of a forwarded body has been written to a host. That part is not kept, so the message can't
+// be sent again.
 func (m *Message) Gone() bool { return m.BodyPipe != nil && m.BodyPipe.HasConsumed() }
 
-// BodyPipe is what still comes of an answer.
+// BodyPipe returns the pipe with the body of an answer that is being relayed, or nil if the answer is complete.
 func BodyPipe(a core.Answer) *flow.Pipe {
 	p, _ := a.Rest.(*flow.Pipe)
 	return p
 }
 
-// attachBody begins to take a request's body as it comes.
-func (c *conn) attachBody(rest *flow.Pipe) {
-	c.body, c.bodyProgressAt = rest, c.pool.loop.Now()
-	rest.OnData = func() {
+// attachBody makes the connection the reader of a request body that is still being received.
+func (c *conn) attachBody(pipe *flow.Pipe) {
+	c.body, c.bodyProgressAt = pipe, c.pool.loop.Now()
+	pipe.OnData = func() {
 		if c.isConnected && c.source.FD() >= 0 && len(c.unsent) == 0 {
 			c.flush()
 		}
 	}
 }
 
-// detachBody lets go of a request's body; another upstream request may go on with it, as long as none of it is gone.
+// detachBody stops reading the request body. Another upstream request may send it if none of it has been written.
 func (c *conn) detachBody() {
 	if c.body != nil {
 		c.body.OnData = nil
@@ -39,8 +37,8 @@
 	}
 }
 
-// writeBody writes what has come of the body, or puts it into out where it goes in chunks. It tells whether out is to be
-// written again; if not, more of the body has to come first, or the host has to take some, or it is whole.
+// writeBody writes the available part of the request body, or encodes it as a chunk into unsent. It reports whether
+// unsent must be written. If not, the body is complete, more of it has to be received, or the socket takes no more.
 func (c *conn) writeBody() (again bool, err error) {
 	if c.body == nil {
 		return false, nil
@@ -69,13 +67,14 @@
 	return true, nil
 }
 
-// relay is the body of an answer that is passed on.
+// relay is a response body that is forwarded while it is being received.
 type relay struct {
 	pipe       *flow.Pipe
-	progressAt time.Duration // when the host last gave some, or there was no room for it
+	progressAt time.Duration // last time that the host sent bytes, or that the pipe was full
 }
 
-// startRelay passes an answer on of which more comes. For its stream that is the answer; the connection goes on with it.
+// startRelay reports the outcome of a request whose response body is still being received. The connection goes on
+// moving the body into a pipe.
 func (c *conn) startRelay(resp *http1.Response) {
 	if c.failPossibleDuplicate(resp) {
 		return
@@ -98,13 +97,14 @@
 	}
 	pipe.Append(resp.Body)
 	c.parser.ReleaseBodyBuffers()
-	c.pool.reportOutcome(ref, c.isProbe, responseOutcome(resp), core.Answer{ContentType: resp.Headers.Get("Content-Type"), Rest: pipe})
+	c.pool.reportOutcome(ref, c.isProbe, responseOutcome(resp),
+		core.Answer{ContentType: resp.Headers.Get("Content-Type"), Rest: pipe})
 	if c.relay != nil {
 		c.pumpRelay()
 	}
 }
 
-// pumpRelay moves on what has come of the answer.
+// pumpRelay moves received bytes of the response body into the pipe.
 func (c *conn) pumpRelay() {
 	b, whole, err := c.parser.NextBodyPart()
 	if err != nil {
@@ -122,19 +122,19 @@
 	c.updateRelayEvents()
 }
 
-// updateRelayEvents reads on where there is room.
+// updateRelayEvents polls for input while the pipe has space.
 func (c *conn) updateRelayEvents() {
 	if c.relay == nil || c.source.FD() < 0 {
 		return
 	}
 	if c.relay.pipe.FreeSpace() == 0 {
-		c.source.SetEvents(0) // a reset is told all the same
+		c.source.SetEvents(0) // a reset is reported all the same
 		return
 	}
 	c.source.SetEvents(loop.In | loop.Hangup)
 }
 
-// finishRelay ends an answer that has come whole. The connection is free for the next request.
+// finishRelay ends a relay whose body is complete. The connection becomes idle if it can be reused.
 func (c *conn) finishRelay() {
 	pipe := c.relay.pipe
 	c.clearRelay()
@@ -147,14 +147,15 @@
 	c.parser.ReleaseIdleBuffers()
 }
 
+// clearRelay detaches the pipe of the relay from the connection.
 func (c *conn) clearRelay() {
 	c.relay.pipe.OnFreeSpace = nil
 	c.relay, c.hasRequest = nil, false
 	delete(c.pool.relays, c)
 }
 
-// failStalled gives up what makes no progress: a host that gives nothing of an answer it has begun, or takes nothing of a
-// request's body.
+// failStalled fails transfers that make no progress: a host that sends nothing more of a relayed response, or takes
+// nothing more of a request.
 func (p *Pool) failStalled(now time.Duration) {
 	for c := range p.relays {
 		if c.relay.pipe.FreeSpace() == 0 {
@@ -164,7 +165,8 @@
 		}
 	}
 	for _, c := range p.active {
-		if c.body == nil || len(c.unsent) == 0 && len(c.body.Bytes()) == 0 { // whole, or its client is waited for, which has a time of its own
+		// Either the body is in unsent, or the client has to send more of it, which has a timeout of its own.
+		if c.body == nil || len(c.unsent) == 0 && len(c.body.Bytes()) == 0 {
 			c.bodyProgressAt = now
 		} else if c.isConnected && now-c.bodyProgressAt > p.bounds.FlowSilence {
 			c.fail(errNoProgress)
--- a/internal/net/upstream/handover.go
+++ b/internal/net/upstream/handover.go
@@ -8,10 +8,11 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// HandOver gives every idle connection away, now and from now on as requests end: a new one costs an upstream
-// host a handshake, and its first request the time of it. The descriptor is the receiver's.
-func (p *Pool) HandOver(to func(host string, since time.Duration, fd int)) {
-	p.transfer = to
+// HandOver passes every idle connection to receive, now and whenever a connection becomes idle. It saves the hosts new
+// handshakes and the first requests the time of them. receive gets the host's name, the loop time since when the
+// connection is idle, and the descriptor, which it then owns.
+func (p *Pool) HandOver(receive func(host string, since time.Duration, fd int)) {
+	p.transfer = receive
 	names := make([]string, 0, len(p.hosts))
 	for name := range p.hosts {
 		names = append(names, name)
@@ -27,22 +28,26 @@
 	}
 }
 
-// StopHandOver ends giving away.
+// StopHandOver ends the handover: idle connections are kept again.
 func (p *Pool) StopHandOver() { p.transfer = nil }
 
-// SetPredecessorConnections tells how many connections another process of this ingress holds: they count in the common bound.
+// SetPredecessorConnections sets how many upstream connections the predecessor process still holds. They count toward
+// the common connection limit.
 func (p *Pool) SetPredecessorConnections(n int) { p.predecessorConns = max(0, n) }
 
-// ActiveRequests tells how many connections carry a request.
+// ActiveRequests returns the number of requests and probes without an outcome.
 func (p *Pool) ActiveRequests() int { return len(p.active) }
 
+// handOver passes the idle connection to the other process.
 func (c *conn) handOver() {
 	fd := c.source.Detach()
 	c.pool.connCount--
 	c.pool.transfer(c.host.name, c.idleSince, fd)
 }
 
-// AdoptConnection goes on with an idle connection of another process. One to a host that is not known here is closed.
+// AdoptConnection continues an idle connection of the predecessor process. It closes the connection without an error if
+// the host is unknown or leaving, or at the connection limit. It closes the descriptor and fails if the socket can't be
+// polled.
 func (p *Pool) AdoptConnection(name string, since time.Duration, fd int) error {
 	p.predecessorConns = max(0, p.predecessorConns-1)
 	h := p.hosts[name]
--- a/internal/net/upstream/hosts.go
+++ b/internal/net/upstream/hosts.go
@@ -9,26 +9,27 @@
 	"ferryfront.example/ferryfront/internal/core"
 )
 
-// upstreamHost is one upstream upstreamHost. Its idle connections are used last in, first out: the few that are in
-// use stay warm, the others grow old and are dropped.
+// upstreamHost is one upstream host. Its idle connections are used last in, first out: the few in use stay warm, and
+// the others reach the idle timeout.
 type upstreamHost struct {
 	name, address string
-	bootTime      time.Duration // when it last started, as far as that is told
-	leaving       bool          // nothing new goes there
-	idle          []*conn
+	bootTime      time.Duration // last start of the host; 0: not known
+	leaving       bool          // no new requests are sent to it
+	idle          []*conn       // longest idle first
 }
 
-// Host enters an upstream host, or what is new of it.
-func (p *Pool) Host(name, addr string, boot time.Duration, leaving bool) {
+// Host adds an upstream host, or updates it. The address has the form ip:port; bootTime is the last start of the host, 0
+// if it is not known. A host that is leaving gets no new requests.
+func (p *Pool) Host(name, address string, bootTime time.Duration, leaving bool) {
 	h := p.hosts[name]
 	if h == nil {
-		p.hosts[name] = &upstreamHost{name: name, address: addr, bootTime: boot, leaving: leaving}
+		p.hosts[name] = &upstreamHost{name: name, address: address, bootTime: bootTime, leaving: leaving}
 		return
 	}
-	// Connections to a process that is no more may stand without a word: a request on one would be lost.
-	moved, begun := h.address != addr, boot != h.bootTime && boot != 0
-	h.address, h.bootTime, h.leaving = addr, boot, leaving
-	if moved || begun || leaving {
+	// Connections to a process that no longer exists may look open: a request on one would be lost.
+	moved, restarted := h.address != address, bootTime != h.bootTime && bootTime != 0
+	h.address, h.bootTime, h.leaving = address, bootTime, leaving
+	if moved || restarted || leaving {
 		p.CloseIdle(name)
 	}
 	if moved || leaving {
@@ -36,7 +37,7 @@
 	}
 }
 
-// Gone drops a host. What is out on it goes on, but for what waits for a connection.
+// Gone removes a host. Requests that are in progress on it continue; those that wait for a connection end as not sent.
 func (p *Pool) Gone(name string) {
 	p.CloseIdle(name)
 	h := p.hosts[name]
@@ -46,12 +47,12 @@
 	}
 }
 
-// withdrawPending takes back what waits for a connection to a host that leaves, or was at another address: written
-// once that is up, it would come to the host long after it was told.
-func (p *Pool) withdrawPending(h *upstreamHost) {
+// withdrawPending ends the requests that wait for a connection to a host that leaves or has moved, as not sent. Written
+// once the connection is established, they would reach the host long after the change was announced.
+func (p *Pool) withdrawPending(host *upstreamHost) {
 	var waiting []*conn
 	for _, c := range p.active {
-		if c.host == h && !c.isConnected {
+		if c.host == host && !c.isConnected {
 			waiting = append(waiting, c)
 		}
 	}
@@ -64,7 +65,7 @@
 	}
 }
 
-// CloseIdle closes a host's idle connections.
+// CloseIdle closes the idle connections to a host.
 func (p *Pool) CloseIdle(name string) {
 	if h := p.hosts[name]; h != nil {
 		for len(h.idle) > 0 {
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -13,19 +13,18 @@
 	"ferryfront.example/ferryfront/internal/tracecontext"
 )
 
-// Requests, from the choice of a connection to the last byte that is written.
-
-// Message is what goes to an upstream host as it came.
+// Message is the content of an upstream request, as received from the client.
 type Message struct {
 	Method, Target string
-	Headers        http1.Headers // those that pass on
+	Headers        http1.Headers // the client's headers that are passed on
 	Body           []byte
-	BodyPipe       *flow.Pipe // the body, in place of Body, where it is still coming; nil: it is not
-	Trace          core.Trace // that the upstream host is told of; zero: none
-	AtMostOnce     bool       // it must not run twice: once it may have run, nothing can be done for it
+	BodyPipe       *flow.Pipe // replaces Body if the body is still being received; nil: it is not
+	Trace          core.Trace // sent as traceparent and tracestate; zero: none
+	AtMostOnce     bool       // must not run twice, so it can't be retried once it may have run
 }
 
-// Start sends a request to a host.
+// Start sends a request to a host and reports its outcome to the sink. wait is the time left until the deadline of the
+// request; the host is told what is left of it when the request is written. payload must be a *Message.
 func (p *Pool) Start(ref core.Ref, name string, payload core.Payload, wait time.Duration) {
 	m, ok := payload.(*Message)
 	if !ok {
@@ -36,18 +35,19 @@
 	p.startRequest(ref, name, m, wait, false)
 }
 
-// Probe asks a host whether it is alive.
+// Probe sends a health check (GET /alive) to a host and reports its outcome to the sink.
 func (p *Pool) Probe(ref core.Ref, name string, wait time.Duration) {
 	p.startRequest(ref, name, &Message{Method: "GET", Target: "/alive"}, wait, true)
 }
 
+// startRequest sends a request or probe on an idle connection, or on a new one once that is established.
 func (p *Pool) startRequest(ref core.Ref, name string, m *Message, wait time.Duration, probe bool) {
 	h := p.hosts[name]
 	if h == nil {
 		p.reportOutcome(ref, probe, admission.Unreachable, core.Answer{})
 		return
 	}
-	if h.leaving || p.loop.HasStalled() { // it was chosen before that was told, or before the process stood still
+	if h.leaving || p.loop.HasStalled() { // chosen before the change was announced, or before a stall of the process
 		p.reportOutcome(ref, probe, admission.NotSent, core.Answer{})
 		return
 	}
@@ -70,8 +70,8 @@
 	c.assign(ref, probe, m, wait)
 }
 
-// dialOutcome tells what a connection that could not be begun says. What this machine is short of says nothing of the host,
-// which must not be ejected for it.
+// dialOutcome returns the outcome of a request whose connection could not be opened. A shortage of resources on this
+// machine is not the host's fault, and the host must not be ejected for it.
 func dialOutcome(err error) admission.Outcome {
 	if loop.IsOutOfResources(err) {
 		return admission.NotSent
@@ -79,40 +79,43 @@
 	return admission.Unreachable
 }
 
-func (p *Pool) dial(h *upstreamHost) (*conn, error) {
+// dial starts to open a connection to a host. At the connection limit, or without a free descriptor, it evicts the
+// connection that has been idle longest. The connection fails if it is not established within the dial timeout.
+func (p *Pool) dial(host *upstreamHost) (*conn, error) {
 	if p.connCount+p.predecessorConns >= p.bounds.Upstream && !p.evictIdle() {
 		return nil, errPoolExhausted
 	}
-	fd, err := loop.Dial(h.address)
+	fd, err := loop.Dial(host.address)
 	if loop.IsOutOfDescriptors(err) && p.evictIdle() {
-		fd, err = loop.Dial(h.address)
+		fd, err = loop.Dial(host.address)
 	}
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{pool: p, host: h, address: h.address,
+	c := &conn{pool: p, host: host, address: host.address,
 		parser: http1.NewResponseParser(p.bounds.HeadBytes, p.bounds.BodyBytes, p.bounds.KeepBytes)}
 	if c.source, err = p.loop.Watch(fd, loop.Out|loop.Hangup, c); err != nil {
 		loop.CloseFD(fd)
 		return nil, err
 	}
 	p.connCount++
-	c.source.ServeLast() // what it brings is no more than that a request can be written
+	c.source.ServeLast() // the event only allows a request to be written, so all other input of the turn comes first
 	c.dialTimer = p.loop.After(p.bounds.DialLimit, func() { c.fail(io.ErrNoProgress) })
 	return c, nil
 }
 
-// assign has the connection carry a request, which is written once it is up.
-func (c *conn) assign(ref core.Ref, probe bool, m *Message, wait time.Duration) {
+// assign makes a request or probe the current one of the connection, without writing it.
+func (c *conn) assign(ref core.Ref, isProbe bool, m *Message, wait time.Duration) {
 	c.traceAssigned(ref)
-	c.hasRequest, c.ref, c.isProbe, c.message, c.deadline = true, ref, probe, m, c.pool.loop.Now()+wait
+	c.hasRequest, c.ref, c.isProbe, c.message, c.deadline = true, ref, isProbe, m, c.pool.loop.Now()+wait
 	c.pool.active[ref] = c
 	if m.BodyPipe != nil {
 		c.attachBody(m.BodyPipe)
 	}
 }
 
-// encodeRequest makes the request's bytes. It is done when they can be written: the host is told what is left of the time then.
+// encodeRequest encodes the request into unsent. It is called right before the request is written, because the
+// Request-Timeout header is the time left until the deadline.
 func (c *conn) encodeRequest() {
 	m := c.message
 	c.message = nil
@@ -137,9 +140,9 @@
 	}
 }
 
-// handleConnected writes the request that waited for the connection, unless its time is up.
+// handleConnected completes the dial and writes the waiting request, unless its deadline has passed.
 func (c *conn) handleConnected() {
-	if c.pool.loop.HasStalled() { // what has come of clients and lists meanwhile goes first, in the next turn
+	if c.pool.loop.HasStalled() { // input of clients and discovery that arrived meanwhile goes first, in the next turn
 		return
 	}
 	err := loop.DialResult(c.source.FD())
@@ -157,6 +160,7 @@
 	c.flush()
 }
 
+// flush writes as much of the request as is available and the socket takes, and polls for the events it needs next.
 func (c *conn) flush() {
 	for {
 		n, err := loop.Write(c.source.FD(), c.unsent)
@@ -180,7 +184,7 @@
 			break
 		}
 	}
-	if c.body != nil { // more comes, or the host has yet to take some
+	if c.body != nil { // more is to be received, or the socket takes no more now
 		events := uint32(loop.In | loop.Hangup)
 		if len(c.body.Bytes()) > 0 {
 			events |= loop.Out
--- a/internal/net/upstream/response.go
+++ b/internal/net/upstream/response.go
@@ -12,12 +12,12 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// What comes back of a request.
-
+// read reads the socket and processes the response to the current request. On an idle connection, any input or the end
+// of the stream closes it.
 func (c *conn) read() {
 	buf := c.pool.loop.ReadBuffer()
 	for {
-		if c.relay != nil { // no more than there is room for
+		if c.relay != nil { // no more than the pipe has space for
 			buf = buf[:min(len(buf), max(1, c.relay.pipe.FreeSpace()))]
 		}
 		n, err := loop.Read(c.source.FD(), buf)
@@ -31,7 +31,7 @@
 				return
 			}
 			if errors.Is(err, io.EOF) && c.hasRequest && c.relay == nil && len(c.unsent) == 0 {
-				// That it was cut off there can't be told from an answer without a length that ends as it must.
+				// A response without a length ends with the connection, so a truncated one can't be told from a complete one.
 				if resp := c.parser.FinishAtEOF(); resp != nil {
 					c.completeResponse(resp)
 					return
@@ -40,15 +40,15 @@
 			c.fail(err)
 			return
 		}
-		if !c.hasRequest { // bytes that nobody asked for
+		if !c.hasRequest { // bytes that belong to no request
 			c.pool.unsolicitedAt = c.pool.loop.Now()
 			c.close(errUnexpectedInput)
 			return
 		}
-		if c.relay != nil { // the others have their turns
+		if c.relay != nil { // one read per turn, so that other connections get theirs
 			d := c.parser.TakeRawBody(buf[:n])
 			c.relay.pipe.Append(buf[:d])
-			if c.relay == nil { // its client has left with that
+			if c.relay == nil { // the client has disconnected during Append
 				return
 			}
 			if d < n {
@@ -70,7 +70,8 @@
 			c.completeResponse(resp)
 			return
 		case c.earlyRelayTimer == nil && c.parser.HasUnknownLength():
-			// What is so short that its last byte counts is soon here; of what is long the first bytes count.
+			// A short response counts as answered with its last byte, which arrives soon. A long one counts with its
+			// first bytes, so it is relayed from now on.
 			c.earlyRelayTimer = c.pool.loop.After(c.pool.bounds.FlowEarly, func() {
 				if resp := c.parser.StartStreaming(); resp != nil && c.hasRequest && c.source.FD() >= 0 {
 					c.startRelay(resp)
@@ -83,14 +84,14 @@
 	}
 }
 
-// completeResponse takes a whole response. An completeResponse that came before its request was whole, or with more
-// behind it, leaves a connection that can't be trusted with the next one.
+// completeResponse reports the outcome of a request whose response is complete. The connection is not reused if the
+// response came before the request was completely written, or if more bytes follow it.
 func (c *conn) completeResponse(resp *http1.Response) {
-	ref, probe := c.ref, c.isProbe
+	ref, isProbe := c.ref, c.isProbe
 	if c.failPossibleDuplicate(resp) {
 		return
 	}
-	if !probe {
+	if !isProbe {
 		c.pool.resetStats.record(c.pool.loop.Now(), c.isReused, false)
 	}
 	c.hasRequest = false
@@ -104,12 +105,12 @@
 	} else {
 		c.keepIdle()
 	}
-	c.pool.reportOutcome(ref, probe, responseOutcome(resp), answer)
+	c.pool.reportOutcome(ref, isProbe, responseOutcome(resp), answer)
 	c.parser.ReleaseIdleBuffers()
 }
 
-// chargedUnits reads the true units of a good answer from X-Units-Charged: a whole number from 1 up, else 0,
-// which tells nothing.
+// chargedUnits returns the units that the host charged for a successful request, from the X-Units-Charged header. It
+// returns 0, which means not known, unless the header is a whole number from 1 up.
 func chargedUnits(r *http1.Response) int {
 	if r.Status != 200 {
 		return 0
@@ -121,7 +122,8 @@
 	return n
 }
 
-// responseOutcome tells what a response says of its request.
+// responseOutcome returns the outcome of a request from its response: OK for 200, Full for a 503 or 504 with the header
+// Not-Started: 1, else Errored.
 func responseOutcome(r *http1.Response) admission.Outcome {
 	switch {
 	case r.Status == 200:
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -10,44 +10,53 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Whether a kept connection is good enough for a request that must not run twice. A host, or what stands before
-// it, may drop kept connections without a word: the next request on one is reset, and nobody can tell whether it
-// ran. One that may be repeated loses little by it. One that must never run twice is lost, for the price of a
-// handshake. So what became of requests on kept and on new connections is watched, and while kept ones lose
-// visibly more, such requests go on new ones.
+// This file decides whether a request may use an idle connection. A host, or a proxy in front of it, may drop idle
+// connections silently. The next request on such a connection is reset, and it is not known whether it ran. A request
+// that may be repeated loses little by that. A request that must run at most once fails, which a new connection would
+// have prevented for the cost of a handshake. So the pool compares the reset rates of reused and of new connections.
+// While reused ones are reset visibly more often, at-most-once requests use new ones.
 
 const (
-	resetRateWeight   = 0.01 // EWMA weight of one request in the part reset, on kept and on new connections
-	resetRateMemory   = 60.0 // seconds for which that is remembered while nothing is seen
-	maxExtraResetRate = 0.01 // part lost more on kept than on new ones that is worth a handshake, its cost in a request's
-	// work: 1 to 2 ms of 100
-	resetWindow = 25 * time.Millisecond // a reset this soon after the writing is the connection's, later the host's
+	// resetRateWeight is the EWMA weight of one request in a reset rate.
+	resetRateWeight = 0.01
+
+	// resetRateMemory is the time constant, in seconds, with which a reset rate decays without requests.
+	resetRateMemory = 60.0
+
+	// maxExtraResetRate is the difference of the reset rates from which on a handshake is the smaller cost. It is the
+	// cost of a handshake relative to the work of a request: 1 to 2 ms of 100 ms.
+	maxExtraResetRate = 0.01
+
+	// resetWindow is the time after the request is written within which a reset is attributed to the connection. A
+	// later one is attributed to the host.
+	resetWindow = 25 * time.Millisecond
 )
 
-// unsolicitedMemory is for how long it is remembered that bytes came which nobody had asked for.
+// unsolicitedMemory is the time for which unsolicited bytes on an idle connection make duplicate responses likely.
 const unsolicitedMemory = time.Minute
 
-// resetStats is what was seen of resets.
-type resetStats struct{ reusedConns, newConns estimate.FadingAverage }
+// resetStats holds the rates, from 0 to 1, of requests that are reset on reused and on newly dialed connections.
+type resetStats struct{ reused, dialed estimate.FadingAverage }
 
-// record takes in the end of a request: whether it was reset before a byte of its answer came, soon after it was
-// written.
-func (r *resetStats) record(now time.Duration, kept, reset bool) {
-	of := &r.newConns
-	if kept {
-		of = &r.reusedConns
+// record adds the end of a request: whether it was reset soon after it was written, before a byte of its response
+// arrived.
+func (r *resetStats) record(now time.Duration, reused, reset bool) {
+	rate := &r.dialed
+	if reused {
+		rate = &r.reused
 	}
-	of.LearnBool(now, resetRateMemory, resetRateWeight, reset)
+	rate.LearnBool(now, resetRateMemory, resetRateWeight, reset)
 }
 
-// isReuseRisky tells whether kept connections lose so many more than new ones that a handshake costs less.
+// isReuseRisky reports whether reused connections are reset so much more often than new ones that a handshake costs
+// less.
 func (r *resetStats) isReuseRisky(now time.Duration) bool {
-	return r.reusedConns.Now(now, resetRateMemory)-r.newConns.Now(now, resetRateMemory) > maxExtraResetRate
+	return r.reused.Now(now, resetRateMemory)-r.dialed.Now(now, resetRateMemory) > maxExtraResetRate
 }
 
-// takeIdle returns the kept connection that a message is to go on, nil: a new one. Where one is passed over as
-// risky, the oldest makes room, so that there are no more of them than without. What must not run twice goes on
-// none that has just answered: a second answer to the request before may follow, see [conn.fresh].
+// takeIdle returns the idle connection that a message is to use, or nil for a new one. If reuse is too risky for the
+// message, it closes the oldest idle connection, so that the number of connections does not grow. An at-most-once
+// message does not use a connection on which a duplicate response may still arrive, see [conn.mayReceiveDuplicate].
 func (p *Pool) takeIdle(h *upstreamHost, m *Message) *conn {
 	n := len(h.idle)
 	if n == 0 {
@@ -73,27 +82,29 @@
 	return nil
 }
 
-// mayReceiveDuplicate tells whether a kept connection's last answer is so new that a second one to the same request may still
-// follow, as some have of late. What is said to be served then may be that one: nothing tells the two apart, and
-// it is taken for a connection that broke. Where nobody sends second answers a fast host is believed; to have each
-// connection rest would cost a handshake wherever the next request waits for the answer before.
+// mayReceiveDuplicate reports whether the previous response is so recent that a duplicate of it may still arrive, if
+// the pool has seen unsolicited bytes lately. A duplicate can't be told from the response to the next request, so a
+// successful response in that time counts as a broken connection. Without unsolicited bytes a fast host is trusted:
+// resting every connection would cost a handshake wherever the next request only waits for the previous response.
 func (c *conn) mayReceiveDuplicate() bool {
 	now := c.pool.loop.Now()
-	return c.pool.unsolicitedAt > 0 && now-c.pool.unsolicitedAt < unsolicitedMemory && now-c.idleSince < c.pool.bounds.UpstreamRest
+	return c.pool.unsolicitedAt > 0 && now-c.pool.unsolicitedAt < unsolicitedMemory &&
+		now-c.idleSince < c.pool.bounds.UpstreamRest
 }
 
-// failPossibleDuplicate ends a connection whose answer may be a second one to the request before.
+// failPossibleDuplicate fails the request if its successful response may be a duplicate of the previous one. It reports
+// whether it did.
 func (c *conn) failPossibleDuplicate(resp *http1.Response) bool {
 	if !c.isReused || c.isProbe || resp.Status != 200 || !c.mayReceiveDuplicate() {
 		return false
 	}
-	c.writtenAt = 0 // no reset of the host's
+	c.writtenAt = 0 // keeps fail from recording a reset
 	c.fail(errPossibleDuplicate)
 	return true
 }
 
-// isQuiet tells whether nothing has come of a connection at rest, not even its end, which may wait to be read in
-// this turn: a request written now would be lost, or what belongs to no request be taken for its answer.
+// isQuiet reports whether an idle connection has no unread input, neither bytes nor the end of the stream, which may be
+// waiting in this turn. Otherwise a request written now would be lost, or the stray bytes be taken for its response.
 func (c *conn) isQuiet() bool {
 	_, err := loop.Read(c.source.FD(), c.pool.loop.ReadBuffer()[:1])
 	if err == nil {
@@ -102,7 +113,7 @@
 	return errors.Is(err, loop.ErrAgain)
 }
 
-// evictIdle closes the connection that has been idle longest.
+// evictIdle closes the connection that has been idle longest, and reports whether there was one.
 func (p *Pool) evictIdle() bool {
 	var oldest *conn
 	for _, h := range p.hosts {
@@ -116,7 +127,7 @@
 	return oldest != nil
 }
 
-// keepIdle keeps the connection for the next request.
+// keepIdle keeps the connection for the next request, hands it over, or closes it if its host has changed.
 func (c *conn) keepIdle() {
 	c.idleSince = c.pool.loop.Now()
 	switch {
--- a/internal/net/upstream/trace.go
+++ b/internal/net/upstream/trace.go
@@ -6,20 +6,20 @@
 	"ferryfront.example/ferryfront/internal/core"
 )
 
-// Why a connection to a host is closed, where the system has no error of its own for it.
+// Causes for closing an upstream connection, where there is no system error.
 var (
-	errPoolExhausted     = errors.New("all upstream connections in use")
+	errPoolExhausted     = errors.New("upstream connection limit reached and no connection is idle")
 	errNoProgress        = errors.New("no progress")
-	errDeadlinePassed    = errors.New("no time is left for the request")
-	errPossibleDuplicate = errors.New("an answer too soon after another")
-	errIdleTimeout       = errors.New("idle for too long")
-	errCancelled         = errors.New("its request was given up")
-	errClientGone        = errors.New("the client of its answer has left")
-	errNotReusable       = errors.New("it can't be used after this answer")
-	errHostChanged       = errors.New("its host leaves, has moved or has begun anew")
-	errUnexpectedInput   = errors.New("something came that nobody had asked for, or its end")
-	errReuseRisky        = errors.New("kept connections are reset more often than new ones")
-	errEvicted           = errors.New("to make room for another")
+	errDeadlinePassed    = errors.New("request deadline passed before the connection was established")
+	errPossibleDuplicate = errors.New("response may be a duplicate of the previous one")
+	errIdleTimeout       = errors.New("idle timeout")
+	errCancelled         = errors.New("request cancelled")
+	errClientGone        = errors.New("client of the relayed response disconnected")
+	errNotReusable       = errors.New("not reusable after this response")
+	errHostChanged       = errors.New("host is leaving, moved, restarted or removed")
+	errUnexpectedInput   = errors.New("unexpected input or end of stream on an idle connection")
+	errReuseRisky        = errors.New("reused connections are reset more often than new ones")
+	errEvicted           = errors.New("evicted for a new connection")
 )
 
 func (p *Pool) traceNotOpened(ref core.Ref, host string, err error) {
--- a/internal/net/upstream/upstream.go
+++ b/internal/net/upstream/upstream.go
@@ -1,5 +1,8 @@
-// Package upstream holds the connections to upstream hosts and carries out upstream
-// requests on them, one at a time on each.
+// Package upstream sends upstream requests and probes to the upstream hosts and reads their responses.
+//
+// A [Pool] owns all connections; each carries one request at a time. Everything runs on the goroutine of one event
+// loop; no method may be called from another goroutine, and none blocks. The package never chooses a host and never
+// retries: it reports the outcome of each request to its [Sink].
 package upstream
 
 import (
@@ -15,59 +18,69 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Sink is told how upstream requests end.
+// Sink receives the outcomes of upstream requests and probes. Each one that is started ends with one call, possibly
+// within the call that starts it, unless it is cancelled.
 type Sink interface {
+	// UpstreamEnded reports the outcome of an upstream request. The answer is set if a response was received. Its body
+	// may still be in transfer, see [BodyPipe].
 	UpstreamEnded(now time.Duration, ref core.Ref, o admission.Outcome, a core.Answer)
+
+	// ProbeEnded reports the outcome of a probe.
 	ProbeEnded(now time.Duration, ref core.Ref, o admission.Outcome)
 }
 
-// Pool holds the connections of all upstream hosts.
+// Pool holds the connections to all upstream hosts.
 type Pool struct {
-	loop              *loop.Loop
-	bounds            limits.Limits
-	log               *slog.Logger
-	sink              Sink
-	hosts             map[string]*upstreamHost
-	active            map[core.Ref]*conn
-	relays            map[*conn]struct{} // those that pass an answer on
-	connCount         int
-	debugEnabled      bool          // the log takes debug lines
-	requestsWritten   *uint64       // counts requests written whole, probes aside
-	dialErrorLoggedAt time.Duration // when the operator was last told of one not opened
-	resetStats        resetStats
-
-	unsolicitedAt time.Duration // when bytes last came that nobody had asked for, 0: never
-
-	predecessorConns int // connections that another process of this ingress holds
-	transfer         func(host string, since time.Duration, fd int)
+	loop   *loop.Loop
+	bounds limits.Limits
+	log    *slog.Logger
+	sink   Sink
+	hosts  map[string]*upstreamHost // by name
+
+	active    map[core.Ref]*conn // requests and probes without an outcome
+	relays    map[*conn]struct{} // connections whose response body is being relayed
+	connCount int                // open connections, idle ones included
+
+	debugEnabled      bool          // the log accepts debug records
+	requestsWritten   *uint64       // number of requests written completely, without probes
+	dialErrorLoggedAt time.Duration // last time that a failed dial was logged
+
+	resetStats    resetStats
+	unsolicitedAt time.Duration // last time that an idle connection received bytes; 0: never
+
+	// predecessorConns is the number of upstream connections that the predecessor process still holds.
+	predecessorConns int
+
+	// transfer receives the connections that become idle; nil: no handover.
+	transfer func(host string, since time.Duration, fd int)
 }
 
-// New returns a pool that knows no hosts. SetSink must follow before the first request.
-// whole counts the requests that have been written whole.
-func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, whole *uint64) *Pool {
-	p := &Pool{loop: l, bounds: lim, log: log, requestsWritten: whole, hosts: map[string]*upstreamHost{}, active: map[core.Ref]*conn{},
-		relays: map[*conn]struct{}{}, debugEnabled: core.Debugs(log)}
+// New returns a pool without hosts that runs on the given loop. SetSink must be called before the first request. The
+// pool increments requestsWritten for each request that is written completely, except probes.
+func New(l *loop.Loop, bounds limits.Limits, log *slog.Logger, requestsWritten *uint64) *Pool {
+	p := &Pool{loop: l, bounds: bounds, log: log, requestsWritten: requestsWritten, hosts: map[string]*upstreamHost{},
+		active: map[core.Ref]*conn{}, relays: map[*conn]struct{}{}, debugEnabled: core.Debugs(log)}
 	l.After(sweepInterval, p.sweep)
 	return p
 }
 
-// SetSink names who is told of outcomes.
+// SetSink sets the receiver of the outcomes.
 func (p *Pool) SetSink(s Sink) { p.sink = s }
 
-// dialErrorLogInterval: connections that can't be opened, to an address that can't be read or for want of room, are told
-// of so often, however many requests meet them.
+// dialErrorLogInterval is the minimum time between two log records of a failed dial, for example to an invalid address
+// or at the connection limit, since many requests may fail in the same way.
 const dialErrorLogInterval = 10 * time.Second
 
-// sweepInterval is how often idle connections are looked through.
+// sweepInterval is the time between two checks of all connections for timeouts.
 const sweepInterval = 500 * time.Millisecond
 
-// sweep drops connections before the other side would: a request written as it closes is a reset,
-// and may have run.
+// sweep closes idle connections before the host would, because a request that is written while the host closes is reset
+// and may have run. It also fails stalled transfers.
 func (p *Pool) sweep() {
 	p.loop.After(sweepInterval, p.sweep)
 	now := p.loop.Now()
 	for _, h := range p.hosts {
-		if p.connCount == 0 { // of thousands of hosts none need be looked through
+		if p.connCount == 0 { // there may be thousands of hosts; skip them all
 			break
 		}
 		old := 0
@@ -81,36 +94,41 @@
 	p.failStalled(now)
 }
 
-// OpenConnections tells how many are open.
+// OpenConnections returns the number of upstream connections that this process holds, idle ones included.
 func (p *Pool) OpenConnections() int { return p.connCount }
 
-// conn is one connection.
+// conn is one connection to an upstream host. It is connecting, carries a request, relays a response, or is idle.
 type conn struct {
-	pool            *Pool
-	host            *upstreamHost
-	address         string // of the host, when it was opened
-	source          *loop.Source
-	parser          *http1.ResponseParser
-	isConnected     bool
-	hasRequest      bool
-	isProbe         bool
-	ref             core.Ref
-	message         *Message      // of a request that waits for the connection to come up, nil: none
-	deadline        time.Duration // when the time of that request is up
-	unsent          []byte        // of the request, not written yet
-	idleSince       time.Duration
-	isReused        bool          // it has served a request before this one
-	writtenAt       time.Duration // the request was whole on it
-	dialTimer       *loop.Timer
-	bodyProgressAt  time.Duration // the host last took some of body
-	body            *flow.Pipe    // of the request, what is not in out yet; nil: nothing
-	earlyRelayTimer *loop.Timer   // for an answer of which nobody can tell how long it will be
-	relay           *relay        // of the answer, passed on while it comes; nil: it is not
-	closeAfterRelay bool          // the connection ends with that
+	pool    *Pool
+	host    *upstreamHost
+	address string // address of the host when the connection was opened
+	source  *loop.Source
+	parser  *http1.ResponseParser
+
+	isConnected bool // the TCP connection is established
+	hasRequest  bool // the response to the current request or probe is not complete
+
+	isProbe  bool
+	ref      core.Ref      // of the current request or probe
+	message  *Message      // request that is encoded once the connection is established; nil: none
+	deadline time.Duration // of the current request, in loop time
+	unsent   []byte        // encoded request bytes that the socket has not taken yet
+
+	idleSince time.Duration // end of the previous response, also while the connection is reused
+	isReused  bool          // taken from the idle connections for the current request
+	writtenAt time.Duration // when the current request was written completely
+	dialTimer *loop.Timer
+
+	bodyProgressAt time.Duration // last time that the host took request bytes, or that none were available
+	body           *flow.Pipe    // part of the request body that is not in unsent yet; nil: none
+
+	earlyRelayTimer *loop.Timer // starts the relay of a response of unknown length; nil: not running
+	relay           *relay      // response body that is being relayed; nil: none
+	closeAfterRelay bool        // the connection can't be reused after the relay
 }
 
-// Cancel gives up a request by closing its connection: whatever comes of it reaches nobody. It tells whether
-// the request may have run.
+// Cancel gives up a request by closing its connection; its outcome is not reported. It reports whether the request may
+// have run, which is also true of a request that is not known.
 func (p *Pool) Cancel(ref core.Ref) (ran bool) {
 	c := p.active[ref]
 	if c == nil {
@@ -124,7 +142,8 @@
 	return ran
 }
 
-// Withdraw gives up a request that is not wholly written, and so can't have run. It tells whether it did.
+// Withdraw cancels a request unless it is completely written. Such a request can't have run. It reports whether the
+// request was cancelled.
 func (p *Pool) Withdraw(ref core.Ref) bool {
 	if c := p.active[ref]; c == nil || c.isFullyWritten() {
 		return false
@@ -133,9 +152,10 @@
 	return true
 }
 
-// isFullyWritten tells whether the request's last byte is written.
+// isFullyWritten reports whether the last byte of the request is written.
 func (c *conn) isFullyWritten() bool { return c.isConnected && len(c.unsent) == 0 && c.body == nil }
 
+// reportOutcome passes the outcome of a request or probe to the sink.
 func (p *Pool) reportOutcome(ref core.Ref, probe bool, o admission.Outcome, a core.Answer) {
 	if probe {
 		p.sink.ProbeEnded(p.loop.Now(), ref, o)
@@ -144,7 +164,7 @@
 	p.sink.UpstreamEnded(p.loop.Now(), ref, o, a)
 }
 
-// Ready goes on with what the connection was about.
+// Ready handles the connection's readiness events: it completes the dial, reads, or writes.
 func (c *conn) Ready(events uint32) {
 	if !c.isConnected {
 		if events&(loop.Out|loop.Hangup) == 0 {
@@ -161,10 +181,10 @@
 	}
 }
 
-// fail ends the connection and what was out on it. Before the last byte of a request was written
-// it can't have run; after that it may have.
+// fail closes the connection and reports the outcome of its request. A request can't have run before its last byte was
+// written; after that it may have. The body of a relayed response is marked as truncated instead.
 func (c *conn) fail(cause error) {
-	if c.relay != nil { // its answer can't be taken back; who takes it can tell that it is not whole
+	if c.relay != nil { // the outcome is already reported
 		pipe := c.relay.pipe
 		c.clearRelay()
 		c.close(cause)
@@ -173,17 +193,18 @@
 	}
 	o := admission.Broken
 	switch {
-	case errors.Is(cause, errDeadlinePassed): // no fault of the host's
+	case errors.Is(cause, errDeadlinePassed): // not the host's fault
 		o = admission.NotSent
 	case !c.isFullyWritten():
 		o = admission.Unreachable
 	}
-	busy := c.hasRequest
+	hasRequest := c.hasRequest
 	c.hasRequest = false
 	c.detachBody()
 	c.close(cause)
-	if busy {
-		if now := c.pool.loop.Now(); o == admission.Broken && !c.isProbe && c.parser.Buffered() == 0 && now-c.writtenAt < resetWindow {
+	if hasRequest {
+		if now := c.pool.loop.Now(); o == admission.Broken && !c.isProbe && c.parser.Buffered() == 0 &&
+			now-c.writtenAt < resetWindow {
 			c.pool.resetStats.record(now, c.isReused, true)
 		}
 		delete(c.pool.active, c.ref)
@@ -191,6 +212,7 @@
 	}
 }
 
+// close closes the socket and removes the connection from the pool. It reports no outcome.
 func (c *conn) close(cause error) {
 	if c.source.FD() < 0 {
 		return
