--- a/internal/net/downstream/close_test.go
+++ b/internal/net/downstream/close_test.go
@@ -18,36 +18,37 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// All places are taken as the listener closes: those that rest there make room, and who has connected and written a
-// request by then is answered.
-func TestTheListenerClosesWhereAllPlacesAreTaken(t *testing.T) {
+// The listeners close at the connection limit, while further clients have connected and sent a request. Idle
+// connections must make room for them, and their requests must be answered instead of reset.
+func TestCloseListenersAtConnectionLimit(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{Downstream: 4, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4, FirstTime: time.Minute,
-		HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute, Linger: time.Second, LingerBytes: 1 << 10}
-	s := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	f := &auto{s: s, after: -1}
-	require.NoError(t, s.Listen("127.0.0.1:0", f))
-	where, err := loop.LocalAddress(s.listeners[0].source.FD())
+	bounds := limits.Limits{Downstream: 4, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4,
+		FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute,
+		Linger: time.Second, LingerBytes: 1 << 10}
+	s := New(l, bounds, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	h := &autoReplyHandler{server: s, suspendAfter: -1}
+	require.NoError(t, s.Listen("127.0.0.1:0", h))
+	address, err := loop.LocalAddress(s.listeners[0].source.FD())
 	require.NoError(t, err)
-	ask := func(c net.Conn) {
+	sendRequest := func(c net.Conn) {
 		_, err := io.WriteString(c, "GET /x HTTP/1.1\r\n\r\n")
 		require.NoError(t, err)
 	}
-	for range lim.Downstream {
-		ask(dial(t, where))
+	for range bounds.Downstream {
+		sendRequest(dial(t, address))
 	}
-	nettest.Until(t, l, func() bool { return len(f.got) == lim.Downstream })
+	nettest.Until(t, l, func() bool { return len(h.targets) == bounds.Downstream })
 	var waiting []net.Conn
 	for range 3 {
-		c := dial(t, where)
-		ask(c)
+		c := dial(t, address)
+		sendRequest(c)
 		waiting = append(waiting, c)
 	}
 	nettest.Until(t, l, func() bool { return s.acceptPaused })
 	s.Drain()
 	s.CloseListeners()
-	require.Len(t, f.got, lim.Downstream+len(waiting))
+	require.Len(t, h.targets, bounds.Downstream+len(waiting))
 	for _, c := range waiting {
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(10*time.Second)))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -56,120 +57,129 @@
 	}
 }
 
-// waits is a front that leaves every request open and notes how long it had waited.
-type waits struct {
-	script
-	conns  []*Conn
-	waited []time.Duration
+// ageRecorder leaves every request unanswered and records its age.
+type ageRecorder struct {
+	recordingHandler
+	conns []*Conn
+	ages  []time.Duration
 }
 
-func (f *waits) HandleRequest(c *Conn, _ *http1.Request) {
-	f.conns, f.waited = append(f.conns, c), append(f.waited, c.RequestAge())
+func (h *ageRecorder) HandleRequest(c *Conn, _ *http1.Request) {
+	h.conns, h.ages = append(h.conns, c), append(h.ages, c.RequestAge())
 }
 
-// Who connects while no connection can be taken has waited since then; who connects long after that has not, whether or
-// not anybody was left waiting.
-func TestHowLongAConnectionHasWaitedToBeAccepted(t *testing.T) {
+// The age of a request includes the time that its connection waited to be accepted. It must not include time before the
+// client connected, even if accept had stopped at its limit, which may leave connections waiting.
+func TestRequestAgeIncludesAcceptDelay(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{Downstream: 2, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 1, Ahead: 4, FirstTime: time.Minute,
-		HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute, Linger: time.Second, LingerBytes: 1 << 10}
-	s := New(l, lim, slog.New(slog.DiscardHandler))
-	f := &waits{}
-	require.NoError(t, s.Listen("127.0.0.1:0", f))
+	bounds := limits.Limits{Downstream: 2, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 1, Ahead: 4,
+		FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute,
+		Linger: time.Second, LingerBytes: 1 << 10}
+	s := New(l, bounds, slog.New(slog.DiscardHandler))
+	h := &ageRecorder{}
+	require.NoError(t, s.Listen("127.0.0.1:0", h))
 	ln := s.listeners[0]
-	where, err := loop.LocalAddress(ln.source.FD())
+	address, err := loop.LocalAddress(ln.source.FD())
 	require.NoError(t, err)
-	ask := func() {
-		_, err := io.WriteString(dial(t, where), "GET /x HTTP/1.1\r\n\r\n")
+	sendRequest := func() {
+		_, err := io.WriteString(dial(t, address), "GET /x HTTP/1.1\r\n\r\n")
 		require.NoError(t, err)
 	}
-	ask() // one a turn is taken, so that somebody may be left waiting; nobody is
-	nettest.Until(t, l, func() bool { return len(f.conns) == 1 })
+	sendRequest() // accept stops after one connection per turn, so others may be waiting; none is
+	nettest.Until(t, l, func() bool { return len(h.conns) == 1 })
 	time.Sleep(4 * readinessDelay)
 	nettest.Until(t, l, func() bool { return true })
-	ask()
-	nettest.Until(t, l, func() bool { return len(f.conns) == 2 })
-	require.Less(t, f.waited[1], readinessDelay)
-	ask()
+	sendRequest()
+	nettest.Until(t, l, func() bool { return len(h.conns) == 2 })
+	require.Less(t, h.ages[1], readinessDelay)
+	sendRequest()
 	nettest.Until(t, l, func() bool { return s.acceptPaused })
 	const longest = 60 * time.Millisecond
 	freed := false
-	l.After(longest, func() { freed = true; f.conns[0].close(closedIdle) })
-	nettest.Until(t, l, func() bool { return freed && len(f.conns) == 3 })
-	require.GreaterOrEqual(t, f.waited[2], longest-time.Millisecond)
+	l.After(longest, func() { freed = true; h.conns[0].close(closedIdle) })
+	nettest.Until(t, l, func() bool { return freed && len(h.conns) == 3 })
+	require.GreaterOrEqual(t, h.ages[2], longest-time.Millisecond)
 }
 
-// holds is a front that takes requests whose bodies are still coming, and nothing of those bodies.
-type holds struct {
-	script
-	open, left int
+// blockedUploadHandler accepts open requests and never reads their bodies. It counts requests and disconnected clients.
+type blockedUploadHandler struct {
+	recordingHandler
+	requests, clientsGone int
 }
 
-func (f *holds) HandleRequest(*Conn, *http1.Request) { f.open++ }
+func (h *blockedUploadHandler) HandleRequest(*Conn, *http1.Request) { h.requests++ }
 
-func (f *holds) HandleClientGone(*Conn) { f.left++ }
+func (h *blockedUploadHandler) HandleClientGone(*Conn) { h.clientsGone++ }
 
-// A client ends its connection behind more of a body than there is room for: it has gone then, and not once all of that
-// has been read.
-func TestAClientEndsBehindABodyWithoutRoom(t *testing.T) {
+// A client closes its connection while the pipe of its request body is full. The handler must learn of that at once,
+// not only after the rest of the body has been read.
+func TestClientClosesBehindBlockedUpload(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{Downstream: 4, HeadBytes: 1 << 10, KeepBytes: 1 << 10, BodyBytes: 1 << 20, BodyRate: 1 << 10, Accepts: 4, Ahead: 4,
-		FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute, Linger: time.Second,
-		LingerBytes: 1 << 20, FlowSilence: time.Minute}
-	s := New(l, lim, slog.New(slog.DiscardHandler))
-	f := &holds{}
-	require.NoError(t, s.Listen("127.0.0.1:0", f))
-	where, err := loop.LocalAddress(s.listeners[0].source.FD())
+	bounds := limits.Limits{Downstream: 4, HeadBytes: 1 << 10, KeepBytes: 1 << 10, BodyBytes: 1 << 20, BodyRate: 1 << 10,
+		Accepts: 4, Ahead: 4, FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute,
+		FreshTime: time.Minute, Linger: time.Second, LingerBytes: 1 << 20, FlowSilence: time.Minute}
+	s := New(l, bounds, slog.New(slog.DiscardHandler))
+	h := &blockedUploadHandler{}
+	require.NoError(t, s.Listen("127.0.0.1:0", h))
+	address, err := loop.LocalAddress(s.listeners[0].source.FD())
 	require.NoError(t, err)
-	c := dial(t, where)
-	_, err = io.WriteString(c, "POST /x HTTP/1.1\r\nContent-Length: 500000\r\n\r\n"+strings.Repeat("x", 4*lim.Window(0)))
+	c := dial(t, address)
+	_, err = io.WriteString(c,
+		"POST /x HTTP/1.1\r\nContent-Length: 500000\r\n\r\n"+strings.Repeat("x", 4*bounds.Window(0)))
 	require.NoError(t, err)
-	nettest.Until(t, l, func() bool { return f.open == 1 })
+	nettest.Until(t, l, func() bool { return h.requests == 1 })
 	require.NoError(t, c.Close())
-	nettest.Until(t, l, func() bool { return f.left == 1 })
+	nettest.Until(t, l, func() bool { return h.clientsGone == 1 })
 	nettest.Until(t, l, func() bool { return s.OpenConnections() == 0 })
-	require.Equal(t, 1, f.left)
+	require.Equal(t, 1, h.clientsGone)
 }
 
-// resting is a server with one client that has had an answer; ask has it send the next request.
-func resting(t *testing.T, change func(*limits.Limits)) (l *loop.Loop, s *Server, f *auto, ask func()) {
+// newServerWithServedClient returns a server with one client whose first request is answered, and a function that sends
+// the client's next request.
+func newServerWithServedClient(t *testing.T, change func(*limits.Limits)) (
+	l *loop.Loop, s *Server, h *autoReplyHandler, sendRequest func()) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{Downstream: 4, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4, FirstTime: time.Minute,
-		HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute, Linger: time.Second, LingerBytes: 1 << 10}
-	change(&lim)
-	s = New(l, lim, slog.New(slog.DiscardHandler))
-	f = &auto{s: s, after: -1}
-	require.NoError(t, s.Listen("127.0.0.1:0", f))
-	where, err := loop.LocalAddress(s.listeners[0].source.FD())
+	bounds := limits.Limits{Downstream: 4, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4,
+		FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute,
+		Linger: time.Second, LingerBytes: 1 << 10}
+	change(&bounds)
+	s = New(l, bounds, slog.New(slog.DiscardHandler))
+	h = &autoReplyHandler{server: s, suspendAfter: -1}
+	require.NoError(t, s.Listen("127.0.0.1:0", h))
+	address, err := loop.LocalAddress(s.listeners[0].source.FD())
 	require.NoError(t, err)
-	c := dial(t, where)
-	ask = func() {
+	c := dial(t, address)
+	sendRequest = func() {
 		_, err := io.WriteString(c, "GET /x HTTP/1.1\r\n\r\n")
 		require.NoError(t, err)
 	}
-	ask()
-	nettest.Until(t, l, func() bool { return len(f.got) == 1 })
-	return l, s, f, ask
+	sendRequest()
+	nettest.Until(t, l, func() bool { return len(h.targets) == 1 })
+	return l, s, h, sendRequest
 }
 
-// A request comes in the turn in which its connection would be ended as idle: it is answered.
-func TestARequestCrossesTheEndOfAnIdleConnection(t *testing.T) {
-	l, _, f, ask := resting(t, func(lim *limits.Limits) { lim.DownstreamIdle = sweepInterval / 10 })
-	l.After(0, func() { time.Sleep(2 * sweepInterval) }) // the next turn has both that and the sweep to do
-	l.After(time.Millisecond, ask)
-	nettest.Until(t, l, func() bool { return len(f.got) == 2 })
+// A request arrives in the turn in which its connection reaches the idle timeout. It must be answered.
+func TestRequestRacesIdleTimeout(t *testing.T) {
+	l, _, h, sendRequest := newServerWithServedClient(t, func(bounds *limits.Limits) {
+		bounds.DownstreamIdle = sweepInterval / 10
+	})
+	l.After(0, func() { time.Sleep(2 * sweepInterval) }) // the next turn has to process both the request and the sweep
+	l.After(time.Millisecond, sendRequest)
+	nettest.Until(t, l, func() bool { return len(h.targets) == 2 })
 }
 
-// A request comes as its connection would be closed to make room for another: it is answered, and the connection kept.
-func TestARequestCrossesTheMakingOfRoom(t *testing.T) {
-	l, s, f, ask := resting(t, func(lim *limits.Limits) { lim.FreshTime = time.Millisecond })
+// A request arrives while its connection is the candidate for eviction. It must be answered, and the connection kept.
+func TestRequestRacesEviction(t *testing.T) {
+	l, s, h, sendRequest := newServerWithServedClient(t, func(bounds *limits.Limits) {
+		bounds.FreshTime = time.Millisecond
+	})
 	l.After(10*s.bounds.FreshTime, func() {
-		ask()
-		require.False(t, s.evictOne(), "nothing is silent")
+		sendRequest()
+		require.False(t, s.evictOne(), "the only connection has just received a request")
 	})
-	nettest.Until(t, l, func() bool { return len(f.got) == 2 })
+	nettest.Until(t, l, func() bool { return len(h.targets) == 2 })
 	require.Equal(t, 1, s.OpenConnections())
 }
--- a/internal/net/downstream/handover_test.go
+++ b/internal/net/downstream/handover_test.go
@@ -16,58 +16,59 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// script is a front that notes requests and answers when it is told to.
-type script struct {
-	got  []string
-	open []*Conn
+// recordingHandler records requests. The test answers them through pending.
+type recordingHandler struct {
+	targets []string // of the requests, in order
+	pending []*Conn  // connections of the requests
 }
 
-func (f *script) HandleRequest(c *Conn, r *http1.Request) {
-	f.got, f.open = append(f.got, r.Target), append(f.open, c)
+func (h *recordingHandler) HandleRequest(c *Conn, r *http1.Request) {
+	h.targets, h.pending = append(h.targets, r.Target), append(h.pending, c)
 }
-func (f *script) HandleClientGone(*Conn)   {}
-func (f *script) HandleBodyComplete(*Conn) {}
-func (f *script) HandleMalformed(c *Conn, status int, what string) {
+func (h *recordingHandler) HandleClientGone(*Conn)   {}
+func (h *recordingHandler) HandleBodyComplete(*Conn) {}
+func (h *recordingHandler) HandleMalformed(c *Conn, status int, what string) {
 	c.Reply(status, nil, []byte(what))
 }
 
-// A held server takes up nothing, not even what it has read already; its connections go over with that, each when
-// its answer is written, and the other server goes on with the very next byte.
-func TestConnectionsGoOverWithWhatWasRead(t *testing.T) {
+// A suspended server must not process requests that it has already buffered. Its connections are handed over with the
+// buffered input, each when its response is written, and the other server continues with the next byte.
+func TestHandOverKeepsBufferedInput(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{Downstream: 10, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4, FirstTime: time.Minute,
-		HeadTime: time.Minute, DownstreamIdle: time.Minute, Linger: time.Second, LingerBytes: 1 << 10}
+	bounds := limits.Limits{Downstream: 10, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4,
+		FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute,
+		Linger: time.Second, LingerBytes: 1 << 10}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	addr, a, b := "127.0.0.1:0", &script{}, &script{}
-	old, next := New(l, lim, log), New(l, lim, log)
-	require.NoError(t, old.Listen(addr, a))
+	addr, oldHandler, newHandler := "127.0.0.1:0", &recordingHandler{}, &recordingHandler{}
+	old, next := New(l, bounds, log), New(l, bounds, log)
+	require.NoError(t, old.Listen(addr, oldHandler))
 	fds, err := old.DuplicateListeners()
 	require.NoError(t, err)
 	next.Suspend()
-	require.NoError(t, next.AdoptListener(fds[0], addr, b))
-	where, err := loop.LocalAddress(fds[0])
+	require.NoError(t, next.AdoptListener(fds[0], addr, newHandler))
+	address, err := loop.LocalAddress(fds[0])
 	require.NoError(t, err)
-	busy, idle := dial(t, where), dial(t, where)
+	busy, idle := dial(t, address), dial(t, address)
 	_, err = io.WriteString(busy, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\nGET /3 HT")
 	require.NoError(t, err)
 	_, err = io.WriteString(idle, "GET /i HT")
 	require.NoError(t, err)
-	nettest.Until(t, l, func() bool { return len(a.got) == 1 && len(old.conns) == 2 })
+	nettest.Until(t, l, func() bool { return len(oldHandler.targets) == 1 && len(old.conns) == 2 })
 	old.Suspend()
-	late := dial(t, where)
+	late := dial(t, address)
 	_, err = io.WriteString(late, "GET /late HTTP/1.1\r\n\r\n")
 	require.NoError(t, err)
-	a.open[0].Reply(200, nil, nil) // under the freeze
+	oldHandler.pending[0].Reply(200, nil, nil) // while suspended
 	nettest.Until(t, l, func() bool { return true })
-	require.Equal(t, []string{"/1"}, a.got, "what was sent ahead waits")
+	require.Equal(t, []string{"/1"}, oldHandler.targets, "pipelined requests must wait")
 	old.HandOver(func(st ConnState, fd int) { require.NoError(t, next.AdoptConnection(st, fd)) })
 	next.Resume()
 	_, err = io.WriteString(idle, "TP/1.1\r\n\r\n")
 	require.NoError(t, err)
 	answered := 0
 	nettest.Until(t, l, func() bool {
-		for _, c := range b.open {
+		for _, c := range newHandler.pending {
 			if c.awaitingResponse {
 				answered++
 				c.Reply(200, nil, nil)
@@ -75,17 +76,18 @@
 		}
 		return answered == 3
 	})
-	require.ElementsMatch(t, []string{"/2", "/i", "/late"}, b.got)
+	require.ElementsMatch(t, []string{"/2", "/i", "/late"}, newHandler.targets)
 	_, err = io.WriteString(busy, "TP/1.1\r\n\r\n")
 	require.NoError(t, err)
-	nettest.Until(t, l, func() bool { return len(b.got) == 4 })
-	require.Equal(t, "/3", b.got[3])
-	require.Equal(t, []string{"/1"}, a.got)
+	nettest.Until(t, l, func() bool { return len(newHandler.targets) == 4 })
+	require.Equal(t, "/3", newHandler.targets[3])
+	require.Equal(t, []string{"/1"}, oldHandler.targets)
 	require.Zero(t, old.OpenConnections())
-	old.Resume() // as after the other's death
+	old.Resume() // as if the other process had died
 	require.Equal(t, 3, next.OpenConnections())
 }
 
+// dial opens a client connection that is closed at the end of the test.
 func dial(t *testing.T, addr string) net.Conn {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -93,62 +95,66 @@
 	return c
 }
 
-// auto answers at once, and holds the server after so many requests.
-type auto struct {
-	script
-	s     *Server
-	after int
+// autoReplyHandler answers each request at once, and suspends the server after suspendAfter requests; negative: never.
+type autoReplyHandler struct {
+	recordingHandler
+	server       *Server
+	suspendAfter int
 }
 
-func (f *auto) HandleRequest(c *Conn, r *http1.Request) {
-	f.got = append(f.got, r.Target)
-	if len(f.got) == f.after {
-		f.s.loop.After(0, f.s.Suspend)
+func (h *autoReplyHandler) HandleRequest(c *Conn, r *http1.Request) {
+	h.targets = append(h.targets, r.Target)
+	if len(h.targets) == h.suspendAfter {
+		h.server.loop.After(0, h.server.Suspend)
 	}
 	c.Reply(200, nil, nil)
 }
 
-// What one client has sent ahead is taken up a few a turn; the rest must not slip through a freeze.
-func TestWhatWaitsForItsTurnWaitsThroughAFreeze(t *testing.T) {
+// Pipelined requests are processed a few per turn. The ones that are scheduled for a later turn must wait while the
+// server is suspended.
+func TestSuspendHoldsPipelinedRequests(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{Downstream: 10, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4, FirstTime: time.Minute,
-		HeadTime: time.Minute, DownstreamIdle: time.Minute, Linger: time.Second, LingerBytes: 1 << 10}
-	s := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	f := &auto{s: s, after: lim.Ahead}
-	require.NoError(t, s.Listen("127.0.0.1:0", f))
-	where, err := loop.LocalAddress(s.listeners[0].source.FD())
+	bounds := limits.Limits{Downstream: 10, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4,
+		FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute,
+		Linger: time.Second, LingerBytes: 1 << 10}
+	s := New(l, bounds, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	h := &autoReplyHandler{server: s, suspendAfter: bounds.Ahead}
+	require.NoError(t, s.Listen("127.0.0.1:0", h))
+	address, err := loop.LocalAddress(s.listeners[0].source.FD())
 	require.NoError(t, err)
-	c := dial(t, where)
+	c := dial(t, address)
 	_, err = io.WriteString(c, strings.Repeat("GET /x HTTP/1.1\r\n\r\n", 10))
 	require.NoError(t, err)
 	nettest.Until(t, l, func() bool { return s.suspended })
 	turns := 0
 	nettest.Until(t, l, func() bool { turns++; return turns > 20 })
-	require.Len(t, f.got, lim.Ahead)
+	require.Len(t, h.targets, bounds.Ahead)
 	s.Resume()
-	nettest.Until(t, l, func() bool { return len(f.got) == 10 })
+	nettest.Until(t, l, func() bool { return len(h.targets) == 10 })
 }
 
-// A listener that another process holds, too, is told of no more once it is closed here, though a client waits.
-func TestAClosedListenerThatLivesOnElsewhere(t *testing.T) {
+// A listening socket that is closed here but shared with another process must not be reported as ready any more, even
+// if a client waits. Otherwise the loop spins.
+func TestClosedListenerSharedWithAnotherProcess(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
 	s := New(l, limits.Limits{Downstream: 10, Accepts: 4}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	require.NoError(t, s.Listen("127.0.0.1:0", &script{}))
-	where, err := loop.LocalAddress(s.listeners[0].source.FD())
+	require.NoError(t, s.Listen("127.0.0.1:0", &recordingHandler{}))
+	address, err := loop.LocalAddress(s.listeners[0].source.FD())
 	require.NoError(t, err)
 	fds, err := s.DuplicateListeners()
 	require.NoError(t, err)
 	defer loop.CloseFD(fds[0])
 	s.CloseListeners()
-	dial(t, where)
+	dial(t, address)
 	turns := 0
 	l.After(50*time.Millisecond, l.Stop)
-	require.NoError(t, l.Run(counting{&turns}))
-	require.Less(t, turns, 10, "the loop spins")
+	require.NoError(t, l.Run(turnCounter{&turns}))
+	require.Less(t, turns, 10, "the loop spins on the closed listener")
 }
 
-type counting struct{ turns *int }
+// turnCounter counts the turns of the loop.
+type turnCounter struct{ turns *int }
 
-func (c counting) Turn(time.Duration) time.Duration { *c.turns++; return 0 }
+func (c turnCounter) Turn(time.Duration) time.Duration { *c.turns++; return 0 }
--- a/internal/net/upstream/body_test.go
+++ b/internal/net/upstream/body_test.go
@@ -17,19 +17,19 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// told stands for the core.
-type told struct {
+// recordingSink stands for the core.
+type recordingSink struct {
 	outcomes []admission.Outcome
 	answers  []core.Answer
 }
 
-func (s *told) UpstreamEnded(_ time.Duration, _ core.Ref, o admission.Outcome, a core.Answer) {
+func (s *recordingSink) UpstreamEnded(_ time.Duration, _ core.Ref, o admission.Outcome, a core.Answer) {
 	s.outcomes, s.answers = append(s.outcomes, o), append(s.answers, a)
 }
-func (*told) ProbeEnded(time.Duration, core.Ref, admission.Outcome) {}
+func (*recordingSink) ProbeEnded(time.Duration, core.Ref, admission.Outcome) {}
 
-// pool is one with a single host, which does as it is told with each connection.
-func pool(t *testing.T, host func(net.Conn)) (*loop.Loop, *Pool, *told) {
+// newTestPool is one with a single host, which does as it is told with each connection.
+func newTestPool(t *testing.T, host func(net.Conn)) (*loop.Loop, *Pool, *recordingSink) {
 	addr := nettest.Serve(t, func(c net.Conn) {
 		t.Cleanup(func() { c.Close() })
 		host(c)
@@ -39,7 +39,7 @@
 	lim, err := limits.For(limits.Site{Sockets: 256, MemoryMB: 64, Gateways: 1})
 	require.NoError(t, err)
 	lim.FlowSilence, lim.UpstreamIdle, lim.UpstreamRest = 50*time.Millisecond, time.Minute, 0
-	whole, sink := uint64(0), &told{}
+	whole, sink := uint64(0), &recordingSink{}
 	p := New(l, lim, slog.New(slog.DiscardHandler), &whole)
 	p.SetSink(sink)
 	p.Host("h", addr, 0, false)
@@ -47,8 +47,8 @@
 }
 
 // A host that takes nothing of a body is given up: it has not run, and what was written is gone.
-func TestAHostThatTakesNothingOfABody(t *testing.T) {
-	l, p, sink := pool(t, func(net.Conn) {})
+func TestHostStopsReadingBody(t *testing.T) {
+	l, p, sink := newTestPool(t, func(net.Conn) {})
 	rest := flow.New(64<<10, 64<<20)
 	fill := func() { rest.Append(make([]byte, rest.FreeSpace())) }
 	rest.OnFreeSpace = func() { l.After(0, fill) }
@@ -62,8 +62,8 @@
 }
 
 // A host that has begun a long answer and says no more is given up, and who takes the answer can tell.
-func TestAHostThatGivesNoMore(t *testing.T) {
-	l, p, sink := pool(t, func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nbegin") })
+func TestHostStallsDuringResponse(t *testing.T) {
+	l, p, sink := newTestPool(t, func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nbegin") })
 	p.Start(core.Ref{Stream: 1}, "h", &Message{Method: "GET", Target: "/"}, time.Minute)
 	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 })
 	require.Equal(t, []admission.Outcome{admission.OK}, sink.outcomes)
@@ -74,8 +74,8 @@
 }
 
 // An answer that nobody takes any more lets go of its connection.
-func TestALongAnswerThatNobodyTakes(t *testing.T) {
-	l, p, sink := pool(t, func(c net.Conn) {
+func TestDroppedRelayClosesConnection(t *testing.T) {
+	l, p, sink := newTestPool(t, func(c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10000000\r\n\r\n")
 		_, _ = c.Write(make([]byte, 10000000))
 	})
@@ -87,10 +87,10 @@
 }
 
 // The true units of a good answer come with it; what is not a whole number from 1 up tells nothing.
-func TestTheTrueUnitsOfAnAnswer(t *testing.T) {
+func TestChargedUnits(t *testing.T) {
 	for header, want := range map[string]int{"X-Units-Charged: 4\r\n": 4, "X-Units-Charged: four\r\n": 0,
 		"X-Units-Charged: 0\r\n": 0, "": 0} {
-		l, p, sink := pool(t, func(c net.Conn) {
+		l, p, sink := newTestPool(t, func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+header+"Content-Length: 2\r\n\r\nok")
 		})
 		p.Start(core.Ref{Stream: 1}, "h", &Message{Method: "GET", Target: "/"}, time.Minute)
--- a/internal/net/upstream/reuse_test.go
+++ b/internal/net/upstream/reuse_test.go
@@ -15,8 +15,8 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// serveOn answers so many requests of a connection and resets it at the next, negative: never.
-func serveOn(c net.Conn, most int) {
+// serveRequests answers so many requests of a connection and resets it at the next, negative: never.
+func serveRequests(c net.Conn, most int) {
 	r := bufio.NewReader(c)
 	for n := 0; ; n++ {
 		if _, err := http.ReadRequest(r); err != nil {
@@ -35,12 +35,12 @@
 
 // Where hosts reset kept connections at the next request, requests that must not run twice go on new ones; the
 // others go on as before, and the number of connections kept does not grow.
-func TestOnceGoesOnANewConnectionWhereKeptOnesAreReset(t *testing.T) {
+func TestAtMostOnceAvoidsReuseAfterResets(t *testing.T) {
 	var dials, most atomic.Int32
 	most.Store(1)
-	l, p, sink := pool(t, func(c net.Conn) {
+	l, p, sink := newTestPool(t, func(c net.Conn) {
 		dials.Add(1)
-		serveOn(c, int(most.Load()))
+		serveRequests(c, int(most.Load()))
 	})
 	n := 0
 	one := func(once bool) admission.Outcome {
@@ -73,7 +73,7 @@
 }
 
 // Hosts that reset new connections as often as kept ones give no cause for a handshake.
-func TestResetsOfAnyConnectionAreNoCauseForNewOnes(t *testing.T) {
+func TestResetsOfNewConnectionsDoNotPreventReuse(t *testing.T) {
 	var r resetStats
 	for i := range 1000 {
 		r.record(0, i%2 == 0, i%20 < 2)
