--- a/internal/net/downstream/pipeline.go
+++ b/internal/net/downstream/pipeline.go
@@ -8,7 +8,8 @@
 // the connection. Reading goes on up to a maximum, because the end of the client's side may follow, and a request whose
 // client has disconnected must not be sent upstream.
 func (c *Conn) discardOverflow(more int) bool {
-	if c.overflowBytes == 0 && (!c.awaitingResponse || c.upload != nil || c.parser.Buffered()+more <= c.maxBufferedBytes()) {
+	if c.overflowBytes == 0 &&
+		(!c.awaitingResponse || c.upload != nil || c.parser.Buffered()+more <= c.maxBufferedBytes()) {
 		return false
 	}
 	c.overflowBytes, c.closeAfterResponse = c.overflowBytes+c.parser.DiscardBuffered()+more, true
--- a/internal/net/downstream/trace.go
+++ b/internal/net/downstream/trace.go
@@ -29,8 +29,8 @@
 // request.
 func (c *Conn) traceRequestRead(r *http1.Request) {
 	if c.server.debugEnabled {
-		c.server.log.Debug("request read", "connection", c.id, "request", r.Headers.Get("Request-Id"), "waited", c.RequestAge(),
-			"late", c.server.loop.MaxReadDelay())
+		c.server.log.Debug("request read", "connection", c.id, "request", r.Headers.Get("Request-Id"),
+			"waited", c.RequestAge(), "late", c.server.loop.MaxReadDelay())
 	}
 }
 
@@ -42,7 +42,7 @@
 
 func (c *Conn) traceClosed(reason closeReason) {
 	if c.server.debugEnabled {
-		c.server.log.Debug("client connection closed", "connection", c.id, "reason", string(reason), "owed", c.awaitingResponse,
-			"unsent", len(c.unsent), "held", c.parser.Buffered())
+		c.server.log.Debug("client connection closed", "connection", c.id, "reason", string(reason),
+			"owed", c.awaitingResponse, "unsent", len(c.unsent), "held", c.parser.Buffered())
 	}
 }
--- a/internal/net/upstream/body_test.go
+++ b/internal/net/upstream/body_test.go
@@ -17,7 +17,7 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// recordingSink stands for the core.
+// recordingSink records the outcomes and answers of upstream requests.
 type recordingSink struct {
 	outcomes []admission.Outcome
 	answers  []core.Answer
@@ -28,32 +28,33 @@
 }
 func (*recordingSink) ProbeEnded(time.Duration, core.Ref, admission.Outcome) {}
 
-// newTestPool is one with a single host, which does as it is told with each connection.
+// newTestPool returns a pool with a single host named "h". The function host serves each connection to it.
 func newTestPool(t *testing.T, host func(net.Conn)) (*loop.Loop, *Pool, *recordingSink) {
-	addr := nettest.Serve(t, func(c net.Conn) {
+	address := nettest.Serve(t, func(c net.Conn) {
 		t.Cleanup(func() { c.Close() })
 		host(c)
 	})
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim, err := limits.For(limits.Site{Sockets: 256, MemoryMB: 64, Gateways: 1})
+	bounds, err := limits.For(limits.Site{Sockets: 256, MemoryMB: 64, Gateways: 1})
 	require.NoError(t, err)
-	lim.FlowSilence, lim.UpstreamIdle, lim.UpstreamRest = 50*time.Millisecond, time.Minute, 0
-	whole, sink := uint64(0), &recordingSink{}
-	p := New(l, lim, slog.New(slog.DiscardHandler), &whole)
+	bounds.FlowSilence, bounds.UpstreamIdle, bounds.UpstreamRest = 50*time.Millisecond, time.Minute, 0
+	requestsWritten, sink := uint64(0), &recordingSink{}
+	p := New(l, bounds, slog.New(slog.DiscardHandler), &requestsWritten)
 	p.SetSink(sink)
-	p.Host("h", addr, 0, false)
+	p.Host("h", address, 0, false)
 	return l, p, sink
 }
 
-// A host that takes nothing of a body is given up: it has not run, and what was written is gone.
+// A host stops reading a request body. The request must fail as unreachable, since it can't have run, and its message
+// can't be sent again, since part of the body is consumed.
 func TestHostStopsReadingBody(t *testing.T) {
 	l, p, sink := newTestPool(t, func(net.Conn) {})
-	rest := flow.New(64<<10, 64<<20)
-	fill := func() { rest.Append(make([]byte, rest.FreeSpace())) }
-	rest.OnFreeSpace = func() { l.After(0, fill) }
+	body := flow.New(64<<10, 64<<20)
+	fill := func() { body.Append(make([]byte, body.FreeSpace())) }
+	body.OnFreeSpace = func() { l.After(0, fill) }
 	fill()
-	m := &Message{Method: "POST", Target: "/", BodyPipe: rest}
+	m := &Message{Method: "POST", Target: "/", BodyPipe: body}
 	p.Start(core.Ref{Stream: 1}, "h", m, time.Minute)
 	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 })
 	require.Equal(t, []admission.Outcome{admission.Unreachable}, sink.outcomes)
@@ -61,19 +62,21 @@
 	require.Zero(t, p.OpenConnections())
 }
 
-// A host that has begun a long answer and says no more is given up, and who takes the answer can tell.
+// A host stalls in the middle of a relayed response. The connection must be closed, and the pipe marked as truncated.
 func TestHostStallsDuringResponse(t *testing.T) {
-	l, p, sink := newTestPool(t, func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nbegin") })
+	l, p, sink := newTestPool(t, func(c net.Conn) {
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nbegin")
+	})
 	p.Start(core.Ref{Stream: 1}, "h", &Message{Method: "GET", Target: "/"}, time.Minute)
 	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 })
 	require.Equal(t, []admission.Outcome{admission.OK}, sink.outcomes)
-	rest := BodyPipe(sink.answers[0])
-	require.Equal(t, int64(100000), rest.ContentLength)
-	nettest.Until(t, l, rest.IsTruncated)
+	body := BodyPipe(sink.answers[0])
+	require.Equal(t, int64(100000), body.ContentLength)
+	nettest.Until(t, l, body.IsTruncated)
 	require.Zero(t, p.OpenConnections())
 }
 
-// An answer that nobody takes any more lets go of its connection.
+// The client of a relayed response disconnects. The upstream connection must be closed.
 func TestDroppedRelayClosesConnection(t *testing.T) {
 	l, p, sink := newTestPool(t, func(c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10000000\r\n\r\n")
@@ -86,7 +89,7 @@
 	require.Zero(t, p.OpenConnections())
 }
 
-// The true units of a good answer come with it; what is not a whole number from 1 up tells nothing.
+// X-Units-Charged is passed on with a successful response. A value that is not a whole number from 1 up is ignored.
 func TestChargedUnits(t *testing.T) {
 	for header, want := range map[string]int{"X-Units-Charged: 4\r\n": 4, "X-Units-Charged: four\r\n": 0,
 		"X-Units-Charged: 0\r\n": 0, "": 0} {
--- a/internal/net/upstream/race_test.go
+++ b/internal/net/upstream/race_test.go
@@ -19,52 +19,54 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// startGet is a request that may run again; the time it is given does not matter here.
+// startGet starts a request that may be repeated, with a deadline that the test does not reach.
 func startGet(p *Pool, n int) {
 	p.Start(core.Ref{Stream: uint64(n)}, "h", &Message{Method: "GET", Target: "/"}, time.Minute)
 }
 
-// waitForOutcomes takes turns until so many have ended.
+// waitForOutcomes runs the loop until n requests have ended, and returns their outcomes.
 func waitForOutcomes(t *testing.T, l *loop.Loop, sink *recordingSink, n int) []admission.Outcome {
 	nettest.Until(t, l, func() bool { return len(sink.outcomes) >= n })
 	return sink.outcomes
 }
 
-// newTestPoolWithNotifications is a host that takes connections and tells of each request that comes.
-func newTestPoolWithNotifications(t *testing.T) (l *loop.Loop, p *Pool, sink *recordingSink, asked chan struct{}) {
-	asked = make(chan struct{}, 8)
+// newTestPoolWithNotifications returns a pool with a host that answers the first request of each connection, and sends
+// to received before each answer.
+func newTestPoolWithNotifications(t *testing.T) (l *loop.Loop, p *Pool, sink *recordingSink, received chan struct{}) {
+	received = make(chan struct{}, 8)
 	l, p, sink = newTestPool(t, func(c net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-			asked <- struct{}{}
+			received <- struct{}{}
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	})
-	return l, p, sink, asked
+	return l, p, sink, received
 }
 
-// A host is told to leave, or is gone, or has moved, while a request waits for its connection: that has not run and goes
-// there no more, however soon the connection comes up.
+// A host leaves, is removed or moves while a request waits for its connection. The request must end as not sent and
+// must not reach the host, even if the connection is established right afterwards.
 func TestHostChangesWhileConnecting(t *testing.T) {
-	for name, news := range map[string]func(*Pool, *upstreamHost){
+	for name, change := range map[string]func(*Pool, *upstreamHost){
 		"leaves": func(p *Pool, h *upstreamHost) { p.Host("h", h.address, 0, true) },
 		"gone":   func(p *Pool, _ *upstreamHost) { p.Gone("h") },
 		"moved":  func(p *Pool, _ *upstreamHost) { p.Host("h", "127.0.0.1:1", 0, false) },
 	} {
-		l, p, sink, asked := newTestPoolWithNotifications(t)
+		l, p, sink, received := newTestPoolWithNotifications(t)
 		h := p.hosts["h"]
-		addr := h.address
-		startGet(p, 1) // the kernel may have it up already; this turn does not know
-		news(p, h)
+		address := h.address
+		startGet(p, 1) // the kernel may have established the connection, but this turn does not know
+		change(p, h)
 		require.Equal(t, []admission.Outcome{admission.NotSent}, sink.outcomes, name)
 		require.Zero(t, p.OpenConnections(), name)
-		p.Host("h", addr, 0, false) // what comes back, under its name, is used anew
+		p.Host("h", address, 0, false) // a host that returns under its name is used again
 		startGet(p, 2)
 		require.Equal(t, admission.OK, waitForOutcomes(t, l, sink, 2)[1], name)
-		require.Len(t, asked, 1, name)
+		require.Len(t, received, 1, name)
 	}
 }
 
-// What was chosen before the list came is not begun after it; what is out goes on, and its connection is not kept.
+// A host leaves with one request in progress and another one about to start. The first must complete, and its
+// connection be closed. The second must not be sent, although the host was chosen before the change.
 func TestHostLeavesWithRequestInProgress(t *testing.T) {
 	release := make(chan struct{})
 	l, p, sink := newTestPool(t, func(c net.Conn) {
@@ -83,7 +85,7 @@
 	require.Zero(t, p.OpenConnections())
 }
 
-// A host that has begun anew, or is at another address, gets none of what stands to the process before.
+// A host restarts or moves. Connections to its previous process must not be reused: requests on them would be lost.
 func TestHostRestartsOrMoves(t *testing.T) {
 	l, p, sink, _ := newTestPoolWithNotifications(t)
 	startGet(p, 1)
@@ -95,10 +97,10 @@
 	nettest.Until(t, l, func() bool { return *p.requestsWritten == 2 })
 	p.Host("h", "127.0.0.1:1", 5, false)
 	require.Equal(t, admission.OK, waitForOutcomes(t, l, sink, 2)[1])
-	require.Zero(t, p.OpenConnections(), "it was to the old address")
+	require.Zero(t, p.OpenConnections(), "the connection led to the old address")
 }
 
-// A connection that another process of this ingress hands over is not kept where its host has meanwhile left.
+// The predecessor process hands over an idle connection to a host that is leaving. The connection must be closed.
 func TestAdoptConnectionOfLeavingHost(t *testing.T) {
 	for _, leaving := range []bool{false, true} {
 		l, p, sink, _ := newTestPoolWithNotifications(t)
@@ -114,12 +116,13 @@
 	}
 }
 
-// The host's end of a kept connection waits to be read when the next request comes: that goes on another.
+// A host closes an idle connection, and the next request starts before the loop has read the end of the stream. The
+// request must use another connection.
 func TestHostCloseRacesNextRequest(t *testing.T) {
 	closed := make(chan struct{})
-	var second atomic.Bool
+	var isSecondConn atomic.Bool
 	l, p, sink := newTestPool(t, func(c net.Conn) {
-		if second.Swap(true) {
+		if isSecondConn.Swap(true) {
 			serveRequests(c, -1)
 			return
 		}
@@ -132,59 +135,59 @@
 	startGet(p, 1)
 	waitForOutcomes(t, l, sink, 1)
 	closed <- struct{}{}
-	<-closed // its end has come, and no turn has read it
+	<-closed // the end of the stream has arrived, and no turn has read it
 	startGet(p, 2)
 	require.Equal(t, []admission.Outcome{admission.OK, admission.OK}, waitForOutcomes(t, l, sink, 2))
 	require.Equal(t, 1, p.OpenConnections())
 }
 
-// A second answer to one request, late by less than one may be, is taken for no other's: the next may have run, and what
-// must not run twice never meets it.
+// A host sends a duplicate response within the time in which one may arrive. It must not be taken for the response to
+// the next request, which ends as broken because it may have run. An at-most-once request must not use the connection.
 func TestLateDuplicateResponse(t *testing.T) {
-	second, both := make(chan struct{}), make(chan struct{})
-	var other atomic.Bool
+	sendDuplicate, sent := make(chan struct{}), make(chan struct{})
+	var isSecondConn atomic.Bool
 	l, p, sink := newTestPool(t, func(c net.Conn) {
-		if other.Swap(true) {
+		if isSecondConn.Swap(true) {
 			serveRequests(c, -1)
 			return
 		}
 		r := bufio.NewReader(c)
 		_, _ = http.ReadRequest(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-		<-second
-		_, _ = http.ReadRequest(r) // the next one has come before the noise does
+		<-sendDuplicate
+		_, _ = http.ReadRequest(r) // the next request arrives before the duplicate is sent
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain")
-		close(both)
+		close(sent)
 	})
 	p.bounds.UpstreamRest = time.Hour
 	startGet(p, 1)
 	waitForOutcomes(t, l, sink, 1)
-	p.unsolicitedAt = l.Now() // second answers have been seen, see below
+	p.unsolicitedAt = l.Now() // as if unsolicited bytes had been received, as in the test below
 	p.Start(core.Ref{Stream: 2}, "h", &Message{Method: "POST", Target: "/", AtMostOnce: true}, time.Minute)
 	waitForOutcomes(t, l, sink, 2)
 	require.Equal(t, "ok", string(sink.answers[1].Body))
-	p.hosts["h"].idle = p.hosts["h"].idle[:1] // the first of them is the most recent again
+	p.hosts["h"].idle = p.hosts["h"].idle[:1] // leaves only the first connection for reuse
 	startGet(p, 3)
-	close(second)
+	close(sendDuplicate)
 	require.Equal(t, []admission.Outcome{admission.OK, admission.OK, admission.Broken}, waitForOutcomes(t, l, sink, 3))
-	<-both
+	<-sent
 	require.Empty(t, p.hosts["h"].idle)
 }
 
-// Where no second answer was ever seen a host may be as fast as it likes. One that is late on a connection at rest ends
-// that, and is remembered, whether it is read at once or when the next request is about to be written.
+// Without unsolicited bytes, a connection is reused however soon the next request follows. A late duplicate response on
+// an idle connection must close it and be recorded, whether the loop reads it or the next request finds it.
 func TestUnsolicitedBytesAreDetected(t *testing.T) {
-	second, both := make(chan struct{}), make(chan struct{})
-	for _, waits := range []bool{true, false} {
+	sendDuplicate, sent := make(chan struct{}), make(chan struct{})
+	for _, readByLoop := range []bool{true, false} {
 		l, p, sink := newTestPool(t, func(c net.Conn) {
 			r := bufio.NewReader(c)
 			for range 2 {
 				_, _ = http.ReadRequest(r)
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 			}
-			<-second
+			<-sendDuplicate
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain")
-			both <- struct{}{}
+			sent <- struct{}{}
 		})
 		p.bounds.UpstreamRest = time.Hour
 		startGet(p, 1)
@@ -193,20 +196,21 @@
 		require.Equal(t, []admission.Outcome{admission.OK, admission.OK}, waitForOutcomes(t, l, sink, 2))
 		require.Equal(t, 1, p.OpenConnections())
 		require.Zero(t, p.unsolicitedAt)
-		second <- struct{}{}
-		<-both
-		if waits {
+		sendDuplicate <- struct{}{}
+		<-sent
+		if readByLoop {
 			nettest.Until(t, l, func() bool { return p.OpenConnections() == 0 })
 		} else {
-			startGet(p, 3) // on a new one
+			startGet(p, 3) // on a new connection
 		}
 		require.NotZero(t, p.unsolicitedAt)
 	}
 }
 
-// A request that waits for its connection can be taken back, one that is written can't; to give that up tells so.
+// A request that waits for its connection can be withdrawn; one that is written can't. Cancel must report whether the
+// request may have run.
 func TestWithdrawAndCancel(t *testing.T) {
-	l, p, sink, asked := newTestPoolWithNotifications(t)
+	l, p, sink, received := newTestPoolWithNotifications(t)
 	startGet(p, 1)
 	require.True(t, p.Withdraw(core.Ref{Stream: 1}))
 	require.False(t, p.Withdraw(core.Ref{Stream: 1}))
@@ -217,40 +221,42 @@
 	require.False(t, p.Withdraw(core.Ref{Stream: 3}))
 	require.True(t, p.Cancel(core.Ref{Stream: 3}))
 	require.Empty(t, sink.outcomes)
-	<-asked
-	require.Empty(t, asked)
+	<-received
+	require.Empty(t, received)
 }
 
-// A connection comes up late, or the process stood still: the host is told what is left of the time then, and a request
-// whose time is up is not written.
+// A connection is established late, or the process stalls meanwhile. The host must be told the time that is left then,
+// and a request whose deadline has passed must not be written.
 func TestRequestTimeoutAfterSlowConnect(t *testing.T) {
 	const (
 		wait  = 600 * time.Millisecond
-		stood = 200 * time.Millisecond
+		stall = 200 * time.Millisecond
 	)
-	told := make(chan string, 2)
+	timeouts := make(chan string, 2)
 	l, p, sink := newTestPool(t, func(c net.Conn) {
 		if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-			told <- r.Header.Get("Request-Timeout")
+			timeouts <- r.Header.Get("Request-Timeout")
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
 		}
 	})
 	start := func(n int, wait time.Duration) {
 		nettest.Until(t, l, func() bool { return true })
 		p.Start(core.Ref{Stream: uint64(n)}, "h", &Message{Method: "GET", Target: "/"}, wait)
-		time.Sleep(stood) // as if stopped
+		time.Sleep(stall) // as if the process were stopped
 	}
 	start(1, wait)
 	require.Equal(t, []admission.Outcome{admission.OK}, waitForOutcomes(t, l, sink, 1))
-	left, err := time.ParseDuration(<-told + "s")
+	left, err := time.ParseDuration(<-timeouts + "s")
 	require.NoError(t, err)
-	require.LessOrEqual(t, left, wait-stood)
-	start(2, stood/2)
-	require.Equal(t, admission.NotSent, waitForOutcomes(t, l, sink, 2)[1], "it can't have run, by no fault of the host's")
-	require.Empty(t, told)
+	require.LessOrEqual(t, left, wait-stall)
+	start(2, stall/2)
+	require.Equal(t, admission.NotSent, waitForOutcomes(t, l, sink, 2)[1],
+		"it can't have run, which is not the host's fault")
+	require.Empty(t, timeouts)
 }
 
-// What this machine is short of for a moment tells nothing of the host.
+// A shortage of resources on this machine must not count against the host. A refused connection and an exhausted pool
+// count as unreachable.
 func TestLocalResourceShortageIsNotTheHostsFault(t *testing.T) {
 	require.Equal(t, admission.NotSent, dialOutcome(fmt.Errorf("dial: %w", unix.ENOBUFS)))
 	require.Equal(t, admission.Unreachable, dialOutcome(fmt.Errorf("dial: %w", unix.ECONNREFUSED)))
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -82,10 +82,11 @@
 	return nil
 }
 
-// mayReceiveDuplicate reports whether the previous response is so recent that a duplicate of it may still arrive, if
-// the pool has seen unsolicited bytes lately. A duplicate can't be told from the response to the next request, so a
-// successful response in that time counts as a broken connection. Without unsolicited bytes a fast host is trusted:
-// resting every connection would cost a handshake wherever the next request only waits for the previous response.
+// mayReceiveDuplicate reports whether a duplicate of the previous response may still arrive: the pool has received
+// unsolicited bytes lately, and the previous response is younger than UpstreamRest. A duplicate can't be told from the
+// response to the next request, so a successful response in that time counts as a broken connection. Without unsolicited
+// bytes a fast host is trusted: to let each connection rest would cost a handshake wherever the next request only waits
+// for the previous response.
 func (c *conn) mayReceiveDuplicate() bool {
 	now := c.pool.loop.Now()
 	return c.pool.unsolicitedAt > 0 && now-c.pool.unsolicitedAt < unsolicitedMemory &&
--- a/internal/net/upstream/reuse_test.go
+++ b/internal/net/upstream/reuse_test.go
@@ -15,14 +15,14 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// serveRequests answers so many requests of a connection and resets it at the next, negative: never.
-func serveRequests(c net.Conn, most int) {
+// serveRequests answers limit requests on a connection and resets it at the next; negative: never.
+func serveRequests(c net.Conn, limit int) {
 	r := bufio.NewReader(c)
 	for n := 0; ; n++ {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
-		if n == most {
+		if n == limit {
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
 			return
@@ -33,46 +33,46 @@
 	}
 }
 
-// Where hosts reset kept connections at the next request, requests that must not run twice go on new ones; the
-// others go on as before, and the number of connections kept does not grow.
+// Hosts reset reused connections at the next request. At-most-once requests must then use new connections, while the
+// others go on reusing, and the number of idle connections must not grow.
 func TestAtMostOnceAvoidsReuseAfterResets(t *testing.T) {
-	var dials, most atomic.Int32
-	most.Store(1)
+	var dials, limit atomic.Int32
+	limit.Store(1)
 	l, p, sink := newTestPool(t, func(c net.Conn) {
 		dials.Add(1)
-		serveRequests(c, int(most.Load()))
+		serveRequests(c, int(limit.Load()))
 	})
 	n := 0
-	one := func(once bool) admission.Outcome {
+	send := func(atMostOnce bool) admission.Outcome {
 		n++
-		p.Start(core.Ref{Stream: uint64(n)}, "h", &Message{Method: "POST", Target: "/", AtMostOnce: once}, time.Minute)
+		p.Start(core.Ref{Stream: uint64(n)}, "h", &Message{Method: "POST", Target: "/", AtMostOnce: atMostOnce}, time.Minute)
 		nettest.Until(t, l, func() bool { return len(sink.outcomes) == n })
 		return sink.outcomes[n-1]
 	}
 	lost := 0
 	for range 40 {
-		if one(false) != admission.OK {
+		if send(false) != admission.OK {
 			lost++
 		}
 	}
-	require.Equal(t, 20, lost, "every second request meets a kept connection that is reset")
+	require.Equal(t, 20, lost, "every second request meets a reused connection that is reset")
 	for range 20 {
-		require.Equal(t, admission.OK, one(true))
+		require.Equal(t, admission.OK, send(true))
 	}
 	require.LessOrEqual(t, p.OpenConnections(), 1)
-	// Hosts that have come to keep theirs are believed again, by what the other requests see.
-	most.Store(-1)
+	// Hosts that no longer reset are trusted again, by the outcomes of the other requests.
+	limit.Store(-1)
 	for range 600 {
-		one(false)
+		send(false)
 	}
 	before := dials.Load()
 	for range 20 {
-		require.Equal(t, admission.OK, one(true))
+		require.Equal(t, admission.OK, send(true))
 	}
-	require.Equal(t, before, dials.Load(), "a handshake for nothing")
+	require.Equal(t, before, dials.Load(), "unnecessary handshake")
 }
 
-// Hosts that reset new connections as often as kept ones give no cause for a handshake.
+// Hosts that reset new connections as often as reused ones must not prevent reuse: a handshake would gain nothing.
 func TestResetsOfNewConnectionsDoNotPreventReuse(t *testing.T) {
 	var r resetStats
 	for i := range 1000 {
@@ -82,5 +82,5 @@
 	for i := range 100 {
 		r.record(0, true, i%20 == 0)
 	}
-	require.False(t, r.isReuseRisky(0), "5%% as on new ones")
+	require.False(t, r.isReuseRisky(0), "5%% resets, as on new connections")
 }
--- a/internal/net/upstream/trace.go
+++ b/internal/net/upstream/trace.go
@@ -9,7 +9,7 @@
 // Causes for closing an upstream connection, where there is no system error.
 var (
 	errPoolExhausted     = errors.New("upstream connection limit reached and no connection is idle")
-	errNoProgress        = errors.New("no progress")
+	errNoProgress        = errors.New("no progress of a request or response body")
 	errDeadlinePassed    = errors.New("request deadline passed before the connection was established")
 	errPossibleDuplicate = errors.New("response may be a duplicate of the previous one")
 	errIdleTimeout       = errors.New("idle timeout")
@@ -22,16 +22,18 @@
 	errEvicted           = errors.New("evicted for a new connection")
 )
 
+// traceNotOpened logs a failed dial for each request; the warning in startRequest is rate-limited.
 func (p *Pool) traceNotOpened(ref core.Ref, host string, err error) {
 	if p.debugEnabled {
-		p.log.Debug("upstream connection not opened", "stream", ref.Stream, "attempt", ref.Attempt, "host", host, "error", err)
+		p.log.Debug("upstream connection not opened", "stream", ref.Stream, "attempt", ref.Attempt, "host", host,
+			"error", err)
 	}
 }
 
 func (c *conn) traceAssigned(ref core.Ref) {
 	if c.pool.debugEnabled {
-		c.pool.log.Debug("upstream connection used", "stream", ref.Stream, "attempt", ref.Attempt, "host", c.host.name, "kept", c.isReused,
-			"descriptor", c.source.FD())
+		c.pool.log.Debug("upstream connection used", "stream", ref.Stream, "attempt", ref.Attempt, "host", c.host.name,
+			"kept", c.isReused, "descriptor", c.source.FD())
 	}
 }
 
