--- a/internal/net/downstream/body.go
+++ b/internal/net/downstream/body.go
@@ -8,14 +8,14 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// bodyUpload is the body of an open request, which is forwarded while it is being received.
+// bodyUpload is the body of a streamed request, which is forwarded while it is being received.
 type bodyUpload struct {
 	pipe      *flow.Pipe
 	rateSince time.Duration // start of the rate measurement; postponed while the pipe is full
 	received  int           // bytes
 }
 
-// startUpload passes an open request to the handler, which may send it upstream before its body is complete.
+// startUpload passes a streamed request to the handler, which may send it upstream before its body is complete.
 func (c *Conn) startUpload(req *http1.Request) {
 	u := &bodyUpload{pipe: flow.New(c.server.bounds.Window(c.server.activeUploads), req.ContentLength),
 		rateSince: c.server.loop.Now()}
@@ -109,9 +109,9 @@
 
 // Relay answers the current request with a body that is still being received. If the body ends early, the connection is
 // closed so that the client can tell that the response is incomplete. done is called once with whether the body is
-// complete, unless the client disconnects. A relay is not cut off at the client's deadline, however late it ends,
-// because a long response counts as answered with its first bytes. If the connection is closed or the request already
-// has a response, Relay only drops the body.
+// complete, unless the connection to the client fails first. A relay is not cut off at the client's deadline, however
+// late it ends, because a long response counts as answered with its first bytes. If the connection is closed or has no
+// unanswered request, Relay only drops the body.
 func (c *Conn) Relay(status int, h http1.Headers, body *flow.Pipe, done func(whole bool)) {
 	if c.source.FD() < 0 || !c.awaitingResponse {
 		body.CloseRead()
@@ -121,17 +121,17 @@
 	h = c.withTraceParent(h)
 	c.wasServed = true
 	c.closeAfterResponse = c.closeAfterResponse || c.server.draining || c.upload != nil
-	d := &responseRelay{pipe: body, done: done, progressAt: c.server.loop.Now()}
+	r := &responseRelay{pipe: body, done: done, progressAt: c.server.loop.Now()}
 	switch {
 	case body.ContentLength >= 0:
 	case c.isHTTP10:
-		d.framing, c.closeAfterResponse = http1.FramedByClose, true
+		r.framing, c.closeAfterResponse = http1.FramedByClose, true
 	default:
-		d.framing = http1.FramedByChunks
+		r.framing = http1.FramedByChunks
 	}
 	c.discardUpload()
-	c.relay = d
-	b := http1.AppendResponseHead(nil, status, h, body.ContentLength, d.framing, c.closeAfterResponse)
+	c.relay = r
+	b := http1.AppendResponseHead(nil, status, h, body.ContentLength, r.framing, c.closeAfterResponse)
 	if !c.write(b) {
 		return
 	}
@@ -142,16 +142,16 @@
 // pumpRelay writes received bytes of the response body, as long as the client takes them, and finishes the response at
 // the end of the body.
 func (c *Conn) pumpRelay() {
-	d := c.relay
-	if d == nil || c.source.FD() < 0 {
+	r := c.relay
+	if r == nil || c.source.FD() < 0 {
 		return
 	}
 	if len(c.unsent) == 0 {
-		d.progressAt = c.server.loop.Now()
+		r.progressAt = c.server.loop.Now()
 	}
-	if b := d.pipe.Bytes(); len(b) > 0 && len(c.unsent) == 0 {
+	if b := r.pipe.Bytes(); len(b) > 0 && len(c.unsent) == 0 {
 		n := len(b)
-		if d.framing == http1.FramedByChunks {
+		if r.framing == http1.FramedByChunks {
 			if !c.write(http1.AppendChunk(make([]byte, 0, n+16), b)) {
 				return
 			}
@@ -162,19 +162,19 @@
 				return
 			}
 		}
-		d.pipe.Consume(n)
+		r.pipe.Consume(n)
 		c.updateEvents()
 	}
 	switch {
-	case d.pipe.IsTruncated() && len(d.pipe.Bytes()) == 0:
+	case r.pipe.IsTruncated() && len(r.pipe.Bytes()) == 0:
 		c.abortRelay()
-	case d.pipe.IsComplete() && c.relay == d:
+	case r.pipe.IsComplete() && c.relay == r:
 		c.relay = nil
-		if d.framing == http1.FramedByChunks && !c.write(http1.AppendLastChunk(nil)) {
+		if r.framing == http1.FramedByChunks && !c.write(http1.AppendLastChunk(nil)) {
 			return
 		}
 		c.awaitingResponse = false
-		d.done(true)
+		r.done(true)
 		c.finishResponse()
 	}
 }
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -1,8 +1,8 @@
 // Package downstream accepts client connections, reads HTTP requests from them, and writes the responses.
 //
 // A [Server] owns all listeners and connections. Everything runs on the goroutine of one event loop; no method may be
-// called from another goroutine, and none blocks. The package never decides what a request gets: it passes each
-// request to the [Handler] of its listener.
+// called from another goroutine, and none blocks. The package never decides how a request is answered: it passes each
+// one to the [Handler] of its listener, which also learns when a connection fails before the response.
 package downstream
 
 import (
@@ -18,13 +18,15 @@
 // Handler receives the requests of a listener. It answers each one with a single [Conn.Reply] or [Conn.Relay], at once
 // or later.
 type Handler interface {
-	// HandleRequest is called with each request. The body of an open request (r.Open) is still being received.
+	// HandleRequest is called with each request. The body of a streamed request (r.IsStreamed) is still being received.
 	HandleRequest(c *Conn, r *http1.Request)
 
-	// HandleClientGone is called when the client of an unanswered request has disconnected.
+	// HandleClientGone is called when a request is given up before its response is complete: the client has
+	// disconnected, or the body of a streamed request is invalid or too slow. In the latter cases HandleMalformed
+	// follows. If the response is already being relayed, c.StreamID is 0.
 	HandleClientGone(c *Conn)
 
-	// HandleBodyComplete is called when the body of an open, unanswered request has been received completely.
+	// HandleBodyComplete is called when the body of a streamed, unanswered request has been received completely.
 	HandleBodyComplete(c *Conn)
 
 	// HandleMalformed is called for input that is not a valid request, or a request that arrives too slowly. status
--- a/internal/net/downstream/eviction.go
+++ b/internal/net/downstream/eviction.go
@@ -40,7 +40,7 @@
 const maxEvictionTries = 8
 
 // evictionCandidate returns the connection without an unanswered request that has the longest weighted silence, or nil
-// if none has been silent for the minimum time.
+// if none has been silent for FreshTime.
 func (s *Server) evictionCandidate() *Conn {
 	now := s.loop.Now()
 	var candidate *Conn
@@ -64,7 +64,7 @@
 	servedConnWeight = 2 // served, and no request begun
 )
 
-// pauseAccepting leaves new connections in the kernel's queue until a connection closes, FreshTime at most.
+// pauseAccepting leaves new connections in the kernel's queue until a connection closes or FreshTime has passed.
 func (s *Server) pauseAccepting(cause string) {
 	s.acceptFailed = true
 	if s.acceptPaused {
--- a/internal/net/downstream/response.go
+++ b/internal/net/downstream/response.go
@@ -5,8 +5,8 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Reply answers the current request with a complete response. It does nothing if the connection is closed or the
-// request already has a response.
+// Reply answers the current request with a complete response. It does nothing if the connection is closed or has no
+// unanswered request.
 func (c *Conn) Reply(status int, h http1.Headers, body []byte) {
 	if c.source.FD() < 0 || !c.awaitingResponse {
 		return
--- a/internal/net/upstream/body.go
+++ b/internal/net/upstream/body.go
@@ -39,7 +39,7 @@
 
 // writeBody writes the available part of the request body, or encodes it as a chunk into unsent. It reports whether
 // unsent must be written. If not, the body is complete, more of it has to be received, or the socket takes no more.
-func (c *conn) writeBody() (again bool, err error) {
+func (c *conn) writeBody() (mustFlush bool, err error) {
 	if c.body == nil {
 		return false, nil
 	}
@@ -165,7 +165,7 @@
 		}
 	}
 	for _, c := range p.active {
-		// Either the body is in unsent, or the client has to send more of it, which has a timeout of its own.
+		// Either no body is left to read, or the client has to send more of it, which has a timeout of its own.
 		if c.body == nil || len(c.unsent) == 0 && len(c.body.Bytes()) == 0 {
 			c.bodyProgressAt = now
 		} else if c.isConnected && now-c.bodyProgressAt > p.bounds.FlowSilence {
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -41,18 +41,18 @@
 }
 
 // startRequest sends a request or probe on an idle connection, or on a new one once that is established.
-func (p *Pool) startRequest(ref core.Ref, name string, m *Message, wait time.Duration, probe bool) {
+func (p *Pool) startRequest(ref core.Ref, name string, m *Message, wait time.Duration, isProbe bool) {
 	h := p.hosts[name]
 	if h == nil {
-		p.reportOutcome(ref, probe, admission.Unreachable, core.Answer{})
+		p.reportOutcome(ref, isProbe, admission.Unreachable, core.Answer{})
 		return
 	}
 	if h.leaving || p.loop.HasStalled() { // chosen before the change was announced, or before a stall of the process
-		p.reportOutcome(ref, probe, admission.NotSent, core.Answer{})
+		p.reportOutcome(ref, isProbe, admission.NotSent, core.Answer{})
 		return
 	}
 	if c := p.takeIdle(h, m); c != nil {
-		c.assign(ref, probe, m, wait)
+		c.assign(ref, isProbe, m, wait)
 		c.encodeRequest()
 		c.flush()
 		return
@@ -64,10 +64,10 @@
 			p.log.Warn("upstream connection not opened", "host", name, "error", err)
 		}
 		p.traceNotOpened(ref, name, err)
-		p.reportOutcome(ref, probe, dialOutcome(err), core.Answer{})
+		p.reportOutcome(ref, isProbe, dialOutcome(err), core.Answer{})
 		return
 	}
-	c.assign(ref, probe, m, wait)
+	c.assign(ref, isProbe, m, wait)
 }
 
 // dialOutcome returns the outcome of a request whose connection could not be opened. A shortage of resources on this
@@ -81,6 +81,7 @@
 
 // dial starts to open a connection to a host. At the connection limit, or without a free descriptor, it evicts the
 // connection that has been idle longest. The connection fails if it is not established within the dial timeout.
+// The error is errPoolExhausted or a system error.
 func (p *Pool) dial(host *upstreamHost) (*conn, error) {
 	if p.connCount+p.predecessorConns >= p.bounds.Upstream && !p.evictIdle() {
 		return nil, errPoolExhausted
@@ -175,12 +176,12 @@
 			c.source.SetEvents(loop.In | loop.Out | loop.Hangup)
 			return
 		}
-		again, err := c.writeBody()
+		mustFlush, err := c.writeBody()
 		if err != nil {
 			c.fail(err)
 			return
 		}
-		if !again {
+		if !mustFlush {
 			break
 		}
 	}
--- a/internal/net/upstream/response.go
+++ b/internal/net/upstream/response.go
@@ -31,7 +31,8 @@
 				return
 			}
 			if errors.Is(err, io.EOF) && c.hasRequest && c.relay == nil && len(c.unsent) == 0 {
-				// A response without a length ends with the connection, so a truncated one can't be told from a complete one.
+				// A response without a length ends with the connection, so a truncated one can't be told from a
+				// complete one.
 				if resp := c.parser.FinishAtEOF(); resp != nil {
 					c.completeResponse(resp)
 					return
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -32,7 +32,7 @@
 	resetWindow = 25 * time.Millisecond
 )
 
-// unsolicitedMemory is the time for which unsolicited bytes on an idle connection make duplicate responses likely.
+// unsolicitedMemory is how long duplicate responses are expected after unsolicited bytes on an idle connection.
 const unsolicitedMemory = time.Minute
 
 // resetStats holds the rates, from 0 to 1, of requests that are reset on reused and on newly dialed connections.
--- a/internal/net/upstream/upstream.go
+++ b/internal/net/upstream/upstream.go
@@ -2,7 +2,8 @@
 //
 // A [Pool] owns all connections; each carries one request at a time. Everything runs on the goroutine of one event
 // loop; no method may be called from another goroutine, and none blocks. The package never chooses a host and never
-// retries: it reports the outcome of each request to its [Sink].
+// retries: it reports the outcome of each request to its [Sink], and if a connection fails, whether the request may have
+// run.
 package upstream
 
 import (
@@ -122,13 +123,13 @@
 	bodyProgressAt time.Duration // last time that the host took request bytes, or that none were available
 	body           *flow.Pipe    // part of the request body that is not in unsent yet; nil: none
 
-	earlyRelayTimer *loop.Timer // starts the relay of a response of unknown length; nil: not running
+	earlyRelayTimer *loop.Timer // relays an incomplete response of unknown length; started only if nil
 	relay           *relay      // response body that is being relayed; nil: none
 	closeAfterRelay bool        // the connection can't be reused after the relay
 }
 
 // Cancel gives up a request by closing its connection; its outcome is not reported. It reports whether the request may
-// have run, which is also true of a request that is not known.
+// have run; an unknown one may have.
 func (p *Pool) Cancel(ref core.Ref) (ran bool) {
 	c := p.active[ref]
 	if c == nil {
@@ -142,8 +143,7 @@
 	return ran
 }
 
-// Withdraw cancels a request unless it is completely written. Such a request can't have run. It reports whether the
-// request was cancelled.
+// Withdraw cancels a request that is not completely written and so can't have run. It reports whether it did.
 func (p *Pool) Withdraw(ref core.Ref) bool {
 	if c := p.active[ref]; c == nil || c.isFullyWritten() {
 		return false
@@ -156,8 +156,8 @@
 func (c *conn) isFullyWritten() bool { return c.isConnected && len(c.unsent) == 0 && c.body == nil }
 
 // reportOutcome passes the outcome of a request or probe to the sink.
-func (p *Pool) reportOutcome(ref core.Ref, probe bool, o admission.Outcome, a core.Answer) {
-	if probe {
+func (p *Pool) reportOutcome(ref core.Ref, isProbe bool, o admission.Outcome, a core.Answer) {
+	if isProbe {
 		p.sink.ProbeEnded(p.loop.Now(), ref, o)
 		return
 	}
