--- a/internal/net/downstream/body.go
+++ b/internal/net/downstream/body.go
@@ -17,7 +17,7 @@
 
 // startUpload passes a streamed request to the handler, which may send it upstream before its body is complete.
 func (c *Conn) startUpload(req *http1.Request) {
-	u := &bodyUpload{pipe: flow.New(c.server.bounds.Window(c.server.activeUploads), req.ContentLength),
+	u := &bodyUpload{pipe: flow.New(c.server.bounds.RelayWindow(c.server.activeUploads), req.ContentLength),
 		rateSince: c.server.loop.Now()}
 	u.pipe.Append(req.Body) // the parser's copy is released
 	c.parser.ReleaseBodyBuffers()
@@ -96,7 +96,7 @@
 		u.rateSince += sweepInterval
 		return false
 	}
-	return now-u.rateSince > c.server.bounds.RequestTime(u.received)
+	return now-u.rateSince > c.server.bounds.RequestTimeout(u.received)
 }
 
 // responseRelay is a response body that is forwarded while it is being received from the upstream host.
@@ -203,9 +203,9 @@
 // that writes all of a long body before it reads would otherwise never see the response sent meanwhile.
 func (c *Conn) lingerTimeout() time.Duration {
 	if c.hasUnreadBody {
-		return c.server.bounds.FlowSilence
+		return c.server.bounds.RelayStallTimeout
 	}
-	return c.server.bounds.Linger
+	return c.server.bounds.LingerTimeout
 }
 
 // ActiveRelays returns the number of relayed responses that are not completely written.
--- a/internal/net/downstream/close.go
+++ b/internal/net/downstream/close.go
@@ -43,8 +43,8 @@
 	case errors.Is(err, loop.ErrAgain):
 	case errors.Is(err, io.EOF) && len(c.unsent) > 0:
 		c.source.SetEvents(loop.Out) // the client has closed its sending side and still reads the response
-	case err != nil, c.discardedBytes > c.server.bounds.LingerBytes && !c.hasUnreadBody,
-		c.discardedBytes > c.server.bounds.BodyBytes+c.server.bounds.LingerBytes:
+	case err != nil, c.discardedBytes > c.server.bounds.MaxLingerBytes && !c.hasUnreadBody,
+		c.discardedBytes > c.server.bounds.MaxBodyBytes+c.server.bounds.MaxLingerBytes:
 		c.close(closedAfterLinger)
 	}
 }
--- a/internal/net/downstream/close_test.go
+++ b/internal/net/downstream/close_test.go
@@ -23,9 +23,10 @@
 func TestCloseListenersAtConnectionLimit(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	bounds := limits.Limits{Downstream: 4, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4,
-		FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute,
-		Linger: time.Second, LingerBytes: 1 << 10}
+	bounds := limits.Limits{MaxDownstreamConns: 4, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10,
+		MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, EvictionGrace: time.Minute,
+		LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
 	s := New(l, bounds, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	h := &autoReplyHandler{server: s, suspendAfter: -1}
 	require.NoError(t, s.Listen("127.0.0.1:0", h))
@@ -35,10 +36,10 @@
 		_, err := io.WriteString(c, "GET /x HTTP/1.1\r\n\r\n")
 		require.NoError(t, err)
 	}
-	for range bounds.Downstream {
+	for range bounds.MaxDownstreamConns {
 		sendRequest(dial(t, address))
 	}
-	nettest.Until(t, l, func() bool { return len(h.targets) == bounds.Downstream })
+	nettest.Until(t, l, func() bool { return len(h.targets) == bounds.MaxDownstreamConns })
 	var waiting []net.Conn
 	for range 3 {
 		c := dial(t, address)
@@ -48,7 +49,7 @@
 	nettest.Until(t, l, func() bool { return s.acceptPaused })
 	s.Drain()
 	s.CloseListeners()
-	require.Len(t, h.targets, bounds.Downstream+len(waiting))
+	require.Len(t, h.targets, bounds.MaxDownstreamConns+len(waiting))
 	for _, c := range waiting {
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(10*time.Second)))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -73,9 +74,10 @@
 func TestRequestAgeIncludesAcceptDelay(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	bounds := limits.Limits{Downstream: 2, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 1, Ahead: 4,
-		FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute,
-		Linger: time.Second, LingerBytes: 1 << 10}
+	bounds := limits.Limits{MaxDownstreamConns: 2, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10,
+		MaxAcceptsPerTurn: 1, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, EvictionGrace: time.Minute,
+		LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
 	s := New(l, bounds, slog.New(slog.DiscardHandler))
 	h := &ageRecorder{}
 	require.NoError(t, s.Listen("127.0.0.1:0", h))
@@ -117,9 +119,11 @@
 func TestClientClosesBehindBlockedUpload(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	bounds := limits.Limits{Downstream: 4, HeadBytes: 1 << 10, KeepBytes: 1 << 10, BodyBytes: 1 << 20, BodyRate: 1 << 10,
-		Accepts: 4, Ahead: 4, FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute,
-		FreshTime: time.Minute, Linger: time.Second, LingerBytes: 1 << 20, FlowSilence: time.Minute}
+	bounds := limits.Limits{MaxDownstreamConns: 4, MaxHeaderBytes: 1 << 10, MaxBufferedBodyBytes: 1 << 10,
+		MaxBodyBytes: 1 << 20, MinBodyRate: 1 << 10, MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4,
+		FirstRequestTimeout: time.Minute, HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute,
+		EvictionGrace: time.Minute, LingerTimeout: time.Second, MaxLingerBytes: 1 << 20,
+		RelayStallTimeout: time.Minute}
 	s := New(l, bounds, slog.New(slog.DiscardHandler))
 	h := &blockedUploadHandler{}
 	require.NoError(t, s.Listen("127.0.0.1:0", h))
@@ -127,7 +131,7 @@
 	require.NoError(t, err)
 	c := dial(t, address)
 	_, err = io.WriteString(c,
-		"POST /x HTTP/1.1\r\nContent-Length: 500000\r\n\r\n"+strings.Repeat("x", 4*bounds.Window(0)))
+		"POST /x HTTP/1.1\r\nContent-Length: 500000\r\n\r\n"+strings.Repeat("x", 4*bounds.RelayWindow(0)))
 	require.NoError(t, err)
 	nettest.Until(t, l, func() bool { return h.requests == 1 })
 	require.NoError(t, c.Close())
@@ -142,9 +146,10 @@
 	l *loop.Loop, s *Server, h *autoReplyHandler, sendRequest func()) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	bounds := limits.Limits{Downstream: 4, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4,
-		FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute,
-		Linger: time.Second, LingerBytes: 1 << 10}
+	bounds := limits.Limits{MaxDownstreamConns: 4, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10,
+		MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, EvictionGrace: time.Minute,
+		LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
 	change(&bounds)
 	s = New(l, bounds, slog.New(slog.DiscardHandler))
 	h = &autoReplyHandler{server: s, suspendAfter: -1}
@@ -164,7 +169,7 @@
 // A request arrives in the turn in which its connection reaches the idle timeout. It must be answered.
 func TestRequestRacesIdleTimeout(t *testing.T) {
 	l, _, h, sendRequest := newServerWithServedClient(t, func(bounds *limits.Limits) {
-		bounds.DownstreamIdle = sweepInterval / 10
+		bounds.DownstreamIdleTimeout = sweepInterval / 10
 	})
 	l.After(0, func() { time.Sleep(2 * sweepInterval) }) // the next turn has to process both the request and the sweep
 	l.After(time.Millisecond, sendRequest)
@@ -174,9 +179,9 @@
 // A request arrives while its connection is the candidate for eviction. It must be answered, and the connection kept.
 func TestRequestRacesEviction(t *testing.T) {
 	l, s, h, sendRequest := newServerWithServedClient(t, func(bounds *limits.Limits) {
-		bounds.FreshTime = time.Millisecond
+		bounds.EvictionGrace = time.Millisecond
 	})
-	l.After(10*s.bounds.FreshTime, func() {
+	l.After(10*s.bounds.EvictionGrace, func() {
 		sendRequest()
 		require.False(t, s.evictOne(), "the only connection has just received a request")
 	})
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -63,7 +63,7 @@
 
 // New returns a server without listeners that runs on the given loop.
 func New(l *loop.Loop, bounds limits.Limits, log *slog.Logger) *Server {
-	s := &Server{loop: l, bounds: bounds, log: log, conns: map[*Conn]struct{}{}, debugEnabled: core.Debugs(log)}
+	s := &Server{loop: l, bounds: bounds, log: log, conns: map[*Conn]struct{}{}, debugEnabled: core.DebugEnabled(log)}
 	l.After(sweepInterval, s.sweep)
 	return s
 }
@@ -80,7 +80,7 @@
 		case c.lingering && now-c.phaseSince > c.lingerTimeout():
 			c.close(closedLingerTimeout)
 		case c.relay != nil:
-			if now-c.relay.progressAt > s.bounds.FlowSilence {
+			if now-c.relay.progressAt > s.bounds.RelayStallTimeout {
 				c.disconnect(closedNoProgress)
 			}
 		case c.upload != nil && c.isUploadTooSlow(now):
@@ -89,10 +89,10 @@
 		case s.suspended: // nothing is read, so missing input is not the client's fault
 		case c.awaitingResponse || c.lingering:
 		case c.parser.HasMessageStarted():
-			if now-c.phaseSince > s.bounds.RequestTime(c.parser.BodyBytesRead()) {
+			if now-c.phaseSince > s.bounds.RequestTimeout(c.parser.BodyBytesRead()) {
 				c.rejectRequest(408, "request not whole in time")
 			}
-		case !c.wasServed && now-c.openedAt > s.bounds.FirstTime, now-c.phaseSince > s.bounds.DownstreamIdle:
+		case !c.wasServed && now-c.openedAt > s.bounds.FirstRequestTimeout, now-c.phaseSince > s.bounds.DownstreamIdleTimeout:
 			c.closeIfIdle(closedIdle)
 		}
 	}
--- a/internal/net/downstream/eviction.go
+++ b/internal/net/downstream/eviction.go
@@ -40,19 +40,19 @@
 const maxEvictionTries = 8
 
 // evictionCandidate returns the connection without an unanswered request that has the longest weighted silence, or nil
-// if none has been silent for FreshTime.
+// if none has been silent for EvictionGrace.
 func (s *Server) evictionCandidate() *Conn {
 	now := s.loop.Now()
 	var candidate *Conn
 	longest := time.Duration(0)
 	consider := func(l *connList, weight time.Duration) {
-		if c := l.first; c != nil && now-c.lastReadAt > s.bounds.FreshTime && weight*(now-c.lastReadAt) > longest {
+		if c := l.first; c != nil && now-c.lastReadAt > s.bounds.EvictionGrace && weight*(now-c.lastReadAt) > longest {
 			candidate, longest = c, weight*(now-c.lastReadAt)
 		}
 	}
 	consider(&s.newConns, newConnWeight)
 	consider(&s.receiving, 1)
-	if s.newConns.length+s.receiving.length <= s.bounds.Downstream/2 {
+	if s.newConns.length+s.receiving.length <= s.bounds.MaxDownstreamConns/2 {
 		consider(&s.idle, servedConnWeight)
 	}
 	return candidate
@@ -64,7 +64,7 @@
 	servedConnWeight = 2 // served, and no request begun
 )
 
-// pauseAccepting leaves new connections in the kernel's queue until a connection closes or FreshTime has passed.
+// pauseAccepting leaves new connections in the kernel's queue until a connection closes or EvictionGrace has passed.
 func (s *Server) pauseAccepting(cause string) {
 	s.acceptFailed = true
 	if s.acceptPaused {
@@ -78,7 +78,7 @@
 	for _, ln := range s.listeners {
 		ln.source.SetEvents(0)
 	}
-	s.loop.After(s.bounds.FreshTime, s.resumeAccepting)
+	s.loop.After(s.bounds.EvictionGrace, s.resumeAccepting)
 }
 
 // pauseLogInterval is the minimum time between two log records of a pause, since a flood causes many pauses.
--- a/internal/net/downstream/handover.go
+++ b/internal/net/downstream/handover.go
@@ -124,7 +124,8 @@
 		loop.CloseFD(fd)
 		return nil
 	}
-	parser, err := http1.RestoreRequestParser(st.Parser, s.bounds.HeadBytes, s.bounds.BodyBytes, s.bounds.KeepBytes)
+	parser, err := http1.RestoreRequestParser(st.Parser, s.bounds.MaxHeaderBytes, s.bounds.MaxBodyBytes,
+		s.bounds.MaxBufferedBodyBytes)
 	if err != nil {
 		loop.CloseFD(fd)
 		return err
--- a/internal/net/downstream/handover_test.go
+++ b/internal/net/downstream/handover_test.go
@@ -36,9 +36,10 @@
 func TestHandOverKeepsBufferedInput(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	bounds := limits.Limits{Downstream: 10, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4,
-		FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute,
-		Linger: time.Second, LingerBytes: 1 << 10}
+	bounds := limits.Limits{MaxDownstreamConns: 10, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10,
+		MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, LingerTimeout: time.Second,
+		MaxLingerBytes: 1 << 10}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	addr, oldHandler, newHandler := "127.0.0.1:0", &recordingHandler{}, &recordingHandler{}
 	old, next := New(l, bounds, log), New(l, bounds, log)
@@ -115,11 +116,12 @@
 func TestSuspendHoldsPipelinedRequests(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	bounds := limits.Limits{Downstream: 10, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4,
-		FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute,
-		Linger: time.Second, LingerBytes: 1 << 10}
+	bounds := limits.Limits{MaxDownstreamConns: 10, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10,
+		MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, LingerTimeout: time.Second,
+		MaxLingerBytes: 1 << 10}
 	s := New(l, bounds, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	h := &autoReplyHandler{server: s, suspendAfter: bounds.Ahead}
+	h := &autoReplyHandler{server: s, suspendAfter: bounds.MaxPipelinedPerTurn}
 	require.NoError(t, s.Listen("127.0.0.1:0", h))
 	address, err := loop.LocalAddress(s.listeners[0].source.FD())
 	require.NoError(t, err)
@@ -129,7 +131,7 @@
 	nettest.Until(t, l, func() bool { return s.suspended })
 	turns := 0
 	nettest.Until(t, l, func() bool { turns++; return turns > 20 })
-	require.Len(t, h.targets, bounds.Ahead)
+	require.Len(t, h.targets, bounds.MaxPipelinedPerTurn)
 	s.Resume()
 	nettest.Until(t, l, func() bool { return len(h.targets) == 10 })
 }
@@ -139,7 +141,8 @@
 func TestClosedListenerSharedWithAnotherProcess(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	s := New(l, limits.Limits{Downstream: 10, Accepts: 4}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := New(l, limits.Limits{MaxDownstreamConns: 10, MaxAcceptsPerTurn: 4},
+		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(t, s.Listen("127.0.0.1:0", &recordingHandler{}))
 	address, err := loop.LocalAddress(s.listeners[0].source.FD())
 	require.NoError(t, err)
--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -75,9 +75,9 @@
 // Ready accepts waiting connections, up to a maximum per turn so that a burst of connections does not delay responses.
 // After a stall of the process it accepts all of them, because only this turn knows how old their input may be.
 func (ln *clientListener) Ready(uint32) {
-	limit := ln.server.bounds.Accepts
+	limit := ln.server.bounds.MaxAcceptsPerTurn
 	if ln.server.loop.MaxReadDelay() > 0 {
-		limit = ln.server.bounds.Downstream
+		limit = ln.server.bounds.MaxDownstreamConns
 	}
 	ln.accept(limit)
 }
@@ -91,7 +91,7 @@
 		if server.suspended {
 			break
 		}
-		if len(server.conns)+server.predecessorConns >= server.bounds.Downstream && !server.evictOne() {
+		if len(server.conns)+server.predecessorConns >= server.bounds.MaxDownstreamConns && !server.evictOne() {
 			server.pauseAccepting("connection limit reached and no connection can be evicted")
 			break
 		}
@@ -119,7 +119,7 @@
 func (ln *clientListener) openConn(fd int) error {
 	s, now := ln.server, ln.server.loop.Now()
 	c := &Conn{server: s, listener: ln,
-		parser:     http1.NewRequestParser(s.bounds.HeadBytes, s.bounds.BodyBytes, s.bounds.KeepBytes),
+		parser:     http1.NewRequestParser(s.bounds.MaxHeaderBytes, s.bounds.MaxBodyBytes, s.bounds.MaxBufferedBodyBytes),
 		phaseSince: now, openedAt: now, lastReadAt: now}
 	if err := s.register(c, fd); err != nil {
 		return err
--- a/internal/net/downstream/pipeline.go
+++ b/internal/net/downstream/pipeline.go
@@ -1,7 +1,9 @@
 package downstream
 
 // maxBufferedBytes is the maximum size of the pipelined input that is buffered for a connection.
-func (c *Conn) maxBufferedBytes() int { return c.server.bounds.HeadBytes + c.server.bounds.KeepBytes }
+func (c *Conn) maxBufferedBytes() int {
+	return c.server.bounds.MaxHeaderBytes + c.server.bounds.MaxBufferedBodyBytes
+}
 
 // discardOverflow reports whether pipelined input exceeds the buffer, given the number of bytes just read. If so, it
 // discards all pipelined input, now and in all later calls, and the current response closes the connection. The socket
--- a/internal/net/downstream/read.go
+++ b/internal/net/downstream/read.go
@@ -34,7 +34,7 @@
 // readOnce reads the socket once and buffers the input, which may have arrived up to delay earlier. It reports whether
 // bytes were received, and whether the connection is still open.
 func (c *Conn) readOnce(delay time.Duration) (received, open bool) {
-	limit := c.server.bounds.HeadBytes
+	limit := c.server.bounds.MaxHeaderBytes
 	if c.upload != nil {
 		limit = max(1, c.upload.pipe.FreeSpace())
 	}
@@ -72,7 +72,7 @@
 	c.parsing = true
 	defer func() { c.parsing = false }()
 	for n := 0; !c.awaitingResponse && !c.lingering && !c.server.suspended && c.source.FD() >= 0; n++ {
-		if n == c.server.bounds.Ahead { // other connections get their turn first
+		if n == c.server.bounds.MaxPipelinedPerTurn { // other connections get their turn first
 			c.server.loop.After(time.Microsecond, c.parseRequests)
 			break
 		}
@@ -130,7 +130,7 @@
 		if events = loop.Hangup; c.upload.pipe.FreeSpace() > 0 { // a full pipe only needs the end of the connection
 			events |= loop.In
 		}
-	case c.overflowBytes > c.server.bounds.LingerBytes:
+	case c.overflowBytes > c.server.bounds.MaxLingerBytes:
 	case c.awaitingResponse, c.parser.Buffered() <= c.maxBufferedBytes():
 		events |= loop.In
 	}
--- a/internal/net/upstream/body.go
+++ b/internal/net/upstream/body.go
@@ -82,7 +82,7 @@
 	ref := c.ref
 	c.earlyRelayTimer.Stop()
 	delete(c.pool.active, ref)
-	pipe := flow.New(c.pool.bounds.Window(len(c.pool.relays)), resp.ContentLength)
+	pipe := flow.New(c.pool.bounds.RelayWindow(len(c.pool.relays)), resp.ContentLength)
 	c.relay = &relay{pipe: pipe, progressAt: c.pool.loop.Now()}
 	c.closeAfterRelay = resp.Close || len(c.unsent) > 0 || c.body != nil
 	c.detachBody()
@@ -160,7 +160,7 @@
 	for c := range p.relays {
 		if c.relay.pipe.FreeSpace() == 0 {
 			c.relay.progressAt = now
-		} else if now-c.relay.progressAt > p.bounds.FlowSilence {
+		} else if now-c.relay.progressAt > p.bounds.RelayStallTimeout {
 			c.fail(errNoProgress)
 		}
 	}
@@ -168,7 +168,7 @@
 		// Either no body is left to read, or the client has to send more of it, which has a timeout of its own.
 		if c.body == nil || len(c.unsent) == 0 && len(c.body.Bytes()) == 0 {
 			c.bodyProgressAt = now
-		} else if c.isConnected && now-c.bodyProgressAt > p.bounds.FlowSilence {
+		} else if c.isConnected && now-c.bodyProgressAt > p.bounds.RelayStallTimeout {
 			c.fail(errNoProgress)
 		}
 	}
--- a/internal/net/upstream/body_test.go
+++ b/internal/net/upstream/body_test.go
@@ -36,9 +36,9 @@
 	})
 	l, err := loop.New()
 	require.NoError(t, err)
-	bounds, err := limits.For(limits.Site{Sockets: 256, MemoryMB: 64, Gateways: 1})
+	bounds, err := limits.For(limits.Site{Sockets: 256, MemoryMB: 64, Ingresses: 1})
 	require.NoError(t, err)
-	bounds.FlowSilence, bounds.UpstreamIdle, bounds.UpstreamRest = 50*time.Millisecond, time.Minute, 0
+	bounds.RelayStallTimeout, bounds.UpstreamIdleTimeout, bounds.UpstreamReuseDelay = 50*time.Millisecond, time.Minute, 0
 	requestsWritten, sink := uint64(0), &recordingSink{}
 	p := New(l, bounds, slog.New(slog.DiscardHandler), &requestsWritten)
 	p.SetSink(sink)
--- a/internal/net/upstream/hosts.go
+++ b/internal/net/upstream/hosts.go
@@ -18,8 +18,8 @@
 	idle          []*conn       // longest idle first
 }
 
-// Host adds an upstream host, or updates it. The address has the form ip:port; bootTime is the last start of the host, 0
-// if it is not known. A host that is leaving gets no new requests.
+// Host adds an upstream host, or updates it. The address has the form ip:port; bootTime is the last start of the host,
+// 0 if it is not known. A host that is leaving gets no new requests.
 func (p *Pool) Host(name, address string, bootTime time.Duration, leaving bool) {
 	h := p.hosts[name]
 	if h == nil {
--- a/internal/net/upstream/race_test.go
+++ b/internal/net/upstream/race_test.go
@@ -159,7 +159,7 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain")
 		close(sent)
 	})
-	p.bounds.UpstreamRest = time.Hour
+	p.bounds.UpstreamReuseDelay = time.Hour
 	startGet(p, 1)
 	waitForOutcomes(t, l, sink, 1)
 	p.unsolicitedAt = l.Now() // as if unsolicited bytes had been received, as in the test below
@@ -189,7 +189,7 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain")
 			sent <- struct{}{}
 		})
-		p.bounds.UpstreamRest = time.Hour
+		p.bounds.UpstreamReuseDelay = time.Hour
 		startGet(p, 1)
 		waitForOutcomes(t, l, sink, 1)
 		startGet(p, 2)
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -83,7 +83,7 @@
 // connection that has been idle longest. The connection fails if it is not established within the dial timeout.
 // The error is errPoolExhausted or a system error.
 func (p *Pool) dial(host *upstreamHost) (*conn, error) {
-	if p.connCount+p.predecessorConns >= p.bounds.Upstream && !p.evictIdle() {
+	if p.connCount+p.predecessorConns >= p.bounds.MaxUpstreamConns && !p.evictIdle() {
 		return nil, errPoolExhausted
 	}
 	fd, err := loop.Dial(host.address)
@@ -94,14 +94,14 @@
 		return nil, err
 	}
 	c := &conn{pool: p, host: host, address: host.address,
-		parser: http1.NewResponseParser(p.bounds.HeadBytes, p.bounds.BodyBytes, p.bounds.KeepBytes)}
+		parser: http1.NewResponseParser(p.bounds.MaxHeaderBytes, p.bounds.MaxBodyBytes, p.bounds.MaxBufferedBodyBytes)}
 	if c.source, err = p.loop.Watch(fd, loop.Out|loop.Hangup, c); err != nil {
 		loop.CloseFD(fd)
 		return nil, err
 	}
 	p.connCount++
 	c.source.ServeLast() // the event only allows a request to be written, so all other input of the turn comes first
-	c.dialTimer = p.loop.After(p.bounds.DialLimit, func() { c.fail(io.ErrNoProgress) })
+	c.dialTimer = p.loop.After(p.bounds.DialTimeout, func() { c.fail(io.ErrNoProgress) })
 	return c, nil
 }
 
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -83,14 +83,14 @@
 }
 
 // mayReceiveDuplicate reports whether a duplicate of the previous response may still arrive: the pool has received
-// unsolicited bytes lately, and the previous response is younger than UpstreamRest. A duplicate can't be told from the
-// response to the next request, so a successful response in that time counts as a broken connection. Without unsolicited
-// bytes a fast host is trusted: to let each connection rest would cost a handshake wherever the next request only waits
-// for the previous response.
+// unsolicited bytes lately, and the previous response is younger than UpstreamReuseDelay. A duplicate can't be
+// distinguished from the response to the next request, so a successful response in that time counts as a broken
+// connection. Without unsolicited bytes a fast host is trusted: to let each connection rest would cost a handshake
+// wherever the next request only waits for the previous response.
 func (c *conn) mayReceiveDuplicate() bool {
 	now := c.pool.loop.Now()
 	return c.pool.unsolicitedAt > 0 && now-c.pool.unsolicitedAt < unsolicitedMemory &&
-		now-c.idleSince < c.pool.bounds.UpstreamRest
+		now-c.idleSince < c.pool.bounds.UpstreamReuseDelay
 }
 
 // failPossibleDuplicate fails the request if its successful response may be a duplicate of the previous one. It reports
--- a/internal/net/upstream/upstream.go
+++ b/internal/net/upstream/upstream.go
@@ -2,8 +2,8 @@
 //
 // A [Pool] owns all connections; each carries one request at a time. Everything runs on the goroutine of one event
 // loop; no method may be called from another goroutine, and none blocks. The package never chooses a host and never
-// retries: it reports the outcome of each request to its [Sink], and if a connection fails, whether the request may have
-// run.
+// retries: it reports the outcome of each request to its [Sink], and if a connection fails, whether the request may
+// have run.
 package upstream
 
 import (
@@ -60,7 +60,7 @@
 // pool increments requestsWritten for each request that is written completely, except probes.
 func New(l *loop.Loop, bounds limits.Limits, log *slog.Logger, requestsWritten *uint64) *Pool {
 	p := &Pool{loop: l, bounds: bounds, log: log, requestsWritten: requestsWritten, hosts: map[string]*upstreamHost{},
-		active: map[core.Ref]*conn{}, relays: map[*conn]struct{}{}, debugEnabled: core.Debugs(log)}
+		active: map[core.Ref]*conn{}, relays: map[*conn]struct{}{}, debugEnabled: core.DebugEnabled(log)}
 	l.After(sweepInterval, p.sweep)
 	return p
 }
@@ -85,7 +85,7 @@
 			break
 		}
 		old := 0
-		for old < len(h.idle) && now-h.idle[old].idleSince+sweepInterval >= p.bounds.UpstreamIdle {
+		for old < len(h.idle) && now-h.idle[old].idleSince+sweepInterval >= p.bounds.UpstreamIdleTimeout {
 			old++
 		}
 		for _, c := range append([]*conn(nil), h.idle[:old]...) {
