--- a/internal/net/downstream/body.go
+++ b/internal/net/downstream/body.go
@@ -40,7 +40,7 @@
 		return
 	}
 	u := c.upload
-	b, whole, err := c.parser.NextBodyPart()
+	b, complete, err := c.parser.NextBodyPart()
 	if err != nil {
 		c.abortUpload()
 		c.rejectUnparsable(err)
@@ -49,7 +49,7 @@
 	u.received += len(b)
 	u.pipe.Append(b)
 	c.parser.ReleaseBodyBuffers()
-	if whole {
+	if complete {
 		c.clearUpload()
 		u.pipe.CloseWrite(true)
 		if c.awaitingResponse {
@@ -103,7 +103,7 @@
 type responseRelay struct {
 	pipe       *flow.Pipe
 	framing    http1.Framing
-	done       func(whole bool)
+	done       func(complete bool)
 	progressAt time.Duration // last time that the client took bytes, or that none were available
 }
 
@@ -112,7 +112,7 @@
 // complete, unless the connection to the client fails first. A relay is not cut off at the client's deadline, however
 // late it ends, because a long response counts as answered with its first bytes. If the connection is closed or has no
 // unanswered request, Relay only drops the body.
-func (c *Conn) Relay(status int, h http1.Headers, body *flow.Pipe, done func(whole bool)) {
+func (c *Conn) Relay(status int, h http1.Headers, body *flow.Pipe, done func(complete bool)) {
 	if c.source.FD() < 0 || !c.awaitingResponse {
 		body.CloseRead()
 		return
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -30,8 +30,8 @@
 	HandleBodyComplete(c *Conn)
 
 	// HandleMalformed is called for input that is not a valid request, or a request that arrives too slowly. status
-	// and what are the status code and the text of the error response, which the handler sends with [Conn.Reply].
-	HandleMalformed(c *Conn, status int, what string)
+	// and message are the status code and the text of the error response, which the handler sends with [Conn.Reply].
+	HandleMalformed(c *Conn, status int, message string)
 }
 
 // Server holds the client connections of all listeners and enforces their common limit.
--- a/internal/net/downstream/handover_test.go
+++ b/internal/net/downstream/handover_test.go
@@ -27,8 +27,8 @@
 }
 func (h *recordingHandler) HandleClientGone(*Conn)   {}
 func (h *recordingHandler) HandleBodyComplete(*Conn) {}
-func (h *recordingHandler) HandleMalformed(c *Conn, status int, what string) {
-	c.Reply(status, nil, []byte(what))
+func (h *recordingHandler) HandleMalformed(c *Conn, status int, message string) {
+	c.Reply(status, nil, []byte(message))
 }
 
 // A suspended server must not process requests that it has already buffered. Its connections are handed over with the
--- a/internal/net/downstream/read.go
+++ b/internal/net/downstream/read.go
@@ -141,9 +141,9 @@
 }
 
 // rejectRequest has the handler answer an invalid or too slow request. The response closes the connection.
-func (c *Conn) rejectRequest(status int, what string) {
+func (c *Conn) rejectRequest(status int, message string) {
 	c.awaitingResponse, c.closeAfterResponse = true, true
 	c.hasUnreadBody = c.hasUnreadBody || status == 413 // the client may write the whole body before it reads
 	c.removeFromList()
-	c.listener.handler.HandleMalformed(c, status, what)
+	c.listener.handler.HandleMalformed(c, status, message)
 }
--- a/internal/net/upstream/body.go
+++ b/internal/net/upstream/body.go
@@ -106,7 +106,7 @@
 
 // pumpRelay moves received bytes of the response body into the pipe.
 func (c *conn) pumpRelay() {
-	b, whole, err := c.parser.NextBodyPart()
+	b, complete, err := c.parser.NextBodyPart()
 	if err != nil {
 		c.fail(err)
 		return
@@ -115,7 +115,7 @@
 	r.progressAt = c.pool.loop.Now()
 	r.pipe.Append(b)
 	c.parser.ReleaseBodyBuffers()
-	if whole && c.relay == r {
+	if complete && c.relay == r {
 		c.finishRelay()
 		return
 	}
