--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -13,19 +13,18 @@
 	"ferryfront.example/ferryfront/internal/tracecontext"
 )
 
-// Requests, from the choice of a connection to the last byte that is written.
-
-// Message is what goes to an upstream host as it came.
+// Message is the content of an upstream request, as received from the client.
 type Message struct {
 	Method, Target string
-	Headers        http1.Headers // those that pass on
+	Headers        http1.Headers // the client's headers that are passed on
 	Body           []byte
-	BodyPipe       *flow.Pipe // the body, in place of Body, where it is still coming; nil: it is not
-	Trace          core.Trace // that the upstream host is told of; zero: none
-	AtMostOnce     bool       // it must not run twice: once it may have run, nothing can be done for it
+	BodyPipe       *flow.Pipe // replaces Body if the body is still being received; nil: it is not
+	Trace          core.Trace // sent as traceparent and tracestate; zero: none
+	AtMostOnce     bool       // must not run twice, so it can't be retried once it may have run
 }
 
-// Start sends a request to a host.
+// Start sends a request to a host and reports its outcome to the sink. wait is the time left until the deadline of the
+// request; the host is told what is left of it when the request is written. payload must be a *Message.
 func (p *Pool) Start(ref core.Ref, name string, payload core.Payload, wait time.Duration) {
 	m, ok := payload.(*Message)
 	if !ok {
@@ -33,45 +32,46 @@
 		p.sink.UpstreamEnded(p.loop.Now(), ref, admission.NotSent, core.Answer{})
 		return
 	}
-	p.start(ref, name, m, wait, false)
+	p.startRequest(ref, name, m, wait, false)
 }
 
-// Probe asks a host whether it is alive.
+// Probe sends a health check (GET /alive) to a host and reports its outcome to the sink.
 func (p *Pool) Probe(ref core.Ref, name string, wait time.Duration) {
-	p.start(ref, name, &Message{Method: "GET", Target: "/alive"}, wait, true)
+	p.startRequest(ref, name, &Message{Method: "GET", Target: "/alive"}, wait, true)
 }
 
-func (p *Pool) start(ref core.Ref, name string, m *Message, wait time.Duration, probe bool) {
+// startRequest sends a request or probe on an idle connection, or on a new one once that is established.
+func (p *Pool) startRequest(ref core.Ref, name string, m *Message, wait time.Duration, isProbe bool) {
 	h := p.hosts[name]
 	if h == nil {
-		p.ended(ref, probe, admission.Unreachable, core.Answer{})
+		p.reportOutcome(ref, isProbe, admission.Unreachable, core.Answer{})
 		return
 	}
-	if h.leaving || p.loop.HasStalled() { // it was chosen before that was told, or before the process stood still
-		p.ended(ref, probe, admission.NotSent, core.Answer{})
+	if h.leaving || p.loop.HasStalled() { // chosen before the change was announced, or before a stall of the process
+		p.reportOutcome(ref, isProbe, admission.NotSent, core.Answer{})
 		return
 	}
-	if c := p.keeps(h, m); c != nil {
-		c.begin(ref, probe, m, wait)
-		c.compose()
+	if c := p.takeIdle(h, m); c != nil {
+		c.assign(ref, isProbe, m, wait)
+		c.encodeRequest()
 		c.flush()
 		return
 	}
 	c, err := p.dial(h)
 	if err != nil {
-		if now := p.loop.Now(); p.told == 0 || now-p.told > logEvery {
-			p.told = now
+		if now := p.loop.Now(); p.dialErrorLoggedAt == 0 || now-p.dialErrorLoggedAt > dialErrorLogInterval {
+			p.dialErrorLoggedAt = now
 			p.log.Warn("upstream connection not opened", "host", name, "error", err)
 		}
 		p.traceNotOpened(ref, name, err)
-		p.ended(ref, probe, dialOutcome(err), core.Answer{})
+		p.reportOutcome(ref, isProbe, dialOutcome(err), core.Answer{})
 		return
 	}
-	c.begin(ref, probe, m, wait)
+	c.assign(ref, isProbe, m, wait)
 }
 
-// dialOutcome tells what a connection that could not be begun says. What this machine is short of says nothing of the host,
-// which must not be ejected for it.
+// dialOutcome returns the outcome of a request whose connection could not be opened. A shortage of resources on this
+// machine is not the host's fault, and the host must not be ejected for it.
 func dialOutcome(err error) admission.Outcome {
 	if loop.IsOutOfResources(err) {
 		return admission.NotSent
@@ -79,46 +79,50 @@
 	return admission.Unreachable
 }
 
-func (p *Pool) dial(h *host) (*conn, error) {
-	if p.conns+p.elsewhere >= p.lim.MaxUpstreamConns && !p.makeRoom() {
-		return nil, errFull
+// dial starts to open a connection to a host. At the connection limit, or without a free descriptor, it evicts the
+// connection that has been idle longest. The connection fails if it is not established within the dial timeout.
+// The error is errPoolExhausted or a system error.
+func (p *Pool) dial(host *upstreamHost) (*conn, error) {
+	if p.connCount+p.predecessorConns >= p.bounds.MaxUpstreamConns && !p.evictIdle() {
+		return nil, errPoolExhausted
 	}
-	fd, err := loop.Dial(h.addr)
-	if loop.IsOutOfDescriptors(err) && p.makeRoom() {
-		fd, err = loop.Dial(h.addr)
+	fd, err := loop.Dial(host.address)
+	if loop.IsOutOfDescriptors(err) && p.evictIdle() {
+		fd, err = loop.Dial(host.address)
 	}
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{p: p, h: h, addr: h.addr,
-		parser: http1.NewResponseParser(p.lim.MaxHeaderBytes, p.lim.MaxBodyBytes, p.lim.MaxBufferedBodyBytes)}
-	if c.src, err = p.loop.Watch(fd, loop.Out|loop.Hangup, c); err != nil {
+	c := &conn{pool: p, host: host, address: host.address,
+		parser: http1.NewResponseParser(p.bounds.MaxHeaderBytes, p.bounds.MaxBodyBytes, p.bounds.MaxBufferedBodyBytes)}
+	if c.source, err = p.loop.Watch(fd, loop.Out|loop.Hangup, c); err != nil {
 		loop.CloseFD(fd)
 		return nil, err
 	}
-	p.conns++
-	c.src.ServeLast() // what it brings is no more than that a request can be written
-	c.dialing = p.loop.After(p.lim.DialTimeout, func() { c.fail(io.ErrNoProgress) })
+	p.connCount++
+	c.source.ServeLast() // the event only allows a request to be written, so all other input of the turn comes first
+	c.dialTimer = p.loop.After(p.bounds.DialTimeout, func() { c.fail(io.ErrNoProgress) })
 	return c, nil
 }
 
-// begin has the connection carry a request, which is written once it is up.
-func (c *conn) begin(ref core.Ref, probe bool, m *Message, wait time.Duration) {
-	c.traceBegun(ref)
-	c.busy, c.ref, c.probe, c.message, c.ends = true, ref, probe, m, c.p.loop.Now()+wait
-	c.p.out[ref] = c
+// assign makes a request or probe the current one of the connection, without writing it.
+func (c *conn) assign(ref core.Ref, isProbe bool, m *Message, wait time.Duration) {
+	c.traceAssigned(ref)
+	c.hasRequest, c.ref, c.isProbe, c.message, c.deadline = true, ref, isProbe, m, c.pool.loop.Now()+wait
+	c.pool.active[ref] = c
 	if m.BodyPipe != nil {
-		c.attach(m.BodyPipe)
+		c.attachBody(m.BodyPipe)
 	}
 }
 
-// compose makes the request's bytes. It is done when they can be written: the host is told what is left of the time then.
-func (c *conn) compose() {
+// encodeRequest encodes the request into unsent. It is called right before the request is written, because the
+// Request-Timeout header is the time left until the deadline.
+func (c *conn) encodeRequest() {
 	m := c.message
 	c.message = nil
 	headers := m.Headers
-	if !c.probe {
-		left := c.ends - c.p.loop.Now()
+	if !c.isProbe {
+		left := c.deadline - c.pool.loop.Now()
 		headers = append(headers[:len(headers):len(headers)],
 			http1.Header{Name: "Request-Timeout", Value: strconv.FormatInt(max(1, left.Milliseconds()), 10) + "m"})
 	}
@@ -131,67 +135,68 @@
 	}
 	b := make([]byte, 0, 512+len(m.Body))
 	if m.BodyPipe != nil {
-		c.out = http1.AppendRequestHead(b, m.Method, m.Target, "service.internal", headers, m.BodyPipe.ContentLength)
+		c.unsent = http1.AppendRequestHead(b, m.Method, m.Target, "service.internal", headers, m.BodyPipe.ContentLength)
 	} else {
-		c.out = http1.AppendRequest(b, m.Method, m.Target, "service.internal", headers, m.Body)
+		c.unsent = http1.AppendRequest(b, m.Method, m.Target, "service.internal", headers, m.Body)
 	}
 }
 
-// connected writes the request that waited for the connection, unless its time is up.
-func (c *conn) connected() {
-	if c.p.loop.HasStalled() { // what has come of clients and lists meanwhile goes first, in the next turn
+// handleConnected completes the dial and writes the waiting request, unless its deadline has passed.
+func (c *conn) handleConnected() {
+	if c.pool.loop.HasStalled() { // input of clients and discovery that arrived meanwhile goes first, in the next turn
 		return
 	}
-	err := loop.DialResult(c.src.FD())
-	if err == nil && c.p.loop.Now() >= c.ends {
-		err = errLate
+	err := loop.DialResult(c.source.FD())
+	if err == nil && c.pool.loop.Now() >= c.deadline {
+		err = errDeadlinePassed
 	}
 	if err != nil {
 		c.fail(err)
 		return
 	}
-	c.up = true
-	c.src.ServeNormally()
-	c.dialing.Stop()
-	c.compose()
+	c.isConnected = true
+	c.source.ServeNormally()
+	c.dialTimer.Stop()
+	c.encodeRequest()
 	c.flush()
 }
 
+// flush writes as much of the request as is available and the socket takes, and polls for the events it needs next.
 func (c *conn) flush() {
 	for {
-		n, err := loop.Write(c.src.FD(), c.out)
-		if c.out = c.out[n:]; n > 0 {
-			c.took = c.p.loop.Now()
+		n, err := loop.Write(c.source.FD(), c.unsent)
+		if c.unsent = c.unsent[n:]; n > 0 {
+			c.bodyProgressAt = c.pool.loop.Now()
 		}
 		if err != nil {
 			c.fail(err)
 			return
 		}
-		if len(c.out) > 0 {
-			c.src.SetEvents(loop.In | loop.Out | loop.Hangup)
+		if len(c.unsent) > 0 {
+			c.source.SetEvents(loop.In | loop.Out | loop.Hangup)
 			return
 		}
-		again, err := c.draw()
+		mustFlush, err := c.writeBody()
 		if err != nil {
 			c.fail(err)
 			return
 		}
-		if !again {
+		if !mustFlush {
 			break
 		}
 	}
-	if c.body != nil { // more comes, or the host has yet to take some
+	if c.body != nil { // more is to be received, or the socket takes no more now
 		events := uint32(loop.In | loop.Hangup)
 		if len(c.body.Bytes()) > 0 {
 			events |= loop.Out
 		}
-		c.src.SetEvents(events)
+		c.source.SetEvents(events)
 		return
 	}
-	if c.out != nil && !c.probe {
-		*c.p.whole++
-		c.wrote = c.p.loop.Now()
+	if c.unsent != nil && !c.isProbe {
+		*c.pool.requestsWritten++
+		c.writtenAt = c.pool.loop.Now()
 	}
-	c.out = nil
-	c.src.SetEvents(loop.In | loop.Hangup)
+	c.unsent = nil
+	c.source.SetEvents(loop.In | loop.Hangup)
 }
