--- a/internal/capacity/gossip_sim.go
+++ b/internal/capacity/gossip_sim.go
@@ -45,18 +45,18 @@
 
 // newGossipFleet returns members that all act on one version. Of them the last ones are dead.
 func newGossipFleet(members, dead int) (*gossipFleet, error) {
-	bounds, err := limits.For(limits.Site{Sockets: ingressSockets, Gateways: members})
+	bounds, err := limits.For(limits.Site{Sockets: ingressSockets, Ingresses: members})
 	if err != nil {
 		return nil, err
 	}
-	f := &gossipFleet{datagramNetwork: newDatagramNetwork(members, bounds.DatagramsSecond), nodes: make([]*versions.Node, members)}
+	f := &gossipFleet{datagramNetwork: newDatagramNetwork(members, bounds.MaxDatagramsPerSecond), nodes: make([]*versions.Node, members)}
 	f.receive, f.tick = f.received, func(node int) { f.sent(f.nodes[node].Tick(f.now)) }
 	first := versions.NewDoc(1, make([]byte, documentBytes))
 	for member := range members {
 		name := strconv.Itoa(member)
 		f.down[member] = member >= members-dead
 		f.nodes[member] = versions.New(versions.Config{Me: name, Doc: documentName, Seed: uint64(member),
-			Period: bounds.MemberPeriod, AskAgain: bounds.MemberAck, Lease: time.Duration(members+1) * bounds.MemberPeriod,
+			Period: bounds.MemberProbeInterval, AskAgain: bounds.MemberAckTimeout, Lease: time.Duration(members+1) * bounds.MemberProbeInterval,
 			Check: func([]byte) error { return nil }, TextMost: documentMost, PieceMost: pieceSize(name)}, first, f.now)
 	}
 	for member, node := range f.nodes {
--- a/internal/capacity/list_watches.go
+++ b/internal/capacity/list_watches.go
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	fleet := max(1, watchers+readers)
-	lim, err := limits.For(limits.Site{Sockets: 384, Gateways: fleet, Pushed: true})
+	lim, err := limits.For(limits.Site{Sockets: 384, Ingresses: fleet, HasLocalAgent: true})
 	if err != nil {
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 type listSink struct{ watches *listWatches }
 
 // List notes a list that discovery has sent.
-func (s listSink) List(l admission.ServerList) {
+func (s listSink) ServerListReceived(l admission.ServerList) {
 	if l.Kind != admission.ListCached {
 		s.watches.have(l.Version)
 	}
--- a/internal/capacity/measure_counter.go
+++ b/internal/capacity/measure_counter.go
@@ -125,7 +125,7 @@
 }
 
 // Counted notes how a call ended and makes the next one, after a failed one not at once.
-func (c *caller) Counted(a admission.CounterAnswered) {
+func (c *caller) CounterCallEnded(a admission.CounterAnswered) {
 	if a.Outcome != admission.OK {
 		c.failed++
 		c.loop.After(callAgain, c.call)
@@ -155,7 +155,7 @@
 	if err != nil {
 		return 0, err
 	}
-	lim, err := limits.For(limits.Site{Sockets: 1024, CounterLimit: callMost, DialLimit: callMost})
+	lim, err := limits.For(limits.Site{Sockets: 1024, CounterCallTimeout: callMost, DialTimeout: callMost})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/capacity/measure_hosts.go
+++ b/internal/capacity/measure_hosts.go
@@ -102,11 +102,11 @@
 
 // upstreamConnections is how many connections to upstream hosts an ingress may hold; nil where its limits can't be.
 func upstreamConnections() *float64 {
-	lim, err := limits.For(limits.Site{Sockets: ingressSockets, Gateways: TargetIngresses})
+	lim, err := limits.For(limits.Site{Sockets: ingressSockets, Ingresses: TargetIngresses})
 	if err != nil {
 		return nil
 	}
-	return Budget(float64(lim.Upstream))
+	return Budget(float64(lim.MaxUpstreamConns))
 }
 
 // openAtServer is how many connections of the whole fleet a server holds.
--- a/internal/capacity/measure_replacement_test.go
+++ b/internal/capacity/measure_replacement_test.go
@@ -65,5 +65,5 @@
 	took, err := fleet.runUntil(t.Context(), lossMost, lossCheck, fleet.agreed)
 	require.NoError(t, err)
 	assert.True(t, fleet.agreed())
-	assert.Greater(t, took, fleet.bounds.MemberSuspect, "it was suspected first")
+	assert.Greater(t, took, fleet.bounds.MemberSuspicionTimeout, "it was suspected first")
 }
--- a/internal/capacity/membership_fleet.go
+++ b/internal/capacity/membership_fleet.go
@@ -32,11 +32,11 @@
 
 // newMembershipFleet starts so many members at once, each of which the settings name to all.
 func newMembershipFleet(size int) (*membershipFleet, error) {
-	bounds, err := limits.For(limits.Site{Sockets: 384, MemoryMB: 192, Gateways: size})
+	bounds, err := limits.For(limits.Site{Sockets: 384, MemoryMB: 192, Ingresses: size})
 	if err != nil {
 		return nil, err
 	}
-	f := &membershipFleet{datagramNetwork: newDatagramNetwork(size, bounds.DatagramsSecond), bounds: bounds, nodes: make([]*membership.Node, size)}
+	f := &membershipFleet{datagramNetwork: newDatagramNetwork(size, bounds.MaxDatagramsPerSecond), bounds: bounds, nodes: make([]*membership.Node, size)}
 	f.receive, f.tick = f.received, func(node int) { f.sent(f.nodes[node].Handle(f.now, membership.Tick{})) }
 	for member := range size {
 		f.start(member, firstIncarnation)
@@ -53,8 +53,8 @@
 		}
 	}
 	node := membership.New(membership.Config{Me: strconv.Itoa(member), Incarnation: incarnation, Seed: uint64(member) + incarnation,
-		Period: f.bounds.MemberPeriod, AckWithin: f.bounds.MemberAck, SuspectFor: f.bounds.MemberSuspect,
-		Helpers: f.bounds.MemberHelpers, Carry: f.bounds.MemberCarry, Least: len(f.nodes)}, f.now)
+		Period: f.bounds.MemberProbeInterval, AckWithin: f.bounds.MemberAckTimeout, SuspectFor: f.bounds.MemberSuspicionTimeout,
+		Helpers: f.bounds.MemberIndirectProbes, Carry: f.bounds.MemberUpdatesPerMessage, Least: len(f.nodes)}, f.now)
 	node.Roster(others, f.now)
 	f.nodes[member] = node
 	f.sent(node.Handle(f.now, membership.Join{Seeds: others}))
--- a/internal/capacity/server_list.go
+++ b/internal/capacity/server_list.go
@@ -58,7 +58,9 @@
 }
 
 // List gives the decision module the cluster's news.
-func (h *listHolders) List(list admission.ServerList) { h.gateway.Handle(time.Hour, list) }
+func (h *listHolders) ServerListReceived(list admission.ServerList) {
+	h.gateway.Handle(time.Hour, list)
+}
 
 // newListHolders has an ingress of 650 know so many servers.
 func newListHolders(servers int) (*listHolders, error) {
@@ -66,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	bounds, err := limits.For(limits.Site{Sockets: 384, MemoryMB: 192, Gateways: TargetIngresses})
+	bounds, err := limits.For(limits.Site{Sockets: 384, MemoryMB: 192, Ingresses: TargetIngresses})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -66,7 +66,7 @@
 
 // like returns bounds with those of another's that follow new settings without a restart.
 func like(l, other limits.Limits) limits.Limits {
-	l.DrainMost = other.DrainMost
+	l.DrainTimeout = other.DrainTimeout
 	return l
 }
 
@@ -135,9 +135,9 @@
 		}
 	}
 	site := limits.Site{Sockets: r.Object("limits").Int("sockets"), MemoryMB: r.Object("limits").Int("memory_mb"),
-		IdleClose: set.Object("limits").Millis("idleClose"), DialLimit: c.Settings.DialLimit,
-		CounterLimit: c.Settings.CounterLimit, Gateways: c.Settings.Gateways, DrainGrace: c.Settings.DrainGrace,
-		Pushed: !c.Settings.MustAsk}
+		HostIdleTimeout: set.Object("limits").Millis("idleClose"), DialTimeout: c.Settings.DialLimit,
+		CounterCallTimeout: c.Settings.CounterLimit, Ingresses: c.Settings.Gateways, DrainGrace: c.Settings.DrainGrace,
+		HasLocalAgent: !c.Settings.MustAsk}
 	for _, class := range c.Settings.Classes {
 		site.LongestDeadline = max(site.LongestDeadline, min(class.Deadline, 3*time.Second))
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,8 +29,8 @@
 	require.Equal(t, "n9", c.Name)
 	require.Equal(t, "127.0.0.9:1", c.Listen)
 	require.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
-	require.Equal(t, 12*time.Second, c.Limits.UpstreamIdle, "well before the other side closes")
-	require.Equal(t, 2600*time.Millisecond, c.Limits.DrainMost)
+	require.Equal(t, 12*time.Second, c.Limits.UpstreamIdleTimeout, "well before the other side closes")
+	require.Equal(t, 2600*time.Millisecond, c.Limits.DrainTimeout)
 	e := c.Known.Entries[0]
 	require.Equal(t, "127.0.0.4:8443", e.Addr)
 	require.Equal(t, admission.Up, e.State)
@@ -42,9 +42,9 @@
 	c, err := Parse([]byte(good), env(nil))
 	require.NoError(t, err)
 	l := c.Limits
-	require.LessOrEqual(t, l.Downstream+l.Upstream+l.CounterConns, l.Sockets-40)
+	require.LessOrEqual(t, l.MaxDownstreamConns+l.MaxUpstreamConns+l.CounterConns, l.Sockets-40)
 	require.LessOrEqual(t, l.CounterConns, 32)
-	require.Greater(t, l.Downstream, 250)
+	require.Greater(t, l.MaxDownstreamConns, 250)
 }
 
 func TestErrorsNameTheField(t *testing.T) {
@@ -100,7 +100,7 @@
 	require.Equal(t, "n9", to.Name)
 	require.Equal(t, 1, to.Settings.Me)
 	require.Equal(t, 1500*time.Millisecond, to.Settings.Classes[0].Deadline)
-	require.Equal(t, 2100*time.Millisecond, to.Limits.DrainMost)
+	require.Equal(t, 2100*time.Millisecond, to.Limits.DrainTimeout)
 	require.Equal(t, c.Known, to.Known)
 	require.ElementsMatch(t, append(slices.Clone(c.keys), "settings.limits.maxAttempts"), to.keys, "a reload needs the same keys")
 	for _, bad := range []string{"", "{", `{"balancers":1}`, strings.Replace(shared, `"balancers":3`, `"balancers":1`, 1)} {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -58,7 +58,7 @@
 	counter   Counter
 	cluster   Cluster
 	observer  Observer
-	figures   *figures.Figures
+	figures   *figures.Metrics
 	log       *slog.Logger
 	margin    time.Duration
 
@@ -80,92 +80,92 @@
 	reason   admission.Reason // of the end that the module has just ordered
 	turning  bool             // actions are being carried out
 	held     bool             // the module is given nothing yet
-	witness  Witness
+	witness  HandoverObserver
 	parking  bool // counter calls wait,
 	dropping bool // or are a successor's to make
 	parked   []admission.CounterAdd
-	theirs   map[uint64]OpenStream // of the predecessor
+	theirs   map[uint64]StreamState // of the predecessor
 }
 
 // Config holds what a core is built of. Margin is how long before the client's own deadline
 // an answer has to be on its way.
 type Config struct {
-	Decider   Decider
-	Upstreams Upstreams
-	Counter   Counter
-	Cluster   Cluster
-	Observer  Observer         // may be nil
-	Figures   *figures.Figures // may be nil: nobody reads them
-	Log       *slog.Logger
-	Margin    time.Duration
-	Windows   []time.Duration // by class, for which a repeat of its key is recognised; 0: it carries none
+	Decider        Decider
+	Upstreams      Upstreams
+	Counter        Counter
+	Cluster        Cluster
+	Observer       Observer         // may be nil
+	Metrics        *figures.Metrics // may be nil: nobody reads them
+	Log            *slog.Logger
+	DeadlineMargin time.Duration
+	RepeatWindows  []time.Duration // by class, for which a repeat of its key is recognised; 0: it carries none
 }
 
 // New returns a core without streams.
 func New(c Config) *Core {
-	if c.Figures == nil {
-		c.Figures = &figures.Figures{}
+	if c.Metrics == nil {
+		c.Metrics = &figures.Metrics{}
 	}
 	return &Core{decider: c.Decider, upstreams: c.Upstreams, counter: c.Counter, cluster: c.Cluster,
-		observer: c.Observer, figures: c.Figures, log: c.Log, margin: c.Margin,
+		observer: c.Observer, figures: c.Metrics, log: c.Log, margin: c.DeadlineMargin,
 		streams: map[uint64]*stream{}, keys: map[string]struct{}{}, probes: map[uint64]probe{},
-		orders: orders{windows: c.Windows, byKey: map[string]*order{}, places: map[string]place{}},
-		theirs: map[uint64]OpenStream{}, debugs: Debugs(c.Log)}
+		orders: orders{windows: c.RepeatWindows, byKey: map[string]*order{}, places: map[string]place{}},
+		theirs: map[uint64]StreamState{}, debugs: DebugEnabled(c.Log)}
 }
 
 // Observed tells whether anybody is told of streams' ends, and so whether traces are worth keeping.
-func (c *Core) Observed() bool { return c.observer != nil }
+func (c *Core) HasObserver() bool { return c.observer != nil }
 
-// Open tells how many streams are owed an answer.
-func (c *Core) Open() int { return c.open }
+// OpenStreams tells how many streams are owed an answer.
+func (c *Core) OpenStreams() int { return c.open }
 
-// Streams tells how many are open or have something out still.
-func (c *Core) Streams() int { return len(c.streams) }
+// TrackedStreams tells how many are open or have something out still.
+func (c *Core) TrackedStreams() int { return len(c.streams) }
 
-// Pending tells whether the module has not seen all that has happened.
-func (c *Core) Pending() bool { return len(c.events) > 0 }
+// HasPendingEvents tells whether the module has not seen all that has happened.
+func (c *Core) HasPendingEvents() bool { return len(c.events) > 0 }
 
-// Tick sets the time of the turn that begins.
-func (c *Core) Tick(now time.Duration) { c.now = max(c.now, now) }
+// AdvanceClock sets the time of the turn that begins.
+func (c *Core) AdvanceClock(now time.Duration) { c.now = max(c.now, now) }
 
 // Arrive opens a stream and returns its id, which is the core's own. It returns 0 and opens none where a
 // stream with the same key or order is open, or something of it is still out: upstream hosts would take one
 // for a second copy of the other.
-func (c *Core) Arrive(now time.Duration, r Request) uint64 {
-	c.Tick(now)
+func (c *Core) StartStream(now time.Duration, r Request) uint64 {
+	c.AdvanceClock(now)
 	window := c.orders.window(r.Class)
 	if window == 0 {
-		r.Order = ""
+		r.IdempotencyKey = ""
 	}
 	c.orders.expire(c.now)
-	c.callOff(r.Order)
-	if r.Order != "" && c.orders.open(r.Order) {
+	c.callOff(r.IdempotencyKey)
+	if r.IdempotencyKey != "" && c.orders.open(r.IdempotencyKey) {
 		c.traceTurnedDown(r, "its idempotency key is open")
 		c.tally(r.Class, Failed) // the front answers with an error
 		return 0
 	}
-	if r.Key != "" {
-		if _, taken := c.keys[r.Key]; taken {
+	if r.RequestID != "" {
+		if _, taken := c.keys[r.RequestID]; taken {
 			c.traceTurnedDown(r, "its id is open")
 			c.tally(r.Class, Failed)
 			return 0
 		}
-		c.keys[r.Key] = struct{}{}
+		c.keys[r.RequestID] = struct{}{}
 	}
 	c.lastID++
 	ev := r.RequestArrived
 	ev.ID = c.lastID
 	ev.ExpiresIn = max(0, ev.ExpiresIn-c.margin)
-	if r.Order != "" {
-		ev.Earlier = c.orders.earlier(r.Order, c.now)
-		c.orders.begin(r.Order, ev.ID)
+	if r.IdempotencyKey != "" {
+		ev.Earlier = c.orders.earlier(r.IdempotencyKey, c.now)
+		c.orders.begin(r.IdempotencyKey, ev.ID)
 	}
-	s := &stream{id: ev.ID, key: r.Key, order: r.Order, payload: r.Payload, owner: r.Owner, began: c.now, ends: c.now + ev.ExpiresIn,
+	s := &stream{id: ev.ID, key: r.RequestID, order: r.IdempotencyKey, payload: r.Payload, owner: r.Owner, began: c.now, ends: c.now + ev.ExpiresIn,
 		class: ev.Class, plan: ev.Plan, customer: ev.Customer, retry: ev.Retry, window: window,
 		trace: r.Trace}
 	c.streams[s.id] = s
 	c.open++
-	if r.Open {
+	if r.IsIncomplete {
 		s.open, s.expires, s.ends = true, ev.ExpiresIn, c.now+openMost
 		c.coming++
 	} else {
@@ -178,7 +178,7 @@
 
 // UpstreamEnded takes the outcome of an upstream request. The first good answer is the stream's.
 func (c *Core) UpstreamEnded(now time.Duration, ref Ref, o admission.Outcome, a Answer) {
-	c.Tick(now)
+	c.AdvanceClock(now)
 	s := c.streams[ref.Stream]
 	if s == nil || ref.Attempt >= len(s.attempts) || !s.attempts[ref.Attempt].live {
 		drop(a)
@@ -208,7 +208,7 @@
 
 // ProbeEnded takes the outcome of a probe.
 func (c *Core) ProbeEnded(now time.Duration, ref Ref, o admission.Outcome) {
-	c.Tick(now)
+	c.AdvanceClock(now)
 	if p, ok := c.probes[ref.Stream]; ok {
 		delete(c.probes, ref.Stream)
 		c.events = append(c.events, admission.ProbeEnded{Server: p.host, Took: c.now - p.began, Outcome: o})
@@ -216,7 +216,7 @@
 }
 
 // Counted takes the answer to a counter call.
-func (c *Core) Counted(ev admission.CounterAnswered) {
+func (c *Core) CounterCallEnded(ev admission.CounterAnswered) {
 	c.events = append(c.events, ev)
 	if c.observer != nil {
 		c.observer.CounterAnswered(ev.Outcome, ev.Took)
@@ -224,7 +224,7 @@
 }
 
 // List takes discovery's news.
-func (c *Core) List(ev admission.ServerList) {
+func (c *Core) ServerListReceived(ev admission.ServerList) {
 	c.orders.list(ev)
 	c.events = append(c.events, ev)
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -53,7 +53,7 @@
 func setUp(answer func(admission.Event) []admission.Action) (*Core, *script, *world, *bytes.Buffer) {
 	s, w, log := &script{answer: answer}, &world{}, &bytes.Buffer{}
 	return New(Config{Decider: s, Upstreams: w, Counter: w, Cluster: w, Log: slog.New(slog.NewTextHandler(log, nil)),
-		Margin: margin}), s, w, log
+		DeadlineMargin: margin}), s, w, log
 }
 
 func (w *world) request(expires time.Duration) Request {
@@ -70,23 +70,23 @@
 
 func TestFirstGoodAnswerIsTheStreams(t *testing.T) {
 	c, s, w, _ := setUp(sends)
-	id := c.Arrive(10*ms, w.request(100*ms))
+	id := c.StartStream(10*ms, w.request(100*ms))
 	require.NotEqual(t, uint64(99), id, "ids are the core's own")
 	c.Turn(10 * ms)
 	require.Equal(t, []Payload{"as it came"}, w.payload)
 	c.UpstreamEnded(30*ms, Ref{id, 0}, admission.OK, Answer{Body: []byte("yes")})
 	c.Turn(30 * ms)
-	require.Equal(t, []End{{Kind: Served, Answer: Answer{Body: []byte("yes")}, Sent: true}}, w.ends)
+	require.Equal(t, []End{{Kind: Served, Answer: Answer{Body: []byte("yes")}, HasAttempts: true}}, w.ends)
 	require.Equal(t, admission.AttemptEnded{ID: id, Server: "h", Outcome: admission.OK, Took: 20 * ms, Done: true},
 		s.seen[1])
-	require.Zero(t, c.Open())
+	require.Zero(t, c.OpenStreams())
 	require.Empty(t, c.streams)
 }
 
 // The true units that an upstream host charged reach the module with the attempt's end.
 func TestTheTrueUnitsReachTheModule(t *testing.T) {
 	c, s, w, _ := setUp(sends)
-	id := c.Arrive(10*ms, w.request(100*ms))
+	id := c.StartStream(10*ms, w.request(100*ms))
 	c.Turn(10 * ms)
 	c.UpstreamEnded(30*ms, Ref{id, 0}, admission.OK, Answer{Body: []byte("yes"), Billed: 5})
 	c.Turn(30 * ms)
@@ -96,7 +96,7 @@
 // Deadlines of streams that have ended do not wake the loop.
 func TestAnEndedStreamNeedsNoTurn(t *testing.T) {
 	c, _, w, _ := setUp(sends)
-	id := c.Arrive(0, w.request(100*ms))
+	id := c.StartStream(0, w.request(100*ms))
 	require.Equal(t, 100*ms-margin, c.Turn(0))
 	c.UpstreamEnded(5*ms, Ref{id, 0}, admission.OK, Answer{})
 	require.Zero(t, c.Turn(5*ms))
@@ -110,9 +110,9 @@
 		return []admission.Action{admission.CounterAdd{Name: "n"}}
 	})
 	w = world
-	c.Arrive(0, w.request(100*ms))
-	c.Counted(admission.CounterAnswered{})
-	c.List(admission.ServerList{})
+	c.StartStream(0, w.request(100*ms))
+	c.CounterCallEnded(admission.CounterAnswered{})
+	c.ServerListReceived(admission.ServerList{})
 	c.Turn(0)
 	require.Len(t, s.seen, 3)
 	require.Equal(t, []string{"add n", "add n", "add n"}, w.told)
@@ -129,13 +129,13 @@
 		}
 		return sends(ev)
 	})
-	c.Arrive(0, w.request(100*ms))
+	c.StartStream(0, w.request(100*ms))
 	next := c.Turn(0)
 	require.Equal(t, 100*ms-margin, next)
 	require.Equal(t, []time.Duration{100*ms - margin}, w.waits)
 	c.Turn(next)
 	require.Equal(t, []string{"start h", "cancel"}, w.told)
-	require.Equal(t, []End{{Kind: Expired, Sent: true}}, w.ends)
+	require.Equal(t, []End{{Kind: Expired, HasAttempts: true}}, w.ends)
 	require.Len(t, s.seen, 2)
 }
 
@@ -149,7 +149,7 @@
 		}
 		return nil
 	})
-	id := c.Arrive(0, w.request(100*ms))
+	id := c.StartStream(0, w.request(100*ms))
 	c.Turn(20 * ms)
 	c.Turn(40 * ms)
 	require.Equal(t, []string{"start a", "cancel", "start b"}, w.told)
@@ -169,7 +169,7 @@
 		}
 		return nil
 	})
-	id := c.Arrive(0, w.request(100*ms))
+	id := c.StartStream(0, w.request(100*ms))
 	c.Turn(0)
 	require.Contains(t, log.String(), "a fault")
 	for now := time.Duration(0); now < 100*ms; now += ms {
@@ -188,7 +188,7 @@
 		return []admission.Action{admission.Refuse{ID: r.ID, RetryAfter: 3 * ms}, admission.Fail{ID: r.ID},
 			admission.Send{ID: r.ID, Server: "h"}}
 	})
-	c.Arrive(0, w.request(100*ms))
+	c.StartStream(0, w.request(100*ms))
 	c.Turn(0)
 	require.Equal(t, []End{{Kind: Refused, RetryAfter: 3 * ms}}, w.ends)
 	require.Empty(t, w.told, "nothing is sent for a stream that has ended")
@@ -201,9 +201,9 @@
 		}
 		return sends(ev)
 	})
-	id := c.Arrive(0, w.request(100*ms))
+	id := c.StartStream(0, w.request(100*ms))
 	c.Turn(0)
-	c.Leave(5*ms, id)
+	c.ClientDisconnected(5*ms, id)
 	c.Turn(5 * ms)
 	c.Turn(5 * ms)
 	require.Empty(t, w.ends)
@@ -223,7 +223,7 @@
 		return []admission.Action{admission.SetTimer{Token: 7, At: 30 * ms}, admission.CloseIdle{Server: "h"},
 			admission.FetchList{}, admission.Probe{Server: "h"}, admission.Log{Text: "a line"}}
 	})
-	c.List(admission.ServerList{})
+	c.ServerListReceived(admission.ServerList{})
 	require.Equal(t, 30*ms, c.Turn(0))
 	c.Turn(29 * ms)
 	require.Len(t, s.seen, 1)
@@ -238,25 +238,25 @@
 func TestAKeyIsOpenOnce(t *testing.T) {
 	c, _, w, _ := setUp(sends)
 	r := w.request(100 * ms)
-	r.Key = "k"
-	id := c.Arrive(0, r)
+	r.RequestID = "k"
+	id := c.StartStream(0, r)
 	c.Turn(0)
-	require.Zero(t, c.Arrive(0, r))
-	c.Leave(0, id)
-	require.Zero(t, c.Arrive(0, r), "its upstream request is still out")
+	require.Zero(t, c.StartStream(0, r))
+	c.ClientDisconnected(0, id)
+	require.Zero(t, c.StartStream(0, r), "its upstream request is still out")
 	c.UpstreamEnded(0, Ref{id, 0}, admission.OK, Answer{})
-	require.NotZero(t, c.Arrive(0, r))
+	require.NotZero(t, c.StartStream(0, r))
 }
 
 // When the process must end, what is still open is answered, once, and not as a refusal.
 func TestAbandon(t *testing.T) {
 	c, _, w, _ := setUp(sends)
-	c.Arrive(0, w.request(100*ms))
+	c.StartStream(0, w.request(100*ms))
 	c.Turn(0)
-	c.Abandon(50 * ms)
+	c.ExpireStreams(50 * ms)
 	c.Turn(50 * ms)
-	require.Equal(t, []End{{Kind: Expired, Sent: true}}, w.ends)
-	require.Zero(t, c.Open())
+	require.Equal(t, []End{{Kind: Expired, HasAttempts: true}}, w.ends)
+	require.Zero(t, c.OpenStreams())
 	c.Turn(200 * ms)
 	require.Len(t, w.ends, 1)
 }
@@ -289,9 +289,9 @@
 // What must hold for all of a turn comes before requests that wait from the last one.
 func TestAnEventGoesFirst(t *testing.T) {
 	c, s, w, _ := setUp(func(admission.Event) []admission.Action { return nil })
-	c.Arrive(10*ms, w.request(100*ms))
-	c.Tell(admission.TimerFired{})
-	c.TellFirst(admission.FleetChanged{Unsure: true})
+	c.StartStream(10*ms, w.request(100*ms))
+	c.Enqueue(admission.TimerFired{})
+	c.EnqueueFirst(admission.FleetChanged{Unsure: true})
 	c.Turn(10 * ms)
 	require.Len(t, s.seen, 3)
 	require.Equal(t, admission.FleetChanged{Unsure: true}, s.seen[0])
--- a/internal/core/crossing_test.go
+++ b/internal/core/crossing_test.go
@@ -15,9 +15,9 @@
 	for _, unwritten := range []bool{true, false} {
 		c, s, w, _ := setUp(sends)
 		w.unwritten = unwritten
-		id := c.Arrive(0, w.request(100*ms))
+		id := c.StartStream(0, w.request(100*ms))
 		c.Turn(0)
-		c.Leave(5*ms, id)
+		c.ClientDisconnected(5*ms, id)
 		c.Turn(5 * ms)
 		require.Contains(t, s.seen, admission.Event(admission.ClientLeft{ID: id}))
 		ended := admission.AttemptEnded{ID: id, Server: "h", Outcome: admission.NotSent, Took: 5 * ms, Done: true}
@@ -44,11 +44,11 @@
 			return nil
 		})
 		w.unwritten = unwritten
-		id := c.Arrive(0, w.request(100*ms))
+		id := c.StartStream(0, w.request(100*ms))
 		c.Turn(0)
 		c.Turn(20 * ms)
 		c.Turn(20 * ms)
-		c.Do([]admission.Action{admission.Cancel{ID: id, Attempt: 1}})
+		c.Execute([]admission.Action{admission.Cancel{ID: id, Attempt: 1}})
 		c.Turn(20 * ms)
 		var outcomes []admission.Outcome
 		for _, ev := range s.seen {
@@ -77,8 +77,8 @@
 		c.orders.windows = []time.Duration{100 * ms}
 		w.unwritten = unwritten
 		r := w.request(time.Second)
-		r.Order = "k"
-		id := c.Arrive(0, r)
+		r.IdempotencyKey = "k"
+		id := c.StartStream(0, r)
 		c.Turn(0)
 		c.UpstreamEnded(40*ms, Ref{id, 0}, admission.Broken, Answer{})
 		require.Equal(t, 100*ms-margin, c.Turn(40*ms), "from the first")
@@ -104,14 +104,14 @@
 		})
 		c.orders.windows = []time.Duration{time.Second}
 		r := w.request(time.Second)
-		r.Order = "k"
-		id := c.Arrive(0, r)
+		r.IdempotencyKey = "k"
+		id := c.StartStream(0, r)
 		c.Turn(0)
 		c.Turn(0)
 		if left {
-			c.Leave(5*ms, id)
+			c.ClientDisconnected(5*ms, id)
 		}
-		require.Equal(t, left, c.Arrive(5*ms, r) != 0)
+		require.Equal(t, left, c.StartStream(5*ms, r) != 0)
 		c.Turn(5 * ms)
 		if left {
 			require.Equal(t, []string{"start h", "cancel", "start h"}, w.told)
@@ -133,8 +133,8 @@
 
 func (a *again) End(e End) {
 	a.world.End(e)
-	a.c.Leave(a.c.now, a.first)
-	a.id = a.c.Arrive(a.c.now, a.next)
+	a.c.ClientDisconnected(a.c.now, a.first)
+	a.id = a.c.StartStream(a.c.now, a.next)
 }
 
 // The same while a turn's actions are carried out: none of them is lost by it, and the key is open as before.
@@ -154,13 +154,13 @@
 	})
 	c.orders.windows = []time.Duration{time.Second}
 	r := w.request(time.Second)
-	r.Order = "k"
-	owner := &again{world: w, c: c, first: c.Arrive(0, r), next: r}
+	r.IdempotencyKey = "k"
+	owner := &again{world: w, c: c, first: c.StartStream(0, r), next: r}
 	second := w.request(time.Second)
 	second.Owner = owner
-	c.Arrive(0, second)
+	c.StartStream(0, second)
 	c.Turn(0)
-	c.Tell(admission.TimerFired{})
+	c.Enqueue(admission.TimerFired{})
 	c.Turn(5 * ms)
 	require.Zero(t, owner.id)
 	c.Turn(5 * ms)
@@ -184,10 +184,10 @@
 			}
 			return nil
 		})
-		id := c.Arrive(0, w.request(100*ms))
+		id := c.StartStream(0, w.request(100*ms))
 		c.Turn(0)
 		if left {
-			c.Leave(5*ms, id)
+			c.ClientDisconnected(5*ms, id)
 		}
 		c.Turn(5 * ms)
 		c.Turn(20 * ms)
@@ -212,17 +212,17 @@
 		}
 		return nil
 	})
-	id := c.Arrive(0, w.request(100*ms))
+	id := c.StartStream(0, w.request(100*ms))
 	c.Turn(0)
-	c.Counted(admission.CounterAnswered{Name: "h"})
-	c.Leave(ms, id)
-	require.Zero(t, c.Open())
+	c.CounterCallEnded(admission.CounterAnswered{Name: "h"})
+	c.ClientDisconnected(ms, id)
+	require.Zero(t, c.OpenStreams())
 	c.Turn(ms)
 	c.Turn(ms)
 	require.Empty(t, w.told, "nothing was begun")
 	last := s.seen[len(s.seen)-1]
 	require.Equal(t, admission.AttemptEnded{ID: id, Server: "h", Outcome: admission.NotSent, Done: true}, last)
-	require.Zero(t, c.Streams())
+	require.Zero(t, c.TrackedStreams())
 }
 
 // What is answered as actions are carried out brings the next request of its connection, with the key of one whose client
@@ -236,15 +236,15 @@
 	})
 	c.orders.windows = []time.Duration{time.Second}
 	r := w.request(100 * ms)
-	r.Order = "k"
-	left := c.Arrive(0, r)
+	r.IdempotencyKey = "k"
+	left := c.StartStream(0, r)
 	next := w.request(100 * ms)
-	next.Owner = onEnd(func() { c.Arrive(0, r) })
-	other := c.Arrive(0, next)
+	next.Owner = onEnd(func() { c.StartStream(0, r) })
+	other := c.StartStream(0, next)
 	c.Turn(0)
 	seen := len(s.seen)
-	c.Leave(0, left)
-	c.Do([]admission.Action{admission.Refuse{ID: other}, admission.CounterAdd{Name: "a"}})
+	c.ClientDisconnected(0, left)
+	c.Execute([]admission.Action{admission.Refuse{ID: other}, admission.CounterAdd{Name: "a"}})
 	require.Len(t, s.seen, seen, "the module was asked within its own actions")
 }
 
--- a/internal/core/end.go
+++ b/internal/core/end.go
@@ -9,11 +9,11 @@
 // The end of a stream.
 
 // Leave tells that a stream's client has gone.
-func (c *Core) Leave(now time.Duration, id uint64) {
-	c.Tick(now)
+func (c *Core) ClientDisconnected(now time.Duration, id uint64) {
+	c.AdvanceClock(now)
 	if s := c.streams[id]; s != nil && !s.closed {
 		s.owner = nil
-		c.leave(s, Left)
+		c.leave(s, ClientLeft)
 	}
 }
 
@@ -29,9 +29,9 @@
 	}
 }
 
-// Abandon ends every stream that is still open, for there is no time left to wait for its answer.
-func (c *Core) Abandon(now time.Duration) {
-	c.Tick(now)
+// ExpireStreams ends every stream that is still open, for there is no time left to wait for its answer.
+func (c *Core) ExpireStreams(now time.Duration) {
+	c.AdvanceClock(now)
 	for _, s := range c.streams {
 		if !s.closed {
 			c.leave(s, Expired)
@@ -48,9 +48,9 @@
 	if s.open {
 		c.coming--
 	}
-	e.Sent = len(s.attempts) > 0
+	e.HasAttempts = len(s.attempts) > 0
 	if class := s.class; e.Answer.Rest != nil {
-		e.Relayed = func(whole bool) { c.relayed(class, whole) }
+		e.OnRelayed = func(whole bool) { c.relayed(class, whole) }
 	} else {
 		c.tally(class, e.Kind)
 	}
@@ -60,7 +60,7 @@
 		owner.End(e)
 	}
 	if c.observer != nil {
-		rec := Record{Class: s.class, Plan: s.plan, Customer: s.customer, Retry: s.retry, Trace: s.trace, Kind: e.Kind, Began: s.began, Took: c.now - s.began}
+		rec := StreamRecord{Class: s.class, Plan: s.plan, Customer: s.customer, IsRetry: s.retry, Trace: s.trace, Kind: e.Kind, Began: s.began, Took: c.now - s.began}
 		for _, t := range s.attempts {
 			rec.Attempts = append(rec.Attempts, t.AttemptRecord)
 		}
@@ -91,6 +91,6 @@
 		c.orders.end(s.order, s.id)
 	}
 	if c.witness != nil {
-		c.witness.Done(s.id, c.now)
+		c.witness.StreamDone(s.id, c.now)
 	}
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -8,48 +8,48 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// Witness is told what becomes of a core's streams while a successor shares its upstream hosts and quotas.
-type Witness interface {
-	Sent(stream uint64, host string, at time.Duration)
+// HandoverObserver is told what becomes of a core's streams while a successor shares its upstream hosts and quotas.
+type HandoverObserver interface {
+	AttemptStarted(stream uint64, host string, at time.Duration)
 	AttemptEnded(ev admission.AttemptEnded, at time.Duration)
-	Done(stream uint64, at time.Duration)
+	StreamDone(stream uint64, at time.Duration)
 }
 
-// OpenStream is a stream that owes an answer, or of which something is still out.
-type OpenStream struct {
-	ID         uint64
-	Key, Order string
+// StreamState is a stream that owes an answer, or of which something is still out.
+type StreamState struct {
+	ID                        uint64
+	RequestID, IdempotencyKey string
 }
 
 // KeyState is what is remembered of an idempotency key.
 type KeyState struct {
-	Key, Host, Zone string
-	Cell            int
-	At, Until       time.Duration
-	Stream          uint64
+	Key, Host, Zone      string
+	Cell                 int
+	StartedAt, ExpiresAt time.Duration
+	StreamID             uint64
 }
 
-// Open streams and keys of a core, for its successor.
-type Open struct {
+// Snapshot streams and keys of a core, for its successor.
+type Snapshot struct {
 	LastID  uint64
-	Streams []OpenStream
+	Streams []StreamState
 	Keys    []KeyState
 }
 
-// Share returns what is open and tells a witness from now on what becomes of it. Counter calls that the module
-// orders from now on wait: they are the successor's to make, see [Core.Unshare].
-func (c *Core) Share(w Witness) Open {
+// StartHandover returns what is open and tells a witness from now on what becomes of it. Counter calls that the module
+// orders from now on wait: they are the successor's to make, see [Core.CancelHandover].
+func (c *Core) StartHandover(w HandoverObserver) Snapshot {
 	c.witness, c.parking = w, true
-	open := Open{LastID: c.lastID}
+	open := Snapshot{LastID: c.lastID}
 	for _, s := range c.streams {
-		open.Streams = append(open.Streams, OpenStream{s.id, s.key, s.order})
+		open.Streams = append(open.Streams, StreamState{s.id, s.key, s.order})
 	}
-	slices.SortFunc(open.Streams, func(a, b OpenStream) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(open.Streams, func(a, b StreamState) int { return cmp.Compare(a.ID, b.ID) })
 	for key, k := range c.orders.byKey {
 		if k.ran || k.stream != 0 {
-			state := KeyState{Key: key, Stream: k.stream}
+			state := KeyState{Key: key, StreamID: k.stream}
 			if k.ran {
-				state.Host, state.Zone, state.Cell, state.At, state.Until = k.host, k.place.zone, k.place.cell, k.at, k.until
+				state.Host, state.Zone, state.Cell, state.StartedAt, state.ExpiresAt = k.host, k.place.zone, k.place.cell, k.at, k.until
 			}
 			open.Keys = append(open.Keys, state)
 		}
@@ -58,12 +58,12 @@
 	return open
 }
 
-// Settle drops the counter calls that waited: a successor has the state that ordered them, and makes them.
+// CommitHandover drops the counter calls that waited: a successor has the state that ordered them, and makes them.
 // Those that the module still orders are dropped, too.
-func (c *Core) Settle() { c.parked, c.dropping = nil, true }
+func (c *Core) CommitHandover() { c.parked, c.dropping = nil, true }
 
-// Unshare goes on alone. The counter calls that waited are made.
-func (c *Core) Unshare() {
+// CancelHandover goes on alone. The counter calls that waited are made.
+func (c *Core) CancelHandover() {
 	c.witness, c.parking, c.dropping = nil, false, false
 	parked := c.parked
 	c.parked = nil
@@ -72,37 +72,37 @@
 	}
 }
 
-// Hold keeps the module from being given events, until it has its predecessor's state.
-func (c *Core) Hold() { c.held = true }
+// HoldEvents keeps the module from being given events, until it has its predecessor's state.
+func (c *Core) HoldEvents() { c.held = true }
 
-// Adopt begins with a predecessor's open streams. Ids of ours come after all that it may still give out. What
+// Restore begins with a predecessor's open streams. Ids of ours come after all that it may still give out. What
 // was held back for the module is dropped; its own state is newer.
-func (c *Core) Adopt(now time.Duration, open Open, actions []admission.Action) {
-	c.Tick(now)
+func (c *Core) Restore(now time.Duration, open Snapshot, actions []admission.Action) {
+	c.AdvanceClock(now)
 	c.events, c.held = c.events[:0], false
 	c.lastID = open.LastID + theirIDs
 	for _, s := range open.Streams {
 		c.theirs[s.ID] = s
-		if s.Key != "" {
-			c.keys[s.Key] = struct{}{}
+		if s.RequestID != "" {
+			c.keys[s.RequestID] = struct{}{}
 		}
 	}
 	for _, k := range open.Keys {
-		c.orders.byKey[k.Key] = &order{stream: k.Stream, ran: k.Until > 0, host: k.Host, place: place{k.Zone, k.Cell}, at: k.At,
-			until: k.Until}
-		if k.Stream == 0 {
-			c.orders.ending = append(c.orders.ending, ending{k.Key, k.Until})
+		c.orders.byKey[k.Key] = &order{stream: k.StreamID, ran: k.ExpiresAt > 0, host: k.Host, place: place{k.Zone, k.Cell}, at: k.StartedAt,
+			until: k.ExpiresAt}
+		if k.StreamID == 0 {
+			c.orders.ending = append(c.orders.ending, ending{k.Key, k.ExpiresAt})
 		}
 	}
-	c.Do(actions)
+	c.Execute(actions)
 }
 
 // theirIDs are left to the predecessor, whose probes take ids, too.
 const theirIDs = 1 << 20
 
-// Do carries out actions that the module gave. The module reuses the slice with its next event, so it is given none
+// Execute carries out actions that the module gave. The module reuses the slice with its next event, so it is given none
 // before all are carried out, whatever that brings about: what is answered may bring the next request of its connection.
-func (c *Core) Do(actions []admission.Action) {
+func (c *Core) Execute(actions []admission.Action) {
 	c.turning = true
 	for _, a := range actions {
 		c.do(a)
@@ -110,38 +110,38 @@
 	c.turning = false
 }
 
-// Theirs tells how many of the predecessor's streams are not over.
-func (c *Core) Theirs() int { return len(c.theirs) }
+// PredecessorStreams tells how many of the predecessor's streams are not over.
+func (c *Core) PredecessorStreams() int { return len(c.theirs) }
 
-// TheirsSent notes that the predecessor has sent one of its streams on.
-func (c *Core) TheirsSent(id uint64, host string, at time.Duration) {
-	if s, ok := c.theirs[id]; ok && s.Order != "" {
-		c.orders.sent(s.Order, host, at, c.orders.longest())
+// PredecessorSent notes that the predecessor has sent one of its streams on.
+func (c *Core) PredecessorSent(id uint64, host string, at time.Duration) {
+	if s, ok := c.theirs[id]; ok && s.IdempotencyKey != "" {
+		c.orders.sent(s.IdempotencyKey, host, at, c.orders.longest())
 	}
 }
 
-// TheirsEnded notes that an attempt which it made at a time has ended.
-func (c *Core) TheirsEnded(id uint64, host string, at time.Duration, o admission.Outcome) {
-	if s, ok := c.theirs[id]; ok && s.Order != "" && unran(o) {
-		c.orders.unran(s.Order, host, at)
+// PredecessorAttemptEnded notes that an attempt which it made at a time has ended.
+func (c *Core) PredecessorAttemptEnded(id uint64, host string, at time.Duration, o admission.Outcome) {
+	if s, ok := c.theirs[id]; ok && s.IdempotencyKey != "" && unran(o) {
+		c.orders.unran(s.IdempotencyKey, host, at)
 	}
 }
 
-// TheirsDone notes that one of its streams is over, and frees its ids.
-func (c *Core) TheirsDone(id uint64) {
+// PredecessorStreamDone notes that one of its streams is over, and frees its ids.
+func (c *Core) PredecessorStreamDone(id uint64) {
 	s, ok := c.theirs[id]
 	if !ok {
 		return
 	}
 	delete(c.theirs, id)
-	delete(c.keys, s.Key)
-	c.orders.end(s.Order, id)
+	delete(c.keys, s.RequestID)
+	c.orders.end(s.IdempotencyKey, id)
 }
 
-// TheirsGone notes that all of them are over, with their process.
-func (c *Core) TheirsGone() {
+// PredecessorExited notes that all of them are over, with their process.
+func (c *Core) PredecessorExited() {
 	for id := range c.theirs {
-		c.TheirsDone(id)
+		c.PredecessorStreamDone(id)
 	}
 }
 
--- a/internal/core/open.go
+++ b/internal/core/open.go
@@ -21,7 +21,7 @@
 // callOff has the module hear at once of a client that left within this turn, where its key comes again: what is out of
 // it is called off before the turn's end otherwise, and the next would be turned away for it.
 func (c *Core) callOff(order string) {
-	if k := c.orders.byKey[order]; k != nil && c.Pending() && !c.turning {
+	if k := c.orders.byKey[order]; k != nil && c.HasPendingEvents() && !c.turning {
 		if s := c.streams[k.stream]; s != nil && s.closed {
 			c.Turn(c.now)
 		}
@@ -29,8 +29,8 @@
 }
 
 // Whole tells that a request which was open has wholly come: its time runs from now.
-func (c *Core) Whole(now time.Duration, id uint64) {
-	c.Tick(now)
+func (c *Core) RequestCompleted(now time.Duration, id uint64) {
+	c.AdvanceClock(now)
 	s := c.streams[id]
 	if s == nil || !s.open || s.closed {
 		return
@@ -54,28 +54,28 @@
 	c.events = append(c.events, admission.RequestWhole{ID: id})
 }
 
-// Taken tells how many of the open streams' requests have wholly come.
-func (c *Core) Taken() int { return c.open - c.coming }
+// CompleteRequests tells how many of the open streams' requests have wholly come.
+func (c *Core) CompleteRequests() int { return c.open - c.coming }
 
-// UseCounter has calls carried out by a counter from now on.
-func (c *Core) UseCounter(counter Counter) { c.counter = counter }
+// SetCounter has calls carried out by a counter from now on.
+func (c *Core) SetCounter(counter Counter) { c.counter = counter }
 
-// Follow goes on under other settings, from the next event on. Streams that are open keep what they came with.
-func (c *Core) Follow(now time.Duration, s admission.Settings) {
-	c.Tick(now)
-	c.orders.windows = Windows(s.Classes)
+// UpdateSettings goes on under other settings, from the next event on. Streams that are open keep what they came with.
+func (c *Core) UpdateSettings(now time.Duration, s admission.Settings) {
+	c.AdvanceClock(now)
+	c.orders.windows = RepeatWindows(s.Classes)
 	c.events = append(c.events, admission.SettingsChanged{Settings: s})
 }
 
-// Tell hands the module an event that is of no stream, in order with the others.
-func (c *Core) Tell(ev admission.Event) { c.events = append(c.events, ev) }
+// Enqueue hands the module an event that is of no stream, in order with the others.
+func (c *Core) Enqueue(ev admission.Event) { c.events = append(c.events, ev) }
 
-// TellFirst hands the module an event before all that wait, those left over from the last turn among them: what it
+// EnqueueFirst hands the module an event before all that wait, those left over from the last turn among them: what it
 // takes away must not be used by any of them.
-func (c *Core) TellFirst(ev admission.Event) { c.events = slices.Insert(c.events, 0, ev) }
+func (c *Core) EnqueueFirst(ev admission.Event) { c.events = slices.Insert(c.events, 0, ev) }
 
-// Windows are the times, by class, for which a repeat of a key is recognised; 0 where a class has no keys.
-func Windows(classes []admission.Class) (windows []time.Duration) {
+// RepeatWindows are the times, by class, for which a repeat of a key is recognised; 0 where a class has no keys.
+func RepeatWindows(classes []admission.Class) (windows []time.Duration) {
 	for _, class := range classes {
 		window := time.Duration(0)
 		if class.Effect == admission.Keyed {
@@ -95,8 +95,8 @@
 
 // drop tells who sends the rest of an answer that nobody takes it.
 func drop(a Answer) {
-	if r, ok := a.Rest.(interface{ Drop() }); ok {
-		r.Drop()
+	if r, ok := a.Rest.(interface{ CloseRead() }); ok {
+		r.CloseRead()
 	}
 }
 
@@ -113,7 +113,7 @@
 func (c *Core) tally(class int, kind EndKind) {
 	f := c.figures.Class(class)
 	switch {
-	case f == nil || kind == Left:
+	case f == nil || kind == ClientLeft:
 	case kind == Served:
 		f.Success++
 	case kind == Refused:
--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -39,7 +39,7 @@
 	CloseIdle(host string)
 }
 
-// Counter carries out counter calls; each ends with one call of [Core.Counted].
+// Counter carries out counter calls; each ends with one call of [Core.CounterCallEnded].
 type Counter interface {
 	Add(name string, by float64, keep time.Duration)
 }
@@ -52,29 +52,29 @@
 	Body        []byte
 	ContentType string
 	Rest        any // what comes after Body, nil: nothing. The core does not look into it
-	Billed      int // true units that the upstream host charged, where units settle afterwards; 0: not told
+	Billed int // true units that the upstream host charged, where units settle afterwards; 0: not told
 }
 
 // EndKind tells how a stream ended.
 type EndKind int
 
 const (
-	Served  EndKind = iota // with an upstream host's answer
-	Refused                // by the module: trying again is harmless
-	Failed                 // by the module: nothing is promised of the effect
-	Expired                // by the module, after an upstream request ran out of time; or by nobody in time
-	Left                   // its client went away
+	Served     EndKind = iota // with an upstream host's answer
+	Refused                   // by the module: trying again is harmless
+	Failed                    // by the module: nothing is promised of the effect
+	Expired                   // by the module, after an upstream request ran out of time; or by nobody in time
+	ClientLeft                // its client went away
 )
 
 // End is the one end of a stream.
 type End struct {
-	Kind       EndKind
-	Answer     Answer
-	RetryAfter time.Duration
-	Sent       bool // an upstream request was made for it
-	// Relayed is set where the answer's body is still coming: it is to be told whether the client got all of it. It is
+	Kind        EndKind
+	Answer      Answer
+	RetryAfter  time.Duration
+	HasAttempts bool // an upstream request was made for it
+	// OnRelayed is set where the answer's body is still coming: it is to be told whether the client got all of it. It is
 	// not called for a client that leaves.
-	Relayed func(whole bool)
+	OnRelayed func(whole bool)
 }
 
 // Owner is the front's side of a stream. It is told the end once, unless the client left.
@@ -89,19 +89,19 @@
 // Request is what a front knows of a client's request.
 type Request struct {
 	admission.RequestArrived        // all but the ID
-	Key                      string // upstream hosts know it by this: no two that are out share one; empty: none
-	Order                    string // its idempotency key, where its class has them
+	RequestID                string // upstream hosts know it by this: no two that are out share one; empty: none
+	IdempotencyKey           string // its idempotency key, where its class has them
 	Trace                    Trace
 	Payload                  Payload
 	Owner                    Owner
-	Open                     bool // part of it is still to come: its time runs from Whole
+	IsIncomplete             bool // part of it is still to come: its time runs from Whole
 }
 
-// Record is what an observer is told of an ended stream.
-type Record struct {
+// StreamRecord is what an observer is told of an ended stream.
+type StreamRecord struct {
 	Class, Plan int
 	Customer    uint64
-	Retry       bool // as its client marks it
+	IsRetry     bool // as its client marks it
 	Trace       Trace
 	Kind        EndKind
 	Began       time.Duration
@@ -119,6 +119,6 @@
 
 // Observer is told of what has happened. It must return at once.
 type Observer interface {
-	StreamEnded(Record)
+	StreamEnded(StreamRecord)
 	CounterAnswered(admission.Outcome, time.Duration)
 }
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -11,8 +11,8 @@
 // The debug log of requests: each line has the stream's number, by which all lines of one request are found, and its first
 // one the client's Request-Id. While the log is at a higher level none of it is computed.
 
-// Debugs tells whether a log takes debug lines. It is asked once, at a start: the level of a process does not change.
-func Debugs(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
+// DebugEnabled tells whether a log takes debug lines. It is asked once, at a start: the level of a process does not change.
+func DebugEnabled(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
 
 func (c *Core) traceArrived(s *stream, expires time.Duration) {
 	if c.debugs {
@@ -23,7 +23,7 @@
 
 func (c *Core) traceTurnedDown(r Request, why string) {
 	if c.debugs {
-		c.log.Debug("request turned down", "request", r.Key, "order", r.Order, "reason", why)
+		c.log.Debug("request turned down", "request", r.RequestID, "order", r.IdempotencyKey, "reason", why)
 	}
 }
 
@@ -58,7 +58,7 @@
 		return "failed"
 	case Expired:
 		return "expired"
-	case Left:
+	case ClientLeft:
 		return "client_left"
 	}
 	return "unknown"
--- a/internal/core/turn.go
+++ b/internal/core/turn.go
@@ -23,7 +23,7 @@
 // Turn fires what is due, gives the turn's events to the module in one go and carries out the
 // actions. It returns when it needs the next turn, 0 for never.
 func (c *Core) Turn(now time.Duration) time.Duration {
-	c.Tick(now)
+	c.AdvanceClock(now)
 	if c.held {
 		return 0
 	}
@@ -43,12 +43,12 @@
 		c.handle(ev)
 	}
 	clear(events)
-	c.Do(c.actions)
+	c.Execute(c.actions)
 	c.told(leaving)
 	if len(c.events) > 0 { // carrying out has brought news
 		return c.now
 	}
-	c.timers.Skip(c.matters)
+	c.timers.DiscardInactive(c.matters)
 	next, _ := c.timers.Next()
 	return next
 }
@@ -185,7 +185,7 @@
 	s.attempts = append(s.attempts, attempt{AttemptRecord: AttemptRecord{Host: a.Server, Began: c.now}, live: true})
 	s.live++
 	if c.witness != nil {
-		c.witness.Sent(s.id, a.Server, c.now)
+		c.witness.AttemptStarted(s.id, a.Server, c.now)
 	}
 	if s.closed || c.now >= s.ends || a.Wait < 0 || gone(s.payload) {
 		c.UpstreamEnded(c.now, ref, admission.NotSent, Answer{})
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -24,7 +24,7 @@
 	for _, c := range d.cfg.Settings.Classes {
 		names = append(names, c.Name)
 	}
-	d.figures.Name(names)
+	d.figures.AddClasses(names)
 }
 
 // adminHandler answers operators for a daemon.
@@ -39,26 +39,26 @@
 func (o adminHandler) StatusDetails() string {
 	f := o.d.version()
 	switch {
-	case f.Newest == 0:
+	case f.NewestVersion == 0:
 		return ""
-	case f.Alone:
-		return fmt.Sprintf(" settings=%d cut off", f.Newest)
-	case f.Acting > 1 || f.Stale > 0:
-		return fmt.Sprintf(" settings=%d not agreed, from %d", f.Newest, f.Oldest)
+	case f.IsCutOff:
+		return fmt.Sprintf(" settings=%d cut off", f.NewestVersion)
+	case f.ActiveVersions > 1 || f.StaleMembers > 0:
+		return fmt.Sprintf(" settings=%d not agreed, from %d", f.NewestVersion, f.OldestVersion)
 	}
-	return fmt.Sprintf(" settings=%d", f.Newest)
+	return fmt.Sprintf(" settings=%d", f.NewestVersion)
 }
 
 // version is what is told of the settings, and of the list of drained hosts: their versions, and whether all members
 // act on them.
-func (d *Daemon) version() (f figures.Rules) {
-	f = figures.Rules{Newest: d.told.Version, Oldest: d.told.Version, Acting: 1, Drained: d.told.DrainedVersion}
+func (d *Daemon) version() (f figures.SettingsVersions) {
+	f = figures.SettingsVersions{NewestVersion: d.told.Version, OldestVersion: d.told.Version, ActiveVersions: 1, DrainedVersion: d.told.DrainedVersion}
 	if s := d.drainedSource(); s != nil {
-		f.Drained, f.DrainedStale = s.Newest().Number, len(s.Stale())
+		f.DrainedVersion, f.DrainedStaleMembers = s.Newest().Number, len(s.Stale())
 	}
 	if s := d.settingsSource(); s != nil {
-		f.Newest, f.Oldest, f.Acting = s.Newest().Number, s.Acting()[0].Number, len(s.Acting())
-		f.Stale, f.Rejected, f.Alone = len(s.Stale()), len(s.Refused()), s.Alone(d.loop.Now())
+		f.NewestVersion, f.OldestVersion, f.ActiveVersions = s.Newest().Number, s.Acting()[0].Number, len(s.Acting())
+		f.StaleMembers, f.RejectedVersions, f.IsCutOff = len(s.Stale()), len(s.Refused()), s.Alone(d.loop.Now())
 	}
 	return f
 }
@@ -66,14 +66,14 @@
 // AppendMetrics appends the figures as they stand.
 func (o adminHandler) AppendMetrics(room []byte) []byte {
 	d := o.d
-	room = d.figures.Append(room, figures.Present{InFlight: d.core.Taken() + d.server.Relaying(), Listed: d.watcher.HostCount(),
-		Down: d.module.Avoided(d.loop.Now())})
-	room = figures.AppendRules(room, d.version())
+	room = d.figures.AppendText(room, figures.Gauges{InFlight: d.core.CompleteRequests() + d.server.Relaying(), ListedHosts: d.watcher.HostCount(),
+		AvoidedHosts: d.module.Avoided(d.loop.Now())})
+	room = figures.AppendSettingsVersions(room, d.version())
 	if d.group != nil {
-		room = figures.AppendControl(room, d.group.figures(d.loop.Now()))
+		room = figures.AppendControlGroup(room, d.group.figures(d.loop.Now()))
 	}
 	if d.members == nil {
 		return room
 	}
-	return figures.AppendFleet(room, d.present(d.loop.Now()))
+	return figures.AppendMembership(room, d.present(d.loop.Now()))
 }
--- a/internal/daemon/agreement.go
+++ b/internal/daemon/agreement.go
@@ -197,9 +197,9 @@
 		}
 		to = c
 	}
-	most := to.Limits.DrainMost // of the bounds, what follows from settings; the others are as the program's own say
+	most := to.Limits.DrainTimeout // of the bounds, what follows from settings; the others are as the program's own say
 	to.Limits = of.Limits
-	to.Limits.DrainMost = most
+	to.Limits.DrainTimeout = most
 	to.Settings, err = settings.Follow(d.cfg.Settings, to.Settings)
 	return to, err
 }
--- a/internal/daemon/beside.go
+++ b/internal/daemon/beside.go
@@ -112,12 +112,12 @@
 
 // endInTime ends what is still open when the time of a planned end is up, and then the process.
 func (d *Daemon) endInTime() {
-	d.loop.After(d.cfg.Limits.DrainMost, func() {
-		if open := d.core.Open(); open > 0 {
+	d.loop.After(d.cfg.Limits.DrainTimeout, func() {
+		if open := d.core.OpenStreams(); open > 0 {
 			d.log.Warn("drain cut short", "streams", open)
-			d.core.Abandon(d.loop.Now())
+			d.core.ExpireStreams(d.loop.Now())
 		}
 		d.server.CutRelays()
-		d.loop.After(d.cfg.Limits.DrainFlush, d.loop.Stop)
+		d.loop.After(d.cfg.Limits.DrainFlushPeriod, d.loop.Stop)
 	})
 }
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -214,7 +214,7 @@
 	d := c.d
 	return onLoop(d, Status{Error: "the daemon does not answer"}, func() Status {
 		s := Status{Name: d.cfg.Name, Version: d.o.Version, Pid: os.Getpid(), Phase: d.pred.machine.State.String(),
-			Streams: d.core.Open(), Connections: d.server.Connections(), Upstreams: d.hosts.Connections(),
+			Streams: d.core.OpenStreams(), Connections: d.server.Connections(), Upstreams: d.hosts.Connections(),
 			Customers: d.module.Known(), Control: d.controlStatus()}
 		if d.trial() {
 			s.Phase = d.succ.machine.State.String()
--- a/internal/daemon/controlgroup.go
+++ b/internal/daemon/controlgroup.go
@@ -41,9 +41,9 @@
 		ID: controlgroup.MemberID(d.cfg.Settings.Me),
 		// A later process must have the higher incarnation.
 		Incarnation: controlgroup.Incarnation(max(1, time.Now().UnixMilli())),
-		First:       g.files, Check: d.checkDocument, ReadyWait: d.cfg.Limits.ControlReadyWait}, now)
+		First:       g.files, Check: d.checkDocument, ReadyWait: d.cfg.Limits.ControlReadyTimeout}, now)
 	d.group = g
-	g.notifyShare(false, d.core.Tell)
+	g.notifyShare(false, d.core.Enqueue)
 	g.client = controlclient.Open(d.loop, d.cfg.Limits, d.log, controlclient.Config{Replicas: d.o.ControlReplicas,
 		Number: d.cfg.Settings.Me, Seed: d.cfg.Seed + uint64(d.cfg.Settings.Me), Member: observedMember{g.member, g},
 		Changed: g.changed})
@@ -100,7 +100,7 @@
 // must not be used by what queued up in the meantime.
 func (g *controlGroup) turnStart(now time.Duration) {
 	if g.share && !g.member.HoldsShare(now) {
-		g.notifyShare(false, g.d.core.TellFirst)
+		g.notifyShare(false, g.d.core.EnqueueFirst)
 	}
 	g.logLease(now)
 }
@@ -112,7 +112,7 @@
 		return
 	}
 	if holds := g.member.HoldsShare(now); holds != g.share {
-		g.notifyShare(holds, d.core.Tell)
+		g.notifyShare(holds, d.core.Enqueue)
 	}
 	held := g.member.LeaseState(now) == controlgroup.LeaseHeld
 	if held {
@@ -157,14 +157,14 @@
 }
 
 // newestSettings is the number of the newest version of the settings that is acted on, 0: they have none.
-func (g *controlGroup) newestSettings() uint64 { return g.d.version().Newest }
+func (g *controlGroup) newestSettings() uint64 { return g.d.version().NewestVersion }
 
 // giveUpControlGroup gives up this process's share and then its leases, so that the next process of this ingress gets
 // them at once. Done is called when the group can know; nil: nobody waits.
 func (d *Daemon) giveUpControlGroup(done func()) {
 	if g := d.group; g != nil {
-		g.notifyShare(false, d.core.Tell)
-		for d.core.Pending() { // the module is to know before the group does
+		g.notifyShare(false, d.core.Enqueue)
+		for d.core.HasPendingEvents() { // the module is to know before the group does
 			d.core.Turn(d.loop.Now())
 		}
 	}
@@ -230,11 +230,11 @@
 }
 
 // figures are those that stand at the control group.
-func (g *controlGroup) figures(now time.Duration) figures.Control {
+func (g *controlGroup) figures(now time.Duration) figures.ControlGroup {
 	counts := g.client.Counts()
-	return figures.Control{Connected: g.client.Replica() != "", Lease: g.member.LeaseState(now) == controlgroup.LeaseHeld,
-		Share: g.member.HoldsShare(now), Term: g.member.Term(), Connections: counts.Connections, Sent: counts.Sent,
-		Received: counts.Received}
+	return figures.ControlGroup{IsConnected: g.client.Replica() != "", HoldsSettingsLease: g.member.LeaseState(now) == controlgroup.LeaseHeld,
+		HoldsShareLease: g.member.HoldsShare(now), Term: g.member.Term(), Connections: counts.Connections, BytesSent: counts.Sent,
+		BytesReceived: counts.Received}
 }
 
 // seed proposes the versions of this ingress's files once, where the group has none of a document or an older one: so the
--- a/internal/daemon/controlsource.go
+++ b/internal/daemon/controlsource.go
@@ -113,7 +113,7 @@
 		g.waiting[p] = w
 	}
 	w.limit.Stop()
-	w.limit = g.d.loop.After(g.d.cfg.Limits.ControlAnswer, func() { g.endProposal(p, g.unanswered()) })
+	w.limit = g.d.loop.After(g.d.cfg.Limits.ControlProposalTimeout, func() { g.endProposal(p, g.unanswered()) })
 	w.done = append(w.done, done)
 	g.client.Send(messages)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -132,7 +132,7 @@
 	group     *controlGroup  // nil where there is none, or while another process has this one's place
 	agreement *agreement     // nil where no versions are agreed on with others
 	agreed    *agreed        // from the last time that another process took this one's place
-	figures   figures.Figures
+	figures   figures.Metrics
 	awaits    *loop.Source // where a successor is awaited, nil: nowhere
 	beside    bool         // somebody else has started us as a successor
 	draining  bool
@@ -236,11 +236,11 @@
 		return err
 	}
 	l := d.loop
-	d.hosts = upstream.New(l, cfg.Limits, d.log, &d.figures.Attempts)
+	d.hosts = upstream.New(l, cfg.Limits, d.log, &d.figures.UpstreamRequests)
 	d.nameClasses()
-	parts := core.Config{Decider: d.module, Upstreams: d.hosts, Counter: noCounter{}, Cluster: d, Log: d.log, Figures: &d.figures,
-		Margin: cfg.Limits.AnswerMargin}
-	parts.Windows = core.Windows(cfg.Settings.Classes)
+	parts := core.Config{Decider: d.module, Upstreams: d.hosts, Counter: noCounter{}, Cluster: d, Log: d.log, Metrics: &d.figures,
+		DeadlineMargin: cfg.Limits.DeadlineMargin}
+	parts.RepeatWindows = core.RepeatWindows(cfg.Settings.Classes)
 	if d.o.OTLP != "" {
 		if d.telemetry, err = newTelemetry(cfg, d.o, d.log); err != nil {
 			return err
@@ -251,7 +251,7 @@
 	d.hosts.SetSink(d.core)
 	if cfg.Settings.HasCounter {
 		d.openCounter(cfg.Counter)
-		d.core.UseCounter(d.counter)
+		d.core.SetCounter(d.counter)
 	}
 	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.hosts, cfg.Known, cfg.Seed)
 	d.watcher.SetDrained(cfg.Drained)
@@ -291,7 +291,7 @@
 
 func newTelemetry(cfg config.Config, o Options, log *slog.Logger) (*telemetry.Exporter, error) {
 	c := telemetry.Config{Endpoint: o.OTLP, Instance: cfg.Name, Version: o.Version, Log: log,
-		Every: cfg.Limits.TelemetryEvery, Queue: cfg.Limits.TelemetryQueue, Settings: cfg.Settings}
+		Every: cfg.Limits.TelemetryInterval, Queue: cfg.Limits.TelemetryQueueLength, Settings: cfg.Settings}
 	return telemetry.New(c)
 }
 
@@ -345,7 +345,7 @@
 	d.noteStall(now)
 	next := d.core.Turn(now)
 	d.pred.turn(now)
-	if d.server.Closed() && d.core.Open() == 0 && d.server.Connections() == 0 && !d.leaving {
+	if d.server.Closed() && d.core.OpenStreams() == 0 && d.server.Connections() == 0 && !d.leaving {
 		d.leaving = true
 		d.log.Info("drained")
 		d.sayLeave(func() { d.giveUpControlGroup(d.loop.Stop) })
@@ -372,9 +372,9 @@
 	}
 	d.draining = true
 	d.o.Notify("STOPPING=1")
-	d.log.Info("draining", "streams", d.core.Open(), "connections", d.server.Connections())
+	d.log.Info("draining", "streams", d.core.OpenStreams(), "connections", d.server.Connections())
 	d.server.Drain()
-	d.loop.After(d.cfg.Limits.DrainAccept, d.server.CloseListeners)
+	d.loop.After(d.cfg.Limits.DrainAcceptPeriod, d.server.CloseListeners)
 	d.endInTime()
 }
 
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -56,8 +56,8 @@
 func (d *Daemon) gossipSource(document string, first versions.Doc, check func([]byte) error, now time.Duration) gossipSource {
 	cfg, lim, me := d.cfg, d.cfg.Limits, d.members.me
 	node := versions.New(versions.Config{Me: me, Doc: document, Seed: cfg.Seed + uint64(cfg.Settings.Me),
-		Period: lim.MemberPeriod, AskAgain: lim.MemberAck, Check: check, TextMost: documentMost,
-		Lease:     time.Duration(cfg.Settings.Gateways+1) * lim.MemberPeriod,
+		Period: lim.MemberProbeInterval, AskAgain: lim.MemberAckTimeout, Check: check, TextMost: documentMost,
+		Lease:     time.Duration(cfg.Settings.Gateways+1) * lim.MemberProbeInterval,
 		PieceMost: membership.Datagram - versions.Overhead - len(document) - len(me)}, first, now)
 	d.members.gossip.nodes = append(d.members.gossip.nodes, node)
 	return gossipSource{node, d}
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -37,7 +37,7 @@
 		return fmt.Errorf("peers holds %d addresses, and there are %d ingresses", len(cfg.Peers), cfg.Settings.Gateways)
 	}
 	me, now := cfg.Settings.Me, d.loop.Now()
-	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, TickInterval: lim.MemberAck / 4, OnChange: d.membersChanged,
+	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, TickInterval: lim.MemberAckTimeout / 4, OnChange: d.membersChanged,
 		AppPrefix: versions.Mark, OnAppMessage: d.gossipReceived}
 	if d.o.Embedded != nil {
 		c.IsReachable = d.o.Embedded.Reach
@@ -54,11 +54,11 @@
 	}
 	// A later life must have the higher incarnation; where the clock was set back, the others' word raises it.
 	node := membership.New(membership.Config{Me: strconv.Itoa(me), Incarnation: uint64(max(1, time.Now().UnixMilli())),
-		Seed: cfg.Seed + uint64(me), Period: lim.MemberPeriod, AckWithin: lim.MemberAck, SuspectFor: lim.MemberSuspect,
+		Seed: cfg.Seed + uint64(me), Period: lim.MemberProbeInterval, AckWithin: lim.MemberAckTimeout, SuspectFor: lim.MemberSuspicionTimeout,
 		// Whoever asks for an upgrade is turned down while this process is not settled; a process that the platform
 		// starts beside another can't be.
 		Assured: d.succ != nil && !d.beside,
-		Helpers: lim.MemberHelpers, Carry: lim.MemberCarry, Least: cfg.Settings.Gateways}, now)
+		Helpers: lim.MemberIndirectProbes, Carry: lim.MemberUpdatesPerMessage, Least: cfg.Settings.Gateways}, now)
 	node.Roster(roster, now)
 	m := &members{me: strconv.Itoa(me), states: map[string]membership.State{}}
 	d.members = m
@@ -78,7 +78,7 @@
 func (d *Daemon) openMembersAgain() {
 	if err := d.openMembers(); err != nil {
 		d.log.Error("membership not joined", "error", err)
-		d.core.Tell(admission.FleetChanged{Unsure: true})
+		d.core.Enqueue(admission.FleetChanged{Unsure: true})
 	}
 }
 
@@ -129,19 +129,19 @@
 	}
 	if ev.Unsure != m.told.Unsure || !slices.Equal(ev.Out, m.told.Out) {
 		m.told = ev
-		d.core.Tell(ev)
+		d.core.Enqueue(ev)
 		d.log.Info("share of joint budgets", "settled", !ev.Unsure, "counted_out", fmt.Sprint(ev.Out))
 	}
 }
 
 // present is what the admin endpoint tells.
-func (d *Daemon) present(now time.Duration) figures.Fleet {
+func (d *Daemon) present(now time.Duration) figures.Membership {
 	m := d.members
 	v, c := m.Node().View(), m.Counts()
-	f := figures.Fleet{Version: v.Version, Absent: len(m.told.Out), Settled: d.settled(now), Sent: c.Sent, Got: c.Received,
-		Dropped: c.Dropped}
+	f := figures.Membership{ViewVersion: v.Version, AbsentMembers: len(m.told.Out), IsSettled: d.settled(now), MessagesSent: c.Sent, MessagesReceived: c.Received,
+		MessagesDropped: c.Dropped}
 	for _, s := range membership.States {
-		f.States = append(f.States, figures.State{Name: s.String(), N: v.Count(s)})
+		f.States = append(f.States, figures.StateCount{Name: s.String(), Members: v.Count(s)})
 	}
 	return f
 }
--- a/internal/daemon/peer_test.go
+++ b/internal/daemon/peer_test.go
@@ -26,7 +26,7 @@
 func TestASuccessorThatWasToldFarewellIsNotKilled(t *testing.T) {
 	events, err := loop.New()
 	require.NoError(t, err)
-	bounds := limits.Limits{HandoverBytes: 1 << 20, DrainFlush: time.Second}
+	bounds := limits.Limits{MaxHandoverMessageBytes: 1 << 20, DrainFlushPeriod: time.Second}
 	p := &predecessor{d: &Daemon{loop: events, log: slog.New(slog.DiscardHandler), cfg: config.Config{Limits: bounds}}}
 	ours, theirs, err := handover.Pair()
 	require.NoError(t, err)
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -102,8 +102,8 @@
 			p.spawn()
 		}
 	case phase.StartClock:
-		most := map[phase.OldState]time.Duration{phase.Starting: lim.HelloMost, phase.Preparing: lim.PrepareMost,
-			phase.Copying: lim.CopyMost, phase.Frozen: lim.FreezeMost, phase.Probation: lim.Probation}[p.machine.State]
+		most := map[phase.OldState]time.Duration{phase.Starting: lim.HelloTimeout, phase.Preparing: lim.PrepareTimeout,
+			phase.Copying: lim.CopyTimeout, phase.Frozen: lim.FreezeTimeout, phase.Probation: lim.ProbationPeriod}[p.machine.State]
 		p.timer = d.loop.After(most, func() { p.handle(phase.TimeUp{}) })
 	case phase.StopClock:
 		p.timer.Stop()
@@ -122,7 +122,7 @@
 		p.commit()
 	case phase.Unfreeze:
 		p.freezing = false
-		d.core.Unshare()
+		d.core.CancelHandover()
 		d.server.Release()
 	case phase.SendAbort:
 		p.send(&pb.Envelope{Body: &pb.Envelope_Abort{Abort: &pb.Abort{Reason: p.machine.Failure}}})
@@ -133,7 +133,7 @@
 		if r := p.peer; r != nil && p.machine.Beside { // it begins by itself once it has heard, or sees the end
 			p.peer = nil
 			r.conn.WhenDry(r.conn.Close)
-			d.loop.After(lim.DrainFlush, r.conn.Close)
+			d.loop.After(lim.DrainFlushPeriod, r.conn.Close)
 		}
 	case phase.Reclaim:
 		p.reclaim()
@@ -146,7 +146,7 @@
 	case phase.Drain:
 		d.drain()
 	case phase.EndOwn:
-		d.log.Info("ending what is left", "streams", d.core.Open(), "connections", d.server.Connections())
+		d.log.Info("ending what is left", "streams", d.core.OpenStreams(), "connections", d.server.Connections())
 		d.endInTime()
 	case phase.SayFarewell:
 		p.farewell()
@@ -183,7 +183,7 @@
 	if p.machine.State != phase.Copying {
 		return
 	}
-	for len(p.ids) > 0 && p.peer.conn.Waiting() < p.d.cfg.Limits.HandoverQueue {
+	for len(p.ids) > 0 && p.peer.conn.Waiting() < p.d.cfg.Limits.MaxHandoverQueueBytes {
 		n := min(len(p.ids), customersOnce)
 		p.customers(p.ids[:n])
 		p.ids = p.ids[n:]
@@ -212,7 +212,7 @@
 // turn ends a turn of the loop: only then has the module seen all that the core has.
 func (p *predecessor) turn(now time.Duration) {
 	if p.freezing {
-		for p.d.core.Pending() {
+		for p.d.core.HasPendingEvents() {
 			p.d.core.Turn(now)
 		}
 		p.freezing = false
@@ -220,7 +220,7 @@
 			p.snapshot()
 		}
 	}
-	if p.machine.Committed() && p.d.core.Streams() == 0 && p.d.server.Connections() == 0 {
+	if p.machine.Committed() && p.d.core.TrackedStreams() == 0 && p.d.server.Connections() == 0 {
 		p.handle(phase.Emptied{})
 	}
 }
@@ -244,7 +244,7 @@
 		d.loop.After(0, func() { p.handle(phase.PeerGone{How: "no snapshot: " + err.Error()}) })
 		return
 	}
-	open := d.core.Share(p)
+	open := d.core.StartHandover(p)
 	list := d.watcher.Current()
 	m := &pb.Snapshot{Gateway: handover.Gateway(state), ClockOffset: int64(d.loop.ClockOffset()), LastStream: open.LastID,
 		ListVersion: list.Version, Hosts: handover.Hosts(list), Listeners: d.server.Addresses()}
@@ -262,7 +262,7 @@
 		d.admin = nil
 	}
 	d.module.Retire()
-	d.core.Settle()
+	d.core.CommitHandover()
 	d.suspendControlGroup()
 	p.send(&pb.Envelope{Body: &pb.Envelope_Commit{Commit: &pb.Commit{Clients: uint32(d.server.Connections()),
 		Upstreams: uint32(d.hosts.Connections())}}})
@@ -288,7 +288,7 @@
 func (p *predecessor) reclaim() {
 	d := p.d
 	d.module.Reclaim(d.loop.Now())
-	d.core.Unshare()
+	d.core.CancelHandover()
 	d.hosts.Keep()
 	if d.counter != nil {
 		d.counter.Resume()
@@ -313,11 +313,11 @@
 		return
 	}
 	p.peer.conn.WhenDry(p.d.loop.Stop)
-	p.d.loop.After(p.d.cfg.Limits.DrainFlush, p.d.loop.Stop)
+	p.d.loop.After(p.d.cfg.Limits.DrainFlushPeriod, p.d.loop.Stop)
 }
 
-// Sent and the two after it make the predecessor the core's witness.
-func (p *predecessor) Sent(stream uint64, host string, at time.Duration) {
+// AttemptStarted and the two after it make the predecessor the core's witness.
+func (p *predecessor) AttemptStarted(stream uint64, host string, at time.Duration) {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Sent{Sent: &pb.Sent{Stream: stream, Host: host, At: int64(at)}}})
 }
 
@@ -326,7 +326,7 @@
 	p.send(&pb.Envelope{Body: &pb.Envelope_Attempt{Attempt: handover.Attempt(ev, at)}})
 }
 
-// Done passes on that a stream is over.
-func (p *predecessor) Done(stream uint64, at time.Duration) {
+// StreamDone passes on that a stream is over.
+func (p *predecessor) StreamDone(stream uint64, at time.Duration) {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Done{Done: &pb.StreamDone{Stream: stream, At: int64(at)}}})
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -65,9 +65,9 @@
 // follow goes on under other settings, and addresses.
 func (d *Daemon) follow(to config.Config) {
 	to.Settings.RetryAfter = true // as at the start
-	d.cfg.Settings, d.cfg.Limits.DrainMost = to.Settings, to.Limits.DrainMost
+	d.cfg.Settings, d.cfg.Limits.DrainTimeout = to.Settings, to.Limits.DrainTimeout
 	d.nameClasses()
-	d.core.Follow(d.loop.Now(), to.Settings)
+	d.core.UpdateSettings(d.loop.Now(), to.Settings)
 	for _, f := range d.fronts {
 		f.follow(to.Settings)
 	}
@@ -80,6 +80,6 @@
 		d.counter.SetAddr(to.Counter)
 	case to.Settings.HasCounter: // there was none before
 		d.openCounter(to.Counter)
-		d.core.UseCounter(d.counter)
+		d.core.SetCounter(d.counter)
 	}
 }
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -42,7 +42,7 @@
 	}
 	s := &successor{d: d, bound: map[string]int{}}
 	// Only this connection's own bound is needed before the configuration is read.
-	conn, err := handover.New(d.loop, limits.Limits{HandoverBytes: greetBytes}, fd, s)
+	conn, err := handover.New(d.loop, limits.Limits{MaxHandoverMessageBytes: greetBytes}, fd, s)
 	if err != nil {
 		return err
 	}
@@ -178,18 +178,18 @@
 		if restored {
 			at := time.Duration(m.Sent.GetAt())
 			d.module.PredecessorSent(now, m.Sent.GetStream(), m.Sent.GetHost())
-			d.core.TheirsSent(m.Sent.GetStream(), m.Sent.GetHost(), at)
+			d.core.PredecessorSent(m.Sent.GetStream(), m.Sent.GetHost(), at)
 		}
 	case *pb.Envelope_Attempt:
 		if restored {
 			ev, at := handover.FromAttempt(m.Attempt)
 			d.module.PredecessorAttempt(now, ev)
-			d.core.TheirsEnded(ev.ID, ev.Server, at-ev.Took, ev.Outcome)
+			d.core.PredecessorAttemptEnded(ev.ID, ev.Server, at-ev.Took, ev.Outcome)
 		}
 	case *pb.Envelope_Done:
 		if restored {
-			d.core.Do(d.module.PredecessorDone(now, m.Done.GetStream()))
-			d.core.TheirsDone(m.Done.GetStream())
+			d.core.Execute(d.module.PredecessorDone(now, m.Done.GetStream()))
+			d.core.PredecessorStreamDone(m.Done.GetStream())
 		}
 	case *pb.Envelope_CounterReleased:
 		s.wholeCounter()
@@ -228,9 +228,9 @@
 		return
 	}
 	d.server.Hold()
-	d.core.Hold()
+	d.core.HoldEvents()
 	if d.counter != nil {
-		d.counter.Resize(d.cfg.Limits.CounterShared)
+		d.counter.Resize(d.cfg.Limits.UpgradeCounterConns)
 	}
 	for _, f := range d.fronts {
 		if slices.Contains(s.welcome.GetListeners(), f.addr) {
@@ -244,7 +244,7 @@
 		s.bound[f.addr] = fd
 	}
 	s.timer.Stop()
-	s.timer = d.loop.After(d.cfg.Limits.PrepareMost+d.cfg.Limits.CopyMost, func() { s.handle(phase.TimeUp{}) })
+	s.timer = d.loop.After(d.cfg.Limits.PrepareTimeout+d.cfg.Limits.CopyTimeout, func() { s.handle(phase.TimeUp{}) })
 	s.awaitCluster()
 }
 
@@ -277,7 +277,7 @@
 	s.customers = uint64(d.module.Known())
 	now := d.loop.Now()
 	open := handover.FromOpen(s.snapshot)
-	d.core.Adopt(now, open, d.module.Adopt(now))
+	d.core.Restore(now, open, d.module.Adopt(now))
 	d.watcher.Adopt(handover.FromHosts(s.snapshot))
 	for i, fd := range s.listeners {
 		at := slices.IndexFunc(d.fronts, func(f opening) bool { return f.addr == names[i] })
@@ -310,7 +310,7 @@
 	d.openControlGroup()
 	d.await()
 	d.log.Info("taken over", "version", d.o.Version, "from", s.welcome.GetVersion(), "listen", d.cfg.Listen,
-		"customers", s.customers, "streams", d.core.Theirs(), "clock", d.loop.ClockOffset())
+		"customers", s.customers, "streams", d.core.PredecessorStreams(), "clock", d.loop.ClockOffset())
 	d.o.Notify("READY=1", "MAINPID="+strconv.Itoa(os.Getpid()))
 }
 
@@ -323,11 +323,11 @@
 // forget goes on alone: the old process is gone, and with it all that it still had.
 func (s *successor) forget() {
 	d := s.d
-	if n := d.core.Theirs(); n > 0 {
+	if n := d.core.PredecessorStreams(); n > 0 {
 		d.log.Warn("the old process has ended with open streams", "streams", n)
 	}
-	d.core.Do(d.module.PredecessorGone(d.loop.Now()))
-	d.core.TheirsGone()
+	d.core.Execute(d.module.PredecessorGone(d.loop.Now()))
+	d.core.PredecessorExited()
 	d.server.Elsewhere(0)
 	d.hosts.Elsewhere(0)
 	s.wholeCounter()
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -7,10 +7,10 @@
 )
 
 func TestAppend(t *testing.T) {
-	f := &Figures{Attempts: 9, ReconfigOK: 1, ReconfigFailed: 2}
-	f.Name([]string{"stock"})
+	f := &Metrics{UpstreamRequests: 9, ReconfigOK: 1, ReconfigFailed: 2}
+	f.AddClasses([]string{"stock"})
 	f.Class(0).Success, f.Class(0).Busy = 812, 3
-	f.Name([]string{"stock", "a\"b\\c\nd"}) // a class that came later; the first keeps its counts
+	f.AddClasses([]string{"stock", "a\"b\\c\nd"}) // a class that came later; the first keeps its counts
 	require.Nil(t, f.Class(2))
 	require.Nil(t, f.Class(-1))
 	require.Equal(t, `app_calls{tier="stock",code="success"} 812
@@ -25,7 +25,7 @@
 app_hosts_down 2
 app_reconfig_ok 1
 app_reconfig_failed 2
-`, string(f.Append(nil, Present{InFlight: 14, Listed: 12, Down: 2})))
+`, string(f.AppendText(nil, Gauges{InFlight: 14, ListedHosts: 12, AvoidedHosts: 2})))
 }
 
 func TestAppendFleet(t *testing.T) {
@@ -37,12 +37,12 @@
 app_peer_messages_sent 30
 app_peer_messages_received 20
 app_peer_messages_dropped 10
-`, string(AppendFleet(nil, Fleet{Version: 7, States: []State{{"alive", 4}, {"dead", 1}}, Absent: 2, Settled: true, Sent: 30,
-		Got: 20, Dropped: 10})))
+`, string(AppendMembership(nil, Membership{ViewVersion: 7, States: []StateCount{{"alive", 4}, {"dead", 1}}, AbsentMembers: 2, IsSettled: true, MessagesSent: 30,
+		MessagesReceived: 20, MessagesDropped: 10})))
 }
 
 func TestAppendRules(t *testing.T) {
-	require.Empty(t, AppendRules(nil, Rules{}))
+	require.Empty(t, AppendSettingsVersions(nil, SettingsVersions{}))
 	require.Equal(t, `app_drained_version 5
 app_drained_stale_members 2
 app_settings_version 9
@@ -51,8 +51,8 @@
 app_settings_stale_members 3
 app_settings_versions_rejected 4
 app_settings_cut_off 1
-`, string(AppendRules(nil, Rules{Newest: 9, Oldest: 7, Acting: 2, Stale: 3, Rejected: 4, Alone: true,
-		Drained: 5, DrainedStale: 2})))
+`, string(AppendSettingsVersions(nil, SettingsVersions{NewestVersion: 9, OldestVersion: 7, ActiveVersions: 2, StaleMembers: 3, RejectedVersions: 4, IsCutOff: true,
+		DrainedVersion: 5, DrainedStaleMembers: 2})))
 }
 
 func TestAppendControl(t *testing.T) {
@@ -63,5 +63,5 @@
 app_control_connections 3
 app_control_bytes_sent 400
 app_control_bytes_received 500
-`, string(AppendControl(nil, Control{Connected: true, Lease: true, Term: 6, Connections: 3, Sent: 400, Received: 500})))
+`, string(AppendControlGroup(nil, ControlGroup{IsConnected: true, HoldsSettingsLease: true, Term: 6, Connections: 3, BytesSent: 400, BytesReceived: 500})))
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -19,10 +19,10 @@
 
 // Streams is the core, as fronts see it.
 type Streams interface {
-	Arrive(now time.Duration, r core.Request) uint64
-	Leave(now time.Duration, id uint64)
-	Whole(now time.Duration, id uint64)
-	Observed() bool
+	StartStream(now time.Duration, r core.Request) uint64
+	ClientDisconnected(now time.Duration, id uint64)
+	RequestCompleted(now time.Duration, id uint64)
+	HasObserver() bool
 }
 
 // passed are the headers that go on to upstream hosts as they came.
@@ -76,20 +76,20 @@
 // Open opens the stream of a request. It tells whether that was possible: no request may have the id of
 // another that is open, nor its idempotency key.
 func Open(s Streams, c *downstream.Conn, a admission.RequestArrived, r *http1.Request, o core.Owner) bool {
-	req := core.Request{RequestArrived: a, Key: r.Headers.Get("Request-Id"), Order: r.Headers.Get("Idempotency-Key"),
-		Owner: o, Open: r.IsStreamed}
+	req := core.Request{RequestArrived: a, RequestID: r.Headers.Get("Request-Id"), IdempotencyKey: r.Headers.Get("Idempotency-Key"),
+		Owner: o, IsIncomplete: r.IsStreamed}
 	req.RequestArrived.Open = r.IsStreamed
 	if !r.IsStreamed { // else its time has not begun
 		req.ExpiresIn = max(0, a.ExpiresIn-c.Waited())
 	}
 	m := Message(r)
-	m.Once = a.Write && req.Order == ""
-	if s.Observed() {
-		req.Trace = trace(a.Customer, req.Order, r)
+	m.Once = a.Write && req.IdempotencyKey == ""
+	if s.HasObserver() {
+		req.Trace = trace(a.Customer, req.IdempotencyKey, r)
 		m.Trace = req.Trace
 	}
 	req.Payload = m
-	if c.Stream = s.Arrive(c.Now(), req); c.Stream == 0 {
+	if c.Stream = s.StartStream(c.Now(), req); c.Stream == 0 {
 		return false
 	}
 	if req.Trace.Valid() {
@@ -133,7 +133,7 @@
 		h = http1.Headers{{Name: "Content-Type", Value: a.ContentType}}
 	}
 	if rest := upstream.Rest(a); rest != nil {
-		c.Relay(200, h, rest, e.Relayed)
+		c.Relay(200, h, rest, e.OnRelayed)
 		return
 	}
 	c.Reply(200, h, a.Body)
@@ -142,7 +142,7 @@
 // RefusalStatus is the status of a refusal: 429 where the request was never sent on, so that it met its quota, and 503
 // where it was, so that it met pressure.
 func RefusalStatus(e core.End) int {
-	if e.Sent {
+	if e.HasAttempts {
 		return 503
 	}
 	return 429
--- a/internal/front/openapi/openapi.go
+++ b/internal/front/openapi/openapi.go
@@ -103,10 +103,10 @@
 }
 
 // Left tells the core that a client has gone.
-func (f *Front) Left(c *downstream.Conn) { f.streams.Leave(c.Now(), c.Stream) }
+func (f *Front) Left(c *downstream.Conn) { f.streams.ClientDisconnected(c.Now(), c.Stream) }
 
 // Whole tells the core that the body of an open request has come.
-func (f *Front) Whole(c *downstream.Conn) { f.streams.Whole(c.Now(), c.Stream) }
+func (f *Front) Whole(c *downstream.Conn) { f.streams.RequestCompleted(c.Now(), c.Stream) }
 
 // Malformed answers what could not be read.
 func (f *Front) Malformed(c *downstream.Conn, status int, what string) { problem(c, status, nil, what) }
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -86,10 +86,10 @@
 }
 
 // Left tells the core that a client has gone.
-func (f *Front) Left(c *downstream.Conn) { f.streams.Leave(c.Now(), c.Stream) }
+func (f *Front) Left(c *downstream.Conn) { f.streams.ClientDisconnected(c.Now(), c.Stream) }
 
 // Whole tells the core that the body of an open request has come.
-func (f *Front) Whole(c *downstream.Conn) { f.streams.Whole(c.Now(), c.Stream) }
+func (f *Front) Whole(c *downstream.Conn) { f.streams.RequestCompleted(c.Now(), c.Stream) }
 
 // Malformed answers what could not be read.
 func (f *Front) Malformed(c *downstream.Conn, status int, what string) { local(c, status, what) }
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -219,8 +219,8 @@
 			c.lose(io.EOF)
 			return false
 		}
-		if c.part = append(c.part, c.room[1:n]...); len(c.part) > c.lim.HandoverBytes {
-			c.lose(fmt.Errorf("a message over %d bytes", c.lim.HandoverBytes))
+		if c.part = append(c.part, c.room[1:n]...); len(c.part) > c.lim.MaxHandoverMessageBytes {
+			c.lose(fmt.Errorf("a message over %d bytes", c.lim.MaxHandoverMessageBytes))
 			return false
 		}
 		if c.room[0] == more {
--- a/internal/handover/conn_test.go
+++ b/internal/handover/conn_test.go
@@ -42,7 +42,7 @@
 	ours, theirs, err := Pair()
 	require.NoError(t, err)
 	b = &end{l: l}
-	lim := limits.Limits{HandoverBytes: most}
+	lim := limits.Limits{MaxHandoverMessageBytes: most}
 	a, err = New(l, lim, ours, &end{l: l})
 	require.NoError(t, err)
 	b.conn, err = New(l, lim, theirs, b)
--- a/internal/handover/convert.go
+++ b/internal/handover/convert.go
@@ -153,26 +153,26 @@
 }
 
 // Open makes messages of a core's open streams and keys.
-func Open(o core.Open) (streams []*pb.Stream, keys []*pb.Key) {
+func Open(o core.Snapshot) (streams []*pb.Stream, keys []*pb.Key) {
 	for _, s := range o.Streams {
-		streams = append(streams, &pb.Stream{Id: s.ID, RequestId: s.Key, Key: s.Order})
+		streams = append(streams, &pb.Stream{Id: s.ID, RequestId: s.RequestID, Key: s.IdempotencyKey})
 	}
 	for _, k := range o.Keys {
-		keys = append(keys, &pb.Key{Key: k.Key, Server: k.Host, Zone: k.Zone, Cell: int64(k.Cell), At: int64(k.At),
-			Stream: k.Stream, Until: int64(k.Until)})
+		keys = append(keys, &pb.Key{Key: k.Key, Server: k.Host, Zone: k.Zone, Cell: int64(k.Cell), At: int64(k.StartedAt),
+			Stream: k.StreamID, Until: int64(k.ExpiresAt)})
 	}
 	return streams, keys
 }
 
 // FromOpen is its inverse.
-func FromOpen(s *pb.Snapshot) core.Open {
-	o := core.Open{LastID: s.GetLastStream()}
+func FromOpen(s *pb.Snapshot) core.Snapshot {
+	o := core.Snapshot{LastID: s.GetLastStream()}
 	for _, m := range s.GetStreams() {
-		o.Streams = append(o.Streams, core.OpenStream{ID: m.GetId(), Key: m.GetRequestId(), Order: m.GetKey()})
+		o.Streams = append(o.Streams, core.StreamState{ID: m.GetId(), RequestID: m.GetRequestId(), IdempotencyKey: m.GetKey()})
 	}
 	for _, k := range s.GetKeys() {
 		o.Keys = append(o.Keys, core.KeyState{Key: k.GetKey(), Host: k.GetServer(), Zone: k.GetZone(),
-			Cell: int(k.GetCell()), At: d(k.GetAt()), Until: d(k.GetUntil()), Stream: k.GetStream()})
+			Cell: int(k.GetCell()), StartedAt: d(k.GetAt()), ExpiresAt: d(k.GetUntil()), StreamID: k.GetStream()})
 	}
 	return o
 }
--- a/internal/handover/convert_test.go
+++ b/internal/handover/convert_test.go
@@ -29,7 +29,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := rapid.Make[admission.CustomerState]().Draw(t, "customer")
 		require.Equal(t, c, FromCustomer(there(t, Customer(c), &pb.Customer{})))
-		o := rapid.Make[core.Open]().Draw(t, "open")
+		o := rapid.Make[core.Snapshot]().Draw(t, "open")
 		s := &pb.Snapshot{LastStream: o.LastID}
 		s.Streams, s.Keys = Open(o)
 		equal(t, o, FromOpen(there(t, s, &pb.Snapshot{})))
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return 0
 	}
-	return float64((time.Duration(members+3) * l.MemberPeriod).Milliseconds())
+	return float64((time.Duration(members+3) * l.MemberProbeInterval).Milliseconds())
 }
 
 // stale counts the members that are up and do not act on the newest version.
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -164,5 +164,5 @@
 	if err != nil {
 		return 0, err
 	}
-	return time.Duration(instances+3) * l.MemberPeriod, nil
+	return time.Duration(instances+3) * l.MemberProbeInterval, nil
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -13,8 +13,8 @@
 	for sockets := 256; sockets <= 1024; sockets++ {
 		l, err := For(Site{Sockets: sockets, MemoryMB: 32, LongestDeadline: time.Second})
 		require.NoError(t, err)
-		require.Less(t, l.Downstream, sockets*3/10)
-		require.GreaterOrEqual(t, l.Downstream, 64)
-		require.LessOrEqual(t, l.Downstream+l.Upstream+2*l.CounterConns, sockets-reserve/2, "also while the counter moves")
+		require.Less(t, l.MaxDownstreamConns, sockets*3/10)
+		require.GreaterOrEqual(t, l.MaxDownstreamConns, 64)
+		require.LessOrEqual(t, l.MaxDownstreamConns+l.MaxUpstreamConns+2*l.CounterConns, sockets-reserve/2, "also while the counter moves")
 	}
 }
--- a/internal/net/controlclient/client.go
+++ b/internal/net/controlclient/client.go
@@ -127,7 +127,7 @@
 		c.finish()
 		return
 	}
-	c.endTimer = c.loop.After(c.lim.ControlEnd, c.abandon)
+	c.endTimer = c.loop.After(c.lim.ControlReleaseTimeout, c.abandon)
 	c.conn.end()
 }
 
@@ -193,13 +193,13 @@
 		return
 	}
 	c.conn = conn
-	conn.expect(c.lim.ControlDial)
+	conn.expect(c.lim.ControlDialTimeout)
 }
 
 // connected: the connection is up. The replica counts as working only once it has said something.
 func (c *Client) connected() {
 	c.counts.Connections++
-	c.conn.expect(c.lim.ControlFirst)
+	c.conn.expect(c.lim.ControlFirstMessageTimeout)
 	c.conn.send(c.config.Member.Connected(c.loop.Now()))
 	c.schedule()
 }
@@ -243,7 +243,7 @@
 	}
 	c.lost = true
 	c.replica = (c.replica + c.step()) % len(c.config.Replicas)
-	c.backoff = min(max(2*c.backoff, c.lim.BackoffFirst), c.lim.BackoffMost)
+	c.backoff = min(max(2*c.backoff, c.lim.InitialBackoff), c.lim.MaxBackoff)
 	wait := time.Duration((0.1 + 0.9*c.rng.Float64()) * float64(c.backoff))
 	c.redial = c.loop.After(wait, c.dial)
 }
--- a/internal/net/controlclient/client_test.go
+++ b/internal/net/controlclient/client_test.go
@@ -142,7 +142,7 @@
 // A replica that says nothing is left for the next one, by a reset, whether it takes connections or none come up.
 func TestASilentReplicaIsLeft(t *testing.T) {
 	silent, good := newReplica(t, func(net.Conn, int) {}), newReplica(t, says(grant(1)))
-	s := open(t, 0, func(l *limits.Limits) { l.ControlFirst = 60 * time.Millisecond }, silent.addr, good.addr)
+	s := open(t, 0, func(l *limits.Limits) { l.ControlFirstMessageTimeout = 60 * time.Millisecond }, silent.addr, good.addr)
 	before := s.loop.Now()
 	s.until(t, func() bool { return s.client.Replica() == good.addr })
 	require.GreaterOrEqual(t, s.loop.Now()-before, 60*time.Millisecond)
@@ -154,7 +154,7 @@
 // One that falls silent is left in the same way.
 func TestAReplicaThatFallsSilentIsLeft(t *testing.T) {
 	silent, good := newReplica(t, says(grant(1))), newReplica(t, says(grant(1)))
-	s := open(t, 0, func(l *limits.Limits) { l.ControlSilence = 60 * time.Millisecond }, silent.addr, good.addr)
+	s := open(t, 0, func(l *limits.Limits) { l.ControlSilenceTimeout = 60 * time.Millisecond }, silent.addr, good.addr)
 	s.until(t, func() bool { return s.client.Replica() == silent.addr })
 	s.until(t, func() bool { return s.client.Replica() == good.addr })
 	s.until(t, func() bool { return len(silent.ended()) == 1 })
@@ -165,7 +165,7 @@
 // keeps the connection.
 func TestAReplicaIsNotSilentWhileThisProcessStandsStill(t *testing.T) {
 	r := newAnsweringReplica(t)
-	s := open(t, 0, func(l *limits.Limits) { l.ControlSilence = 60 * time.Millisecond }, r.addr)
+	s := open(t, 0, func(l *limits.Limits) { l.ControlSilenceTimeout = 60 * time.Millisecond }, r.addr)
 	s.member.answer = func(controlgroup.Message) ([]controlgroup.Message, error) {
 		if len(s.member.received) == 1 {
 			s.member.due = s.loop.Now() + 20*time.Millisecond
@@ -187,7 +187,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
-	s := open(t, 0, func(l *limits.Limits) { l.ControlSilence = 200 * time.Millisecond }, r.addr)
+	s := open(t, 0, func(l *limits.Limits) { l.ControlSilenceTimeout = 200 * time.Millisecond }, r.addr)
 	s.until(t, func() bool { return len(s.member.received) == 20 })
 	require.Equal(t, 1, s.member.connected)
 }
@@ -229,7 +229,7 @@
 	addr := gone.Addr().String()
 	require.NoError(t, gone.Close())
 	s := open(t, 0, func(l *limits.Limits) {
-		l.BackoffFirst, l.BackoffMost = 10*time.Millisecond, 80*time.Millisecond
+		l.InitialBackoff, l.MaxBackoff = 10*time.Millisecond, 80*time.Millisecond
 	}, addr)
 	end := s.loop.Now() + 600*time.Millisecond
 	dials, last := 0, (*loop.Timer)(nil)
@@ -297,7 +297,7 @@
 	s.client.GiveUp(func() { done = true })
 	require.False(t, done)
 	s.until(t, func() bool { return done })
-	require.GreaterOrEqual(t, s.loop.Now()-before, s.lim.ControlEnd)
+	require.GreaterOrEqual(t, s.loop.Now()-before, s.lim.ControlReleaseTimeout)
 
 	s = open(t, 0, nil, "127.0.0.1:1")
 	done = false
@@ -319,7 +319,7 @@
 		_ = c.Close()
 	})
 	good := newReplica(t, says(grant(1)))
-	s := open(t, 0, func(l *limits.Limits) { l.ControlSilence = time.Minute }, stuck, good.addr)
+	s := open(t, 0, func(l *limits.Limits) { l.ControlSilenceTimeout = time.Minute }, stuck, good.addr)
 	s.until(t, func() bool { return len(s.member.received) == 1 })
 	proposal := controlgroup.Propose{Request: 1, Document: "settings", Version: version(2), Text: make([]byte, controlgroup.TextMost)}
 	for range 1000 {
--- a/internal/net/controlclient/connection.go
+++ b/internal/net/controlclient/connection.go
@@ -33,7 +33,7 @@
 // silent ends waiting for a sign of life. A replica answers what it is asked, and a process that stood still, or had no
 // processor, has asked nothing meanwhile: it leaves a connection that works only when the replica has had its time.
 func (c *connection) silent() {
-	left := c.askedAt + c.client.lim.ControlFirst - c.client.loop.Now()
+	left := c.askedAt + c.client.lim.ControlFirstMessageTimeout - c.client.loop.Now()
 	if c.asked && left > 0 {
 		c.expect(left)
 		return
@@ -93,7 +93,7 @@
 	switch {
 	case err != nil:
 		c.client.failed(err)
-	case len(c.out) > c.client.lim.ControlQueue:
+	case len(c.out) > c.client.lim.MaxControlQueueBytes:
 		c.client.failed(errUnread)
 	case len(c.out) > 0:
 		c.source.SetEvents(loop.In | loop.Out | loop.Hangup)
@@ -135,7 +135,7 @@
 		return
 	}
 	c.asked = false
-	c.expect(c.client.lim.ControlSilence)
+	c.expect(c.client.lim.ControlSilenceTimeout)
 	c.in = append(c.in, buf[:n]...)
 	c.messages()
 }
--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -18,7 +18,7 @@
 
 // Sink is told how calls end.
 type Sink interface {
-	Counted(admission.CounterAnswered)
+	CounterCallEnded(admission.CounterAnswered)
 }
 
 // Client holds the connections. A name always goes by the same one, so that its answers keep the order
@@ -45,7 +45,7 @@
 // New returns a client. SetSink must follow before the first call.
 func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, addr string) *Client {
 	c := &Client{loop: l, lim: lim, log: log, addr: addr, turns: map[string][]*call{},
-		debugs: core.Debugs(log)}
+		debugs: core.DebugEnabled(log)}
 	c.conns = make([]*conn, lim.CounterConns)
 	c.fresh()
 	l.After(sweepEvery, c.sweep)
@@ -79,7 +79,7 @@
 		return
 	}
 	c.retired = append(c.retired, k)
-	k.expiry = c.loop.After(c.lim.CounterMove, func() { k.fail("the counter has moved") })
+	k.expiry = c.loop.After(c.lim.CounterMoveTimeout, func() { k.fail("the counter has moved") })
 }
 
 // SetSink names who is told of answers.
@@ -100,9 +100,9 @@
 	for _, k := range c.conns { // the retired ones have an end set
 		switch {
 		case k.src == nil:
-		case len(k.calls) == 0 && now-k.heard > c.lim.CounterIdle:
+		case len(k.calls) == 0 && now-k.heard > c.lim.CounterIdleTimeout:
 			k.close() // before the counter does: a call that crosses its close may have been added
-		case len(k.calls) > 0 && now-max(k.heard, k.calls[0].at) > c.lim.CounterSilence:
+		case len(k.calls) > 0 && now-max(k.heard, k.calls[0].at) > c.lim.CounterSilenceTimeout:
 			k.fail("silent")
 		default:
 			k.unstick()
@@ -133,7 +133,7 @@
 	k.news = admission.CounterAnswered{Name: k.name, Total: total, Took: c.loop.Now() - k.at, Outcome: o}
 	q := c.turns[k.name]
 	for len(q) > 0 && q[0].ended {
-		c.sink.Counted(q[0].news)
+		c.sink.CounterCallEnded(q[0].news)
 		q = q[1:]
 	}
 	if len(q) == 0 {
@@ -174,7 +174,7 @@
 	q := &call{name: name, at: now}
 	k.c.turns[name] = append(k.c.turns[name], q)
 	// A silent counter is not written to without bound: what can't be written was not added.
-	if len(k.calls) >= k.c.lim.CounterPending || !k.open() {
+	if len(k.calls) >= k.c.lim.MaxPendingCounterCalls || !k.open() {
 		k.c.answered(q, admission.Unreachable, 0)
 		return
 	}
@@ -189,7 +189,7 @@
 	k.queued += len(k.out) - before
 	q.end = k.queued
 	k.calls = append(k.calls, q)
-	q.timer = k.c.loop.After(k.c.lim.CounterLimit, func() {
+	q.timer = k.c.loop.After(k.c.lim.CounterCallTimeout, func() {
 		k.c.answered(q, admission.TimedOut, 0)
 		k.unstick()
 	})
@@ -208,7 +208,7 @@
 		return
 	}
 	since := max(k.heard, k.calls[0].at)
-	if k.c.loop.Now()-since > k.c.lim.CounterStuck && k.c.heard > since {
+	if k.c.loop.Now()-since > k.c.lim.CounterStuckTimeout && k.c.heard > since {
 		k.fail("stuck behind an answer that can't be read")
 	}
 }
@@ -232,9 +232,9 @@
 		k.lost(err.Error())
 		return false
 	}
-	k.parser = http1.NewResponseParser(k.c.lim.HeadBytes, k.c.lim.KeepBytes, 0)
+	k.parser = http1.NewResponseParser(k.c.lim.MaxHeaderBytes, k.c.lim.MaxBufferedBodyBytes, 0)
 	k.up, k.out, k.queued, k.wrote, k.heard = false, k.out[:0], 0, 0, now
-	k.dialing = k.c.loop.After(k.c.lim.DialLimit, func() { k.fail("no connection in time") })
+	k.dialing = k.c.loop.After(k.c.lim.DialTimeout, func() { k.fail("no connection in time") })
 	return true
 }
 
@@ -352,7 +352,7 @@
 }
 
 func (k *conn) lost(why string) {
-	k.backoff = min(max(2*k.backoff, k.c.lim.BackoffFirst), k.c.lim.BackoffMost)
+	k.backoff = min(max(2*k.backoff, k.c.lim.InitialBackoff), k.c.lim.MaxBackoff)
 	k.notBefore = k.c.loop.Now() + k.backoff
 	if now := k.c.loop.Now(); !k.c.lost && (k.c.told == 0 || now-k.c.told > logEvery) {
 		k.c.lost, k.c.told = true, now
--- a/internal/net/counter/counter_test.go
+++ b/internal/net/counter/counter_test.go
@@ -27,7 +27,7 @@
 	each func()
 }
 
-func (d *desk) Counted(ev admission.CounterAnswered) { d.got = append(d.got, ev) }
+func (d *desk) CounterCallEnded(ev admission.CounterAnswered) { d.got = append(d.got, ev) }
 
 func (d *desk) Turn(time.Duration) time.Duration {
 	d.each()
@@ -37,9 +37,9 @@
 func setUp(t *testing.T, serve func(net.Conn)) (*desk, *Client) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{HeadBytes: 1 << 10, KeepBytes: 1 << 10, DialLimit: 5 * time.Second, CounterConns: 1,
-		CounterPending: 2, CounterLimit: 30 * time.Millisecond, CounterIdle: time.Minute, CounterSilence: time.Minute, CounterMove: time.Minute,
-		BackoffFirst: time.Millisecond, BackoffMost: time.Millisecond}
+	lim := limits.Limits{MaxHeaderBytes: 1 << 10, MaxBufferedBodyBytes: 1 << 10, DialTimeout: 5 * time.Second, CounterConns: 1,
+		MaxPendingCounterCalls: 2, CounterCallTimeout: 30 * time.Millisecond, CounterIdleTimeout: time.Minute, CounterSilenceTimeout: time.Minute, CounterMoveTimeout: time.Minute,
+		InitialBackoff: time.Millisecond, MaxBackoff: time.Millisecond}
 	d := &desk{l: l}
 	c := New(l, lim, slog.New(slog.DiscardHandler), nettest.Serve(t, serve))
 	c.SetSink(d)
@@ -158,7 +158,7 @@
 		<-release
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1")
 	})
-	c.lim.CounterLimit = time.Minute
+	c.lim.CounterCallTimeout = time.Minute
 	c.Add("n", 1, time.Second)
 	c.SetAddr(nettest.Serve(t, func(conn net.Conn) {
 		b := make([]byte, 256)
@@ -204,7 +204,7 @@
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7")
 		}
 	})
-	c.lim.CounterPending, c.lim.CounterStuck = 8, 120*time.Millisecond
+	c.lim.MaxPendingCounterCalls, c.lim.CounterStuckTimeout = 8, 120*time.Millisecond
 	c.conns = make([]*conn, 2)
 	c.fresh()
 	var ask func()
@@ -226,7 +226,7 @@
 	nettest.Until(t, d.l, answered)
 	require.True(t, answered(), "the stuck connection was kept")
 	require.True(t, spoilt.Load())
-	require.Less(t, d.l.Now()-began, c.lim.CounterSilence, "given up before its silence ran out")
+	require.Less(t, d.l.Now()-began, c.lim.CounterSilenceTimeout, "given up before its silence ran out")
 }
 
 // Moves and changes of the number of connections in quick succession, each with calls out: every connection that is left
@@ -239,7 +239,7 @@
 		<-hold
 	}
 	d, c := setUp(t, silent)
-	c.lim.CounterMove = 60 * time.Millisecond
+	c.lim.CounterMoveTimeout = 60 * time.Millisecond
 	const moves = 6
 	moved := 0
 	var move func()
--- a/internal/net/counter/handover_test.go
+++ b/internal/net/counter/handover_test.go
@@ -32,7 +32,7 @@
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1")
 		}
 	})
-	c.lim.CounterPending, c.lim.CounterLimit = 100, time.Minute
+	c.lim.MaxPendingCounterCalls, c.lim.CounterCallTimeout = 100, time.Minute
 	c.Resize(3)
 	for i := range 60 {
 		c.Add(fmt.Sprint("n", i), 1, time.Second)
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -63,7 +63,7 @@
 }
 
 // Sink takes the cluster's news.
-type Sink interface{ List(admission.ServerList) }
+type Sink interface{ ServerListReceived(admission.ServerList) }
 
 // Hosts is told the addresses, and of each host whether it is leaving: then nothing new goes there.
 type Hosts interface {
@@ -122,7 +122,7 @@
 		from: l.Now(), rng: rand.New(rand.NewPCG(seed, seedOf))}
 	known.Full = true
 	w.apply(known, admission.ListCached)
-	if spread := w.rng.Float64() * float64(lim.ClusterSpread); spread >= 1 {
+	if spread := w.rng.Float64() * float64(lim.ClusterJitter); spread >= 1 {
 		w.again = l.After(time.Duration(spread), w.dial)
 		return w
 	}
@@ -137,7 +137,7 @@
 // the list from before the start has to do. To wait for more would keep a whole fleet that is released at once
 // out of service for as long as discovery is overbooked by it.
 func (w *Watcher) IsReady() bool {
-	return w.told || w.failed && len(w.known) > 0 || w.loop.Now()-w.from > w.lim.ReadyWait
+	return w.told || w.failed && len(w.known) > 0 || w.loop.Now()-w.from > w.lim.DiscoveryReadyTimeout
 }
 
 // HasSynced tells whether discovery itself has spoken since the start.
@@ -199,7 +199,7 @@
 	}
 	// The module hears of it first: what a host that leaves had not been sent yet is to go elsewhere.
 	w.version = list.Version
-	w.sink.List(news)
+	w.sink.ServerListReceived(news)
 	for i, e := range list.Entries {
 		if e.State == admission.Gone {
 			w.gone(e.Name)
@@ -227,13 +227,13 @@
 	w.again.Stop()
 	w.next.close()
 	now := w.loop.Now()
-	x := &watch{w: w, parser: http1.NewResponseParser(w.lim.HeadBytes, w.lim.ClusterBytes, 0), since: now, sign: now}
+	x := &watch{w: w, parser: http1.NewResponseParser(w.lim.MaxHeaderBytes, w.lim.MaxClusterMessageBytes, 0), since: now, sign: now}
 	w.next = nil
 	err := x.open()
 	switch {
 	case loop.IsOutOfResources(err): // of this machine: discovery was not asked, and is not spared by waiting
 		w.tell(err.Error())
-		w.again = w.loop.After(w.lim.BackoffFirst, w.dial)
+		w.again = w.loop.After(w.lim.InitialBackoff, w.dial)
 		return
 	case err != nil:
 		w.retry(err.Error(), now)
@@ -245,7 +245,7 @@
 	}
 	x.out = http1.AppendRequest(nil, "GET", "/discovery/hosts?stream=1&index="+strconv.FormatUint(index, 10),
 		"discovery", nil, nil)
-	x.listen(w.lim.ClusterDial)
+	x.listen(w.lim.ClusterDialTimeout)
 	w.next = x
 }
 
@@ -267,8 +267,8 @@
 // sign of life, or of the last try: discovery may have had a change ever since, which counts as told soon after.
 func (w *Watcher) retry(why string, sign time.Duration) {
 	w.tell(why)
-	w.backoff = min(max(2*w.backoff, w.lim.ClusterFirst), w.lim.ClusterMost)
-	most := max(w.lim.BackoffFirst, min(w.backoff, sign+w.lim.ClusterApart-w.loop.Now()))
+	w.backoff = min(max(2*w.backoff, w.lim.ClusterInitialBackoff), w.lim.ClusterMaxBackoff)
+	most := max(w.lim.InitialBackoff, min(w.backoff, sign+w.lim.ClusterMaxWatchGap-w.loop.Now()))
 	w.again.Stop()
 	w.again = w.loop.After(time.Duration((0.1+0.9*w.rng.Float64())*float64(most)), w.dial)
 }
@@ -284,8 +284,8 @@
 	}
 	w.tell(why)
 	w.again.Stop()
-	wait := time.Duration(w.rng.Float64() * float64(w.lim.ClusterSpread))
-	w.again = w.loop.At(max(w.loop.Now()+wait, x.since+w.lim.BackoffFirst), w.dial)
+	wait := time.Duration(w.rng.Float64() * float64(w.lim.ClusterJitter))
+	w.again = w.loop.At(max(w.loop.Now()+wait, x.since+w.lim.InitialBackoff), w.dial)
 }
 
 // tell tells the operator of the first loss of a spell, and of no more spells than are worth reading.
@@ -302,7 +302,7 @@
 
 // spoke tells that a watch has brought something that can be read.
 func (w *Watcher) spoke(x *watch) {
-	if w.loop.Now()-x.since > w.lim.BackoffMost { // one that breaks off at once is not dialled faster for it
+	if w.loop.Now()-x.since > w.lim.MaxBackoff { // one that breaks off at once is not dialled faster for it
 		w.backoff = 0
 	}
 	if w.lost {
@@ -345,7 +345,7 @@
 // firstMost is how long a watch may take to begin its answer: longer with each in a row that did not, so
 // that discovery that has become slow is heard all the same.
 func (w *Watcher) firstMost() time.Duration {
-	return min(w.lim.ClusterAnswer<<min(w.mute, 8), w.lim.ClusterSilence)
+	return min(w.lim.ClusterResponseTimeout<<min(w.mute, 8), w.lim.ClusterSilenceTimeout)
 }
 
 // silent is the cause of a watch's end on which no sign of life came in time.
@@ -394,7 +394,7 @@
 		return
 	}
 	x.heard, x.sign, x.w.mute = true, x.w.loop.Now(), 0
-	x.listen(x.w.lim.ClusterSilence)
+	x.listen(x.w.lim.ClusterSilenceTimeout)
 	x.parser.Feed(buf[:n])
 	resp, err := x.parser.Next()
 	if err != nil {
@@ -421,7 +421,7 @@
 	for x.src.FD() >= 0 {
 		message, err := x.frames.next()
 		if err == nil && message == nil {
-			if x.frames.waiting() > w.lim.ClusterBytes {
+			if x.frames.waiting() > w.lim.MaxClusterMessageBytes {
 				x.spoilt(errors.New("a message without end"))
 			}
 			return
@@ -465,6 +465,6 @@
 		w.badAt = now
 		w.log.Warn("discovery message not read", "cause", err)
 	}
-	w.whole, w.backoff = true, max(w.backoff, w.lim.BackoffFirst)
+	w.whole, w.backoff = true, max(w.backoff, w.lim.InitialBackoff)
 	x.fail("a message that can't be read")
 }
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -19,8 +19,8 @@
 
 type nobody struct{}
 
-func (nobody) List(admission.ServerList) {}
-func (nobody) Gone(string)               {}
+func (nobody) ServerListReceived(admission.ServerList) {}
+func (nobody) Gone(string)                             {}
 
 func (nobody) Host(string, string, time.Duration, bool) {}
 
@@ -32,7 +32,7 @@
 }
 
 func bounds(t *testing.T, doors int) limits.Limits {
-	lim, err := limits.For(limits.Site{Sockets: 384, Gateways: doors})
+	lim, err := limits.For(limits.Site{Sockets: 384, Ingresses: doors})
 	require.NoError(t, err)
 	return lim
 }
@@ -95,8 +95,8 @@
 	l, err := loop.New()
 	require.NoError(t, err)
 	lim := bounds(t, 300)
-	lim.ClusterSilence, lim.ClusterSpread = 600*time.Millisecond, 20*time.Millisecond
-	lim.ClusterFirst, lim.ClusterMost = time.Minute, time.Minute // 6 s at least, once it was turned away
+	lim.ClusterSilenceTimeout, lim.ClusterJitter = 600*time.Millisecond, 20*time.Millisecond
+	lim.ClusterInitialBackoff, lim.ClusterMaxBackoff = time.Minute, time.Minute // 6 s at least, once it was turned away
 	s := &sink{}
 	New(l, lim, slog.New(slog.DiscardHandler), addr, s, s, List{}, 1)
 	l.After(5*time.Second, l.Stop)
@@ -112,20 +112,20 @@
 // A few doors ask as promptly as ever.
 func TestWaitsOfAFewDoorsAreShort(t *testing.T) {
 	lim := bounds(t, 3)
-	require.LessOrEqual(t, lim.ClusterSpread, 50*time.Millisecond)
-	require.Equal(t, lim.BackoffMost, lim.ClusterMost)
+	require.LessOrEqual(t, lim.ClusterJitter, 50*time.Millisecond)
+	require.Equal(t, lim.MaxBackoff, lim.ClusterMaxBackoff)
 	large := bounds(t, 80)
-	require.Greater(t, large.ClusterMost, 4*time.Second)
-	require.Greater(t, large.ClusterSpread, 200*time.Millisecond)
+	require.Greater(t, large.ClusterMaxBackoff, 4*time.Second)
+	require.Greater(t, large.ClusterJitter, 200*time.Millisecond)
 }
 
 // Ingresses that are released together may be sent requests before they are up. One that asked discovery later
 // than the grace of drains would send those to hosts that have long drained, however large the fleet.
 func TestFirstWatchesComeWithinTheGraceOfDrains(t *testing.T) {
 	for _, doors := range []int{3, 80, 300, 3000} {
-		lim, err := limits.For(limits.Site{Sockets: 384, Gateways: doors, DrainGrace: 500 * time.Millisecond})
+		lim, err := limits.For(limits.Site{Sockets: 384, Ingresses: doors, DrainGrace: 500 * time.Millisecond})
 		require.NoError(t, err)
-		require.LessOrEqual(t, lim.ClusterSpread, 250*time.Millisecond)
+		require.LessOrEqual(t, lim.ClusterJitter, 250*time.Millisecond)
 	}
 }
 
@@ -135,7 +135,7 @@
 	lists []admission.ServerList
 }
 
-func (s *sink) List(l admission.ServerList) { s.lists = append(s.lists, l) }
+func (s *sink) ServerListReceived(l admission.ServerList) { s.lists = append(s.lists, l) }
 
 // Hosts that the operators drain count as draining whatever discovery says, until they are taken off the list; what
 // discovery itself drains stays so.
--- a/internal/net/discovery/drain.go
+++ b/internal/net/discovery/drain.go
@@ -25,7 +25,7 @@
 		slices.SortFunc(news.Servers, func(a, b admission.ServerEntry) int { // equal news in equal order
 			return strings.Compare(a.Name, b.Name)
 		})
-		w.sink.List(news)
+		w.sink.ServerListReceived(news)
 		for _, e := range news.Servers {
 			w.hosts.Host(e.Name, w.known[e.Name].Addr, e.Boot, e.State != admission.Up)
 		}
--- a/internal/net/discovery/shortage_test.go
+++ b/internal/net/discovery/shortage_test.go
@@ -27,9 +27,9 @@
 // A watch can't be opened for want of something on this machine: discovery was not asked, so that a large fleet's waits,
 // which spare it, do not hold. It is asked as soon as it can be.
 func TestAWatchThatThisMachineCantOpenYet(t *testing.T) {
-	lim, err := limits.For(limits.Site{Sockets: 384, Gateways: 300})
+	lim, err := limits.For(limits.Site{Sockets: 384, Ingresses: 300})
 	require.NoError(t, err)
-	lim.ClusterSpread = 0
+	lim.ClusterJitter = 0
 	addr := serve(t, func(c net.Conn, _ int64) {
 		begin(c)
 		chunk(c, list(7))
@@ -48,12 +48,12 @@
 	require.Nil(t, w.next, "nothing was opened")
 	began := time.Now()
 	nettest.Until(t, l, func() bool { return w.HasSynced() })
-	require.Less(t, time.Since(began), lim.ClusterFirst/10)
+	require.Less(t, time.Since(began), lim.ClusterInitialBackoff/10)
 }
 
 // A connection that the system does not let us watch is closed, and not forgotten.
 func TestAWatchThatCantBeWatchedLeavesNoDescriptor(t *testing.T) {
-	lim, err := limits.For(limits.Site{Sockets: 384, Gateways: 1})
+	lim, err := limits.For(limits.Site{Sockets: 384, Ingresses: 1})
 	require.NoError(t, err)
 	l, err := loop.New()
 	require.NoError(t, err)
--- a/internal/net/discovery/told_test.go
+++ b/internal/net/discovery/told_test.go
@@ -182,7 +182,7 @@
 	var all []ingress
 	for _, gateways := range []int{3, 60, 325, 650} {
 		for _, pushed := range []bool{true, false} {
-			lim, err := limits.For(limits.Site{Sockets: 384, Gateways: gateways, DrainGrace: drainGrace, Pushed: pushed})
+			lim, err := limits.For(limits.Site{Sockets: 384, Ingresses: gateways, DrainGrace: drainGrace, HasLocalAgent: pushed})
 			require.NoError(t, err)
 			for range rounds {
 				in := ingress{d: newFlaky(t), leaves: &leaveTime{loop: l}}
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -19,7 +19,7 @@
 
 // agent are the bounds of an ingress among many that has an agent of its own to ask.
 func agent(t *testing.T) limits.Limits {
-	lim, err := limits.For(limits.Site{Sockets: 384, Gateways: 300, DrainGrace: 500 * time.Millisecond, Pushed: true})
+	lim, err := limits.For(limits.Site{Sockets: 384, Ingresses: 300, DrainGrace: 500 * time.Millisecond, HasLocalAgent: true})
 	require.NoError(t, err)
 	return lim
 }
@@ -73,9 +73,9 @@
 // A watch that was accepted and hears nothing is given up soon, at first; one that is merely slow is heard at last.
 func TestAWatchThatHearsNothing(t *testing.T) {
 	lim := agent(t)
-	require.LessOrEqual(t, lim.ClusterAnswer, time.Second)
-	require.LessOrEqual(t, lim.ClusterSilence, 3*time.Second)
-	lim.ClusterAnswer, lim.ClusterSilence = 40*time.Millisecond, 800*time.Millisecond
+	require.LessOrEqual(t, lim.ClusterResponseTimeout, time.Second)
+	require.LessOrEqual(t, lim.ClusterSilenceTimeout, 3*time.Second)
+	lim.ClusterResponseTimeout, lim.ClusterSilenceTimeout = 40*time.Millisecond, 800*time.Millisecond
 	addr := serve(t, func(c net.Conn, n int64) {
 		time.AfterFunc(300*time.Millisecond, func() { // later than the first waits, sooner than the longest
 			begin(c)
@@ -132,5 +132,5 @@
 	lim := agent(t)
 	_, versions := follow(t, lim, addr, 5)
 	require.Len(t, versions, 5)
-	require.GreaterOrEqual(t, time.Since(began), 4*lim.BackoffFirst)
+	require.GreaterOrEqual(t, time.Since(began), 4*lim.InitialBackoff)
 }
--- a/internal/net/downstream/ahead.go
+++ b/internal/net/downstream/ahead.go
@@ -3,7 +3,7 @@
 // What a client sends ahead of its answers.
 
 // most bounds what is held of what a client sends ahead of its answers.
-func (c *Conn) most() int { return c.s.lim.HeadBytes + c.s.lim.KeepBytes }
+func (c *Conn) most() int { return c.s.lim.MaxHeaderBytes + c.s.lim.MaxBufferedBodyBytes }
 
 // tooMuch tells whether a client has sent more ahead of its answers than is held for it. All that is dropped, with what
 // comes, and its connection ends with the present answer; it is read on all the same, within bounds, since its end may
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -45,7 +45,7 @@
 
 // New returns a server without listeners.
 func New(l *loop.Loop, lim limits.Limits, log *slog.Logger) *Server {
-	s := &Server{loop: l, lim: lim, log: log, conns: map[*Conn]struct{}{}, debugs: core.Debugs(log)}
+	s := &Server{loop: l, lim: lim, log: log, conns: map[*Conn]struct{}{}, debugs: core.DebugEnabled(log)}
 	l.After(sweepEvery, s.sweep)
 	return s
 }
@@ -61,7 +61,7 @@
 		case c.lingering && now-c.since > c.lingerTime():
 			c.drop(closedLingered)
 		case c.down != nil:
-			if now-c.down.moved > s.lim.FlowSilence {
+			if now-c.down.moved > s.lim.RelayStallTimeout {
 				c.gone(closedNoProgress)
 			}
 		case c.up != nil && c.slow(now):
@@ -70,10 +70,10 @@
 		case s.held: // not read, so what it has not shown is not its fault
 		case c.busy || c.lingering:
 		case c.parser.HasMessageStarted():
-			if now-c.since > s.lim.RequestTime(c.parser.BodyBytesRead()) {
+			if now-c.since > s.lim.RequestTimeout(c.parser.BodyBytesRead()) {
 				c.malformed(408, "request not whole in time")
 			}
-		case !c.served && now-c.opened > s.lim.FirstTime, now-c.since > s.lim.DownstreamIdle:
+		case !c.served && now-c.opened > s.lim.FirstRequestTimeout, now-c.since > s.lim.DownstreamIdleTimeout:
 			c.finishUnlessAsked(closedIdle)
 		}
 	}
--- a/internal/net/downstream/end.go
+++ b/internal/net/downstream/end.go
@@ -44,7 +44,7 @@
 	case errors.Is(err, loop.ErrAgain):
 	case errors.Is(err, io.EOF) && len(c.out) > 0:
 		c.src.SetEvents(loop.Out) // the client has ended its side and still takes the answer
-	case err != nil, c.dropped > c.s.lim.LingerBytes && !c.unread, c.dropped > c.s.lim.BodyBytes+c.s.lim.LingerBytes:
+	case err != nil, c.dropped > c.s.lim.MaxLingerBytes && !c.unread, c.dropped > c.s.lim.MaxBodyBytes+c.s.lim.MaxLingerBytes:
 		c.drop(closedAfterEnd)
 	}
 }
--- a/internal/net/downstream/end_test.go
+++ b/internal/net/downstream/end_test.go
@@ -23,8 +23,8 @@
 func TestTheListenerClosesWhereAllPlacesAreTaken(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{Downstream: 4, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4, FirstTime: time.Minute,
-		HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute, Linger: time.Second, LingerBytes: 1 << 10}
+	lim := limits.Limits{MaxDownstreamConns: 4, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10, MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, NewConnGrace: time.Minute, LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
 	s := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	f := &auto{s: s, after: -1}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
@@ -34,10 +34,10 @@
 		_, err := io.WriteString(c, "GET /x HTTP/1.1\r\n\r\n")
 		require.NoError(t, err)
 	}
-	for range lim.Downstream {
+	for range lim.MaxDownstreamConns {
 		ask(dial(t, where))
 	}
-	nettest.Until(t, l, func() bool { return len(f.got) == lim.Downstream })
+	nettest.Until(t, l, func() bool { return len(f.got) == lim.MaxDownstreamConns })
 	var waiting []net.Conn
 	for range 3 {
 		c := dial(t, where)
@@ -47,7 +47,7 @@
 	nettest.Until(t, l, func() bool { return s.paused })
 	s.Drain()
 	s.CloseListeners()
-	require.Len(t, f.got, lim.Downstream+len(waiting))
+	require.Len(t, f.got, lim.MaxDownstreamConns+len(waiting))
 	for _, c := range waiting {
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(10*time.Second)))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -72,8 +72,8 @@
 func TestHowLongAConnectionHasWaitedToBeAccepted(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{Downstream: 2, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 1, Ahead: 4, FirstTime: time.Minute,
-		HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute, Linger: time.Second, LingerBytes: 1 << 10}
+	lim := limits.Limits{MaxDownstreamConns: 2, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10, MaxAcceptsPerTurn: 1, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, NewConnGrace: time.Minute, LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
 	s := New(l, lim, slog.New(slog.DiscardHandler))
 	f := &waits{}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
@@ -115,16 +115,16 @@
 func TestAClientEndsBehindABodyWithoutRoom(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{Downstream: 4, HeadBytes: 1 << 10, KeepBytes: 1 << 10, BodyBytes: 1 << 20, BodyRate: 1 << 10, Accepts: 4, Ahead: 4,
-		FirstTime: time.Minute, HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute, Linger: time.Second,
-		LingerBytes: 1 << 20, FlowSilence: time.Minute}
+	lim := limits.Limits{MaxDownstreamConns: 4, MaxHeaderBytes: 1 << 10, MaxBufferedBodyBytes: 1 << 10, MaxBodyBytes: 1 << 20, MinBodyRate: 1 << 10, MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4,
+		FirstRequestTimeout: time.Minute, HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, NewConnGrace: time.Minute, LingerTimeout: time.Second,
+		MaxLingerBytes: 1 << 20, RelayStallTimeout: time.Minute}
 	s := New(l, lim, slog.New(slog.DiscardHandler))
 	f := &holds{}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
 	where, err := loop.LocalAddress(s.listeners[0].src.FD())
 	require.NoError(t, err)
 	c := dial(t, where)
-	_, err = io.WriteString(c, "POST /x HTTP/1.1\r\nContent-Length: 500000\r\n\r\n"+strings.Repeat("x", 4*lim.Window(0)))
+	_, err = io.WriteString(c, "POST /x HTTP/1.1\r\nContent-Length: 500000\r\n\r\n"+strings.Repeat("x", 4*lim.RelayWindow(0)))
 	require.NoError(t, err)
 	nettest.Until(t, l, func() bool { return f.open == 1 })
 	require.NoError(t, c.Close())
@@ -137,8 +137,8 @@
 func resting(t *testing.T, change func(*limits.Limits)) (l *loop.Loop, s *Server, f *auto, ask func()) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{Downstream: 4, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4, FirstTime: time.Minute,
-		HeadTime: time.Minute, DownstreamIdle: time.Minute, FreshTime: time.Minute, Linger: time.Second, LingerBytes: 1 << 10}
+	lim := limits.Limits{MaxDownstreamConns: 4, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10, MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, NewConnGrace: time.Minute, LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
 	change(&lim)
 	s = New(l, lim, slog.New(slog.DiscardHandler))
 	f = &auto{s: s, after: -1}
@@ -157,7 +157,7 @@
 
 // A request comes in the turn in which its connection would be ended as idle: it is answered.
 func TestARequestCrossesTheEndOfAnIdleConnection(t *testing.T) {
-	l, _, f, ask := resting(t, func(lim *limits.Limits) { lim.DownstreamIdle = sweepEvery / 10 })
+	l, _, f, ask := resting(t, func(lim *limits.Limits) { lim.DownstreamIdleTimeout = sweepEvery / 10 })
 	l.After(0, func() { time.Sleep(2 * sweepEvery) }) // the next turn has both that and the sweep to do
 	l.After(time.Millisecond, ask)
 	nettest.Until(t, l, func() bool { return len(f.got) == 2 })
@@ -165,8 +165,8 @@
 
 // A request comes as its connection would be closed to make room for another: it is answered, and the connection kept.
 func TestARequestCrossesTheMakingOfRoom(t *testing.T) {
-	l, s, f, ask := resting(t, func(lim *limits.Limits) { lim.FreshTime = time.Millisecond })
-	l.After(10*s.lim.FreshTime, func() {
+	l, s, f, ask := resting(t, func(lim *limits.Limits) { lim.NewConnGrace = time.Millisecond })
+	l.After(10*s.lim.NewConnGrace, func() {
 		ask()
 		require.False(t, s.makeRoom(), "nothing is silent")
 	})
--- a/internal/net/downstream/flow.go
+++ b/internal/net/downstream/flow.go
@@ -19,7 +19,7 @@
 
 // begin hands on an open request: its front may send it on before its body has come.
 func (c *Conn) begin(req *http1.Request) {
-	u := &upload{pipe: flow.New(c.s.lim.Window(c.s.uploads), req.ContentLength), since: c.s.loop.Now()}
+	u := &upload{pipe: flow.New(c.s.lim.RelayWindow(c.s.uploads), req.ContentLength), since: c.s.loop.Now()}
 	u.pipe.Append(req.Body) // it is held there alone
 	c.parser.ReleaseBodyBuffers()
 	req.Body, req.BodyPipe, c.up = nil, u.pipe, u
@@ -93,7 +93,7 @@
 		u.since += sweepEvery
 		return false
 	}
-	return now-u.since > c.s.lim.RequestTime(u.got)
+	return now-u.since > c.s.lim.RequestTimeout(u.got)
 }
 
 // download is an answer's body of which more comes.
@@ -196,9 +196,9 @@
 // reads would else never see the answer that came meanwhile.
 func (c *Conn) lingerTime() time.Duration {
 	if c.unread {
-		return c.s.lim.FlowSilence
+		return c.s.lim.RelayStallTimeout
 	}
-	return c.s.lim.Linger
+	return c.s.lim.LingerTimeout
 }
 
 // Relaying tells how many answers are on their way and not wholly written.
--- a/internal/net/downstream/handover.go
+++ b/internal/net/downstream/handover.go
@@ -117,7 +117,7 @@
 		loop.CloseFD(fd)
 		return nil
 	}
-	p, err := http1.RestoreRequestParser(st.Parser, s.lim.HeadBytes, s.lim.BodyBytes, s.lim.KeepBytes)
+	p, err := http1.RestoreRequestParser(st.Parser, s.lim.MaxHeaderBytes, s.lim.MaxBodyBytes, s.lim.MaxBufferedBodyBytes)
 	if err != nil {
 		loop.CloseFD(fd)
 		return err
--- a/internal/net/downstream/handover_test.go
+++ b/internal/net/downstream/handover_test.go
@@ -36,8 +36,8 @@
 func TestConnectionsGoOverWithWhatWasRead(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{Downstream: 10, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4, FirstTime: time.Minute,
-		HeadTime: time.Minute, DownstreamIdle: time.Minute, Linger: time.Second, LingerBytes: 1 << 10}
+	lim := limits.Limits{MaxDownstreamConns: 10, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10, MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	addr, a, b := "127.0.0.1:0", &script{}, &script{}
 	old, next := New(l, lim, log), New(l, lim, log)
@@ -112,10 +112,10 @@
 func TestWhatWaitsForItsTurnWaitsThroughAFreeze(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim := limits.Limits{Downstream: 10, HeadBytes: 1 << 10, BodyBytes: 1 << 10, Accepts: 4, Ahead: 4, FirstTime: time.Minute,
-		HeadTime: time.Minute, DownstreamIdle: time.Minute, Linger: time.Second, LingerBytes: 1 << 10}
+	lim := limits.Limits{MaxDownstreamConns: 10, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10, MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
 	s := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	f := &auto{s: s, after: lim.Ahead}
+	f := &auto{s: s, after: lim.MaxPipelinedPerTurn}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
 	where, err := loop.LocalAddress(s.listeners[0].src.FD())
 	require.NoError(t, err)
@@ -125,7 +125,7 @@
 	nettest.Until(t, l, func() bool { return s.held })
 	turns := 0
 	nettest.Until(t, l, func() bool { turns++; return turns > 20 })
-	require.Len(t, f.got, lim.Ahead)
+	require.Len(t, f.got, lim.MaxPipelinedPerTurn)
 	s.Release()
 	nettest.Until(t, l, func() bool { return len(f.got) == 10 })
 }
@@ -134,7 +134,7 @@
 func TestAClosedListenerThatLivesOnElsewhere(t *testing.T) {
 	l, err := loop.New()
 	require.NoError(t, err)
-	s := New(l, limits.Limits{Downstream: 10, Accepts: 4}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := New(l, limits.Limits{MaxDownstreamConns: 10, MaxAcceptsPerTurn: 4}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(t, s.Listen("127.0.0.1:0", &script{}))
 	where, err := loop.LocalAddress(s.listeners[0].src.FD())
 	require.NoError(t, err)
--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -72,9 +72,9 @@
 // Ready accepts what waits, up to a bound: those who connect by the hundred must not keep the others' answers.
 // After a time in which the process stood still all are taken: what they have sent meanwhile is as old as that.
 func (ln *listener) Ready(uint32) {
-	most := ln.s.lim.Accepts
+	most := ln.s.lim.MaxAcceptsPerTurn
 	if ln.s.loop.MaxReadDelay() > 0 {
-		most = ln.s.lim.Downstream
+		most = ln.s.lim.MaxDownstreamConns
 	}
 	ln.accept(most)
 }
@@ -86,7 +86,7 @@
 		if s.held {
 			break
 		}
-		if len(s.conns)+s.elsewhere >= s.lim.Downstream && !s.makeRoom() {
+		if len(s.conns)+s.elsewhere >= s.lim.MaxDownstreamConns && !s.makeRoom() {
 			s.pause("all connections busy")
 			break
 		}
@@ -113,7 +113,7 @@
 // it has sent.
 func (ln *listener) open(fd int) error {
 	s, now := ln.s, ln.s.loop.Now()
-	c := &Conn{s: s, ln: ln, parser: http1.NewRequestParser(s.lim.HeadBytes, s.lim.BodyBytes, s.lim.KeepBytes), since: now,
+	c := &Conn{s: s, ln: ln, parser: http1.NewRequestParser(s.lim.MaxHeaderBytes, s.lim.MaxBodyBytes, s.lim.MaxBufferedBodyBytes), since: now,
 		opened: now, moved: now}
 	if err := s.enter(c, fd); err != nil {
 		return err
--- a/internal/net/downstream/read.go
+++ b/internal/net/downstream/read.go
@@ -34,7 +34,7 @@
 
 // take reads once. It tells whether anything came, and whether the connection still stands.
 func (c *Conn) take(late time.Duration) (got, stands bool) {
-	most := c.s.lim.HeadBytes
+	most := c.s.lim.MaxHeaderBytes
 	if c.up != nil {
 		most = max(1, c.up.pipe.FreeSpace())
 	}
@@ -72,7 +72,7 @@
 	c.parsing = true
 	defer func() { c.parsing = false }()
 	for n := 0; !c.busy && !c.lingering && !c.s.held && c.src.FD() >= 0; n++ {
-		if n == c.s.lim.Ahead { // the others have their turn
+		if n == c.s.lim.MaxPipelinedPerTurn { // the others have their turn
 			c.s.loop.After(time.Microsecond, c.parse)
 			break
 		}
@@ -129,7 +129,7 @@
 		if events = loop.Hangup; c.up.pipe.FreeSpace() > 0 { // else only its end is of use now
 			events |= loop.In
 		}
-	case c.dumped > c.s.lim.LingerBytes:
+	case c.dumped > c.s.lim.MaxLingerBytes:
 	case c.busy, c.parser.Buffered() <= c.most():
 		events |= loop.In
 	}
--- a/internal/net/downstream/room.go
+++ b/internal/net/downstream/room.go
@@ -44,13 +44,13 @@
 	var c *Conn
 	longest := time.Duration(0)
 	look := func(l *list, weight time.Duration) {
-		if f := l.first; f != nil && now-f.moved > s.lim.FreshTime && weight*(now-f.moved) > longest {
+		if f := l.first; f != nil && now-f.moved > s.lim.NewConnGrace && weight*(now-f.moved) > longest {
 			c, longest = f, weight*(now-f.moved)
 		}
 	}
 	look(&s.fresh, shownNothing)
 	look(&s.begun, 1)
-	if s.fresh.n+s.begun.n <= s.lim.Downstream/2 {
+	if s.fresh.n+s.begun.n <= s.lim.MaxDownstreamConns/2 {
 		look(&s.idle, hadAnswer)
 	}
 	return c
@@ -77,7 +77,7 @@
 	for _, ln := range s.listeners {
 		ln.src.SetEvents(0)
 	}
-	s.loop.After(s.lim.FreshTime, s.resume)
+	s.loop.After(s.lim.NewConnGrace, s.resume)
 }
 
 // logEvery: a flood that pauses accepting again and again is told of so often.
--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -386,7 +386,7 @@
 
 // wait is how long to wait for descriptors, in milliseconds.
 func (l *Loop) wait(next time.Duration) int {
-	l.timers.Skip(func(t *Timer) bool { return t.fn != nil }) // a stopped one is not worth a turn
+	l.timers.DiscardInactive(func(t *Timer) bool { return t.fn != nil }) // a stopped one is not worth a turn
 	if at, ok := l.timers.Next(); ok && (next == 0 || at < next) {
 		next = at
 	}
--- a/internal/net/mgmt/mgmt.go
+++ b/internal/net/mgmt/mgmt.go
@@ -59,7 +59,7 @@
 // Ready accepts who waits. Callers that say nothing must not shut out the next: where all places are taken, the
 // one that has been there longest goes.
 func (d *Endpoint) Ready(uint32) {
-	for range d.lim.Accepts {
+	for range d.lim.MaxAcceptsPerTurn {
 		fd, err := loop.Accept(d.ln.FD())
 		if errors.Is(err, loop.ErrAgain) {
 			return
@@ -71,7 +71,7 @@
 			}
 			return
 		}
-		if len(d.calls) >= d.lim.Callers {
+		if len(d.calls) >= d.lim.MaxManagementConns {
 			d.calls[0].close()
 		}
 		c := &caller{d: d}
@@ -80,7 +80,7 @@
 			return
 		}
 		c.src.ServeFirst()
-		c.timer = d.loop.After(d.lim.CallerTime, c.close)
+		c.timer = d.loop.After(d.lim.ManagementConnTimeout, c.close)
 		d.calls = append(d.calls, c)
 	}
 }
@@ -119,7 +119,7 @@
 	if c.done {
 		return
 	}
-	most := c.d.lim.CallerBytes
+	most := c.d.lim.MaxManagementLineBytes
 	c.line = append(c.line, buf[:min(n, most+1-len(c.line))]...)
 	i := bytes.IndexByte(c.line, '\n')
 	switch {
--- a/internal/net/mgmt/mgmt_test.go
+++ b/internal/net/mgmt/mgmt_test.go
@@ -48,7 +48,7 @@
 	return addr, log
 }
 
-var bounds = limits.Limits{Callers: 4, CallerBytes: 256, CallerTime: patience, Accepts: 64}
+var bounds = limits.Limits{MaxManagementConns: 4, MaxManagementLineBytes: 256, ManagementConnTimeout: patience, MaxAcceptsPerTurn: 64}
 
 func dial(t *testing.T, addr string) net.Conn {
 	c, err := net.Dial("tcp", addr)
@@ -100,7 +100,7 @@
 func TestSilentCallersShutNobodyOut(t *testing.T) {
 	addr, _ := open(t, desk{ready: true}, bounds)
 	var silent []net.Conn
-	for range 3 * bounds.Callers {
+	for range 3 * bounds.MaxManagementConns {
 		c := dial(t, addr)
 		_, err := io.WriteString(c, "STAT")
 		require.NoError(t, err)
@@ -113,7 +113,7 @@
 
 func TestACallerHasOnlySoLong(t *testing.T) {
 	short := bounds
-	short.CallerTime = 20 * time.Millisecond
+	short.ManagementConnTimeout = 20 * time.Millisecond
 	addr, _ := open(t, desk{ready: true}, short)
 	c := dial(t, addr)
 	_, err := c.Read(make([]byte, 1))
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -116,7 +116,7 @@
 		p.second, p.taken = s, 0
 	}
 	buf := p.loop.ReadBuffer()[:membership.Datagram+1]
-	for range p.lim.Datagrams {
+	for range p.lim.MaxDatagramsPerTurn {
 		n, err := loop.ReceiveUDP(p.src.FD(), buf)
 		if errors.Is(err, loop.ErrAgain) {
 			break
@@ -125,7 +125,7 @@
 			continue
 		}
 		p.counts.ReceivedBytes += uint64(n)
-		if p.taken >= p.lim.DatagramsSecond {
+		if p.taken >= p.lim.MaxDatagramsPerSecond {
 			p.counts.Dropped++
 			continue
 		}
--- a/internal/net/peers/peers_test.go
+++ b/internal/net/peers/peers_test.go
@@ -25,11 +25,11 @@
 }
 
 func open(t *testing.T, l *loop.Loop, second int, addrs map[string]string) (*Transport, *net.UDPAddr) {
-	lim, err := limits.For(limits.Site{Sockets: 256, Gateways: 2})
+	lim, err := limits.For(limits.Site{Sockets: 256, Ingresses: 2})
 	require.NoError(t, err)
-	lim.DatagramsSecond = second
-	node := membership.New(membership.Config{Me: "0", Incarnation: 5, Period: lim.MemberPeriod, AckWithin: lim.MemberAck,
-		SuspectFor: lim.MemberSuspect, Helpers: lim.MemberHelpers, Carry: lim.MemberCarry, Least: 2}, l.Now())
+	lim.MaxDatagramsPerSecond = second
+	node := membership.New(membership.Config{Me: "0", Incarnation: 5, Period: lim.MemberProbeInterval, AckWithin: lim.MemberAckTimeout,
+		SuspectFor: lim.MemberSuspicionTimeout, Helpers: lim.MemberIndirectProbes, Carry: lim.MemberUpdatesPerMessage, Least: 2}, l.Now())
 	c := other(t)
 	listen := c.LocalAddr().(*net.UDPAddr)
 	require.NoError(t, c.Close())
--- a/internal/net/upstream/crossing_test.go
+++ b/internal/net/upstream/crossing_test.go
@@ -156,7 +156,7 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain")
 		close(both)
 	})
-	p.lim.UpstreamRest = time.Hour
+	p.lim.UpstreamReuseDelay = time.Hour
 	ask(p, 1)
 	ends(t, l, sink, 1)
 	p.noisyAt = l.Now() // second answers have been seen, see below
@@ -186,7 +186,7 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain")
 			both <- struct{}{}
 		})
-		p.lim.UpstreamRest = time.Hour
+		p.lim.UpstreamReuseDelay = time.Hour
 		ask(p, 1)
 		ends(t, l, sink, 1)
 		ask(p, 2)
--- a/internal/net/upstream/flow.go
+++ b/internal/net/upstream/flow.go
@@ -83,7 +83,7 @@
 	ref := c.ref
 	c.early.Stop()
 	delete(c.p.out, ref)
-	pipe := flow.New(c.p.lim.Window(len(c.p.relays)), resp.ContentLength)
+	pipe := flow.New(c.p.lim.RelayWindow(len(c.p.relays)), resp.ContentLength)
 	c.relay = &relay{pipe: pipe, moved: c.p.loop.Now()}
 	c.closes = resp.Close || len(c.out) > 0 || c.body != nil
 	c.detach()
@@ -159,14 +159,14 @@
 	for c := range p.relays {
 		if c.relay.pipe.FreeSpace() == 0 {
 			c.relay.moved = now
-		} else if now-c.relay.moved > p.lim.FlowSilence {
+		} else if now-c.relay.moved > p.lim.RelayStallTimeout {
 			c.fail(errSilent)
 		}
 	}
 	for _, c := range p.out {
 		if c.body == nil || len(c.out) == 0 && len(c.body.Bytes()) == 0 { // whole, or its client is waited for, which has a time of its own
 			c.took = now
-		} else if c.up && now-c.took > p.lim.FlowSilence {
+		} else if c.up && now-c.took > p.lim.RelayStallTimeout {
 			c.fail(errSilent)
 		}
 	}
--- a/internal/net/upstream/flow_test.go
+++ b/internal/net/upstream/flow_test.go
@@ -36,9 +36,9 @@
 	})
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim, err := limits.For(limits.Site{Sockets: 256, MemoryMB: 64, Gateways: 1})
+	lim, err := limits.For(limits.Site{Sockets: 256, MemoryMB: 64, Ingresses: 1})
 	require.NoError(t, err)
-	lim.FlowSilence, lim.UpstreamIdle, lim.UpstreamRest = 50*time.Millisecond, time.Minute, 0
+	lim.RelayStallTimeout, lim.UpstreamIdleTimeout, lim.UpstreamReuseDelay = 50*time.Millisecond, time.Minute, 0
 	whole, sink := uint64(0), &told{}
 	p := New(l, lim, slog.New(slog.DiscardHandler), &whole)
 	p.SetSink(sink)
--- a/internal/net/upstream/handover.go
+++ b/internal/net/upstream/handover.go
@@ -46,12 +46,12 @@
 func (p *Pool) Take(name string, since time.Duration, fd int) error {
 	p.elsewhere = max(0, p.elsewhere-1)
 	h := p.hosts[name]
-	if h == nil || h.leaving || p.conns+p.elsewhere >= p.lim.Upstream {
+	if h == nil || h.leaving || p.conns+p.elsewhere >= p.lim.MaxUpstreamConns {
 		loop.CloseFD(fd)
 		return nil
 	}
 	c := &conn{p: p, h: h, addr: h.addr, up: true, since: since,
-		parser: http1.NewResponseParser(p.lim.HeadBytes, p.lim.BodyBytes, p.lim.KeepBytes)}
+		parser: http1.NewResponseParser(p.lim.MaxHeaderBytes, p.lim.MaxBodyBytes, p.lim.MaxBufferedBodyBytes)}
 	var err error
 	if c.src, err = p.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
 		loop.CloseFD(fd)
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -80,7 +80,7 @@
 }
 
 func (p *Pool) dial(h *host) (*conn, error) {
-	if p.conns+p.elsewhere >= p.lim.Upstream && !p.makeRoom() {
+	if p.conns+p.elsewhere >= p.lim.MaxUpstreamConns && !p.makeRoom() {
 		return nil, errFull
 	}
 	fd, err := loop.Dial(h.addr)
@@ -91,14 +91,14 @@
 		return nil, err
 	}
 	c := &conn{p: p, h: h, addr: h.addr,
-		parser: http1.NewResponseParser(p.lim.HeadBytes, p.lim.BodyBytes, p.lim.KeepBytes)}
+		parser: http1.NewResponseParser(p.lim.MaxHeaderBytes, p.lim.MaxBodyBytes, p.lim.MaxBufferedBodyBytes)}
 	if c.src, err = p.loop.Watch(fd, loop.Out|loop.Hangup, c); err != nil {
 		loop.CloseFD(fd)
 		return nil, err
 	}
 	p.conns++
 	c.src.ServeLast() // what it brings is no more than that a request can be written
-	c.dialing = p.loop.After(p.lim.DialLimit, func() { c.fail(io.ErrNoProgress) })
+	c.dialing = p.loop.After(p.lim.DialTimeout, func() { c.fail(io.ErrNoProgress) })
 	return c, nil
 }
 
--- a/internal/net/upstream/response.go
+++ b/internal/net/upstream/response.go
@@ -71,7 +71,7 @@
 			return
 		case c.early == nil && c.parser.HasUnknownLength():
 			// What is so short that its last byte counts is soon here; of what is long the first bytes count.
-			c.early = c.p.loop.After(c.p.lim.FlowEarly, func() {
+			c.early = c.p.loop.After(c.p.lim.RelayStartDelay, func() {
 				if resp := c.parser.StartStreaming(); resp != nil && c.busy && c.src.FD() >= 0 {
 					c.open(resp)
 				}
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -79,7 +79,7 @@
 // connection rest would cost a handshake wherever the next request waits for the answer before.
 func (c *conn) fresh() bool {
 	now := c.p.loop.Now()
-	return c.p.noisyAt > 0 && now-c.p.noisyAt < noiseMemory && now-c.since < c.p.lim.UpstreamRest
+	return c.p.noisyAt > 0 && now-c.p.noisyAt < noiseMemory && now-c.since < c.p.lim.UpstreamReuseDelay
 }
 
 // doubtful ends a connection whose answer may be a second one to the request before.
--- a/internal/net/upstream/upstream.go
+++ b/internal/net/upstream/upstream.go
@@ -46,7 +46,7 @@
 // whole counts the requests that have been written whole.
 func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, whole *uint64) *Pool {
 	p := &Pool{loop: l, lim: lim, log: log, whole: whole, hosts: map[string]*host{}, out: map[core.Ref]*conn{},
-		relays: map[*conn]struct{}{}, debugs: core.Debugs(log)}
+		relays: map[*conn]struct{}{}, debugs: core.DebugEnabled(log)}
 	l.After(sweepEvery, p.sweep)
 	return p
 }
@@ -71,7 +71,7 @@
 			break
 		}
 		old := 0
-		for old < len(h.idle) && now-h.idle[old].since+sweepEvery >= p.lim.UpstreamIdle {
+		for old < len(h.idle) && now-h.idle[old].since+sweepEvery >= p.lim.UpstreamIdleTimeout {
 			old++
 		}
 		for _, c := range append([]*conn(nil), h.idle[:old]...) {
--- a/internal/own/own.go
+++ b/internal/own/own.go
@@ -159,20 +159,20 @@
 	for _, f := range []struct {
 		name, text string
 		to         *time.Duration
-	}{{"telemetry.every", s.Telemetry.Every, &l.TelemetryEvery},
-		{"control_group.ready_wait", s.ControlGroup.ReadyWait, &l.ControlReadyWait},
-		{"membership.period", s.Membership.Period, &l.MemberPeriod}, {"membership.ack", s.Membership.Ack, &l.MemberAck},
-		{"membership.suspect", s.Membership.Suspect, &l.MemberSuspect}, {"handover.hello", s.Handover.Hello, &l.HelloMost},
-		{"handover.prepare", s.Handover.Prepare, &l.PrepareMost}, {"handover.copy", s.Handover.Copy, &l.CopyMost},
-		{"handover.freeze", s.Handover.Freeze, &l.FreezeMost}, {"handover.probation", s.Handover.Probation, &l.Probation}} {
+	}{{"telemetry.every", s.Telemetry.Every, &l.TelemetryInterval},
+		{"control_group.ready_wait", s.ControlGroup.ReadyWait, &l.ControlReadyTimeout},
+		{"membership.period", s.Membership.Period, &l.MemberProbeInterval}, {"membership.ack", s.Membership.Ack, &l.MemberAckTimeout},
+		{"membership.suspect", s.Membership.Suspect, &l.MemberSuspicionTimeout}, {"handover.hello", s.Handover.Hello, &l.HelloTimeout},
+		{"handover.prepare", s.Handover.Prepare, &l.PrepareTimeout}, {"handover.copy", s.Handover.Copy, &l.CopyTimeout},
+		{"handover.freeze", s.Handover.Freeze, &l.FreezeTimeout}, {"handover.probation", s.Handover.Probation, &l.ProbationPeriod}} {
 		d, err := time.ParseDuration(f.text)
 		if err != nil || d <= 0 {
 			return fmt.Errorf("%s: %s: %q is no time above zero", filepath.Clean(s.path), f.name, f.text)
 		}
 		*f.to = d
 	}
-	l.TelemetryQueue, l.MemberHelpers = s.Telemetry.Queue, s.Membership.Helpers
-	if l.MemberAck > l.MemberPeriod {
+	l.TelemetryQueueLength, l.MemberIndirectProbes = s.Telemetry.Queue, s.Membership.Helpers
+	if l.MemberAckTimeout > l.MemberProbeInterval {
 		return fmt.Errorf("%s: membership.ack: %q is longer than membership.period", filepath.Clean(s.path), s.Membership.Ack)
 	}
 	return nil
--- a/internal/own/own_test.go
+++ b/internal/own/own_test.go
@@ -28,7 +28,7 @@
 	var l limits.Limits
 	require.NoError(t, s.Limit(&l))
 	require.Equal(t, []any{time.Second, 250 * time.Millisecond, time.Second, 4},
-		[]any{l.MemberPeriod, l.MemberAck, l.MemberSuspect, l.MemberHelpers})
+		[]any{l.MemberProbeInterval, l.MemberAckTimeout, l.MemberSuspicionTimeout, l.MemberIndirectProbes})
 }
 
 // The defaults of the file are those of a start without one.
@@ -73,5 +73,5 @@
 	require.Equal(t, []string{"127.0.0.1:7400", "[::1]:7401"}, s.ControlGroup.Replicas)
 	var l limits.Limits
 	require.NoError(t, s.Limit(&l))
-	require.Equal(t, 3*time.Second, l.ControlReadyWait)
+	require.Equal(t, 3*time.Second, l.ControlReadyTimeout)
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -40,7 +40,7 @@
 
 // record is one thing that happened: a stream's end, or a counter call's answer.
 type record struct {
-	stream  *core.Record
+	stream  *core.StreamRecord
 	outcome admission.Outcome
 	took    time.Duration
 }
@@ -121,7 +121,7 @@
 }
 
 // StreamEnded takes a stream's end. It never waits.
-func (e *Exporter) StreamEnded(r core.Record) { e.put(record{stream: &r}) }
+func (e *Exporter) StreamEnded(r core.StreamRecord) { e.put(record{stream: &r}) }
 
 // CounterAnswered takes the answer of a counter call. It never waits.
 func (e *Exporter) CounterAnswered(o admission.Outcome, took time.Duration) {
@@ -181,7 +181,7 @@
 // wall turns the loop's clock, which counts from the Unix epoch, into a time.
 func wall(d time.Duration) time.Time { return time.Unix(0, int64(d)) }
 
-func (e *Exporter) stream(ctx context.Context, r *core.Record) {
+func (e *Exporter) stream(ctx context.Context, r *core.StreamRecord) {
 	class, end := attribute.String("class", e.class(r.Class)), attribute.String("end", r.Kind.String())
 	plan := attribute.String("plan", e.plan(r.Plan))
 	e.streams.Record(ctx, r.Took.Seconds(), metric.WithAttributes(class, plan, end))
@@ -207,7 +207,7 @@
 	}
 	ctx, span := e.tracer.Start(ctx, "stream", trace.WithTimestamp(wall(r.Began)),
 		trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(class, plan, end,
-			attribute.String("dealer", fmt.Sprintf("%016x", r.Customer)), attribute.Bool("retry", r.Retry),
+			attribute.String("dealer", fmt.Sprintf("%016x", r.Customer)), attribute.Bool("retry", r.IsRetry),
 			attribute.Bool("in_time", e.inTime(r))))
 	if r.Kind == core.Failed || r.Kind == core.Expired {
 		span.SetStatus(codes.Error, r.Kind.String())
@@ -233,7 +233,7 @@
 }
 
 // inTime tells whether a stream was served while its answer was of use.
-func (e *Exporter) inTime(r *core.Record) bool {
+func (e *Exporter) inTime(r *core.StreamRecord) bool {
 	set := e.set.Load()
 	return r.Kind == core.Served && r.Class >= 0 && r.Class < len(set.Classes) && r.Took <= set.Classes[r.Class].Aim
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -23,7 +23,7 @@
 	e, err := New(Config{Endpoint: silent.URL, Every: 10 * time.Millisecond, Queue: 8, Log: slog.New(slog.DiscardHandler)})
 	require.NoError(t, err)
 	const streams = 2000
-	rec := core.Record{Took: time.Millisecond, Attempts: []core.AttemptRecord{{Host: "h", Took: time.Millisecond}}}
+	rec := core.StreamRecord{Took: time.Millisecond, Attempts: []core.AttemptRecord{{Host: "h", Took: time.Millisecond}}}
 	for range streams { // would never end if one of them waited
 		e.StreamEnded(rec)
 		e.CounterAnswered(admission.OK, time.Millisecond)
--- a/internal/timerq/timerq.go
+++ b/internal/timerq/timerq.go
@@ -43,8 +43,8 @@
 	return q.heap[0].at, true
 }
 
-// Skip takes out the first values as long as they no longer matter, due or not.
-func (q *Queue[T]) Skip(matters func(T) bool) {
+// DiscardInactive takes out the first values as long as they no longer matter, due or not.
+func (q *Queue[T]) DiscardInactive(matters func(T) bool) {
 	for len(q.heap) > 0 && !matters(q.heap[0].v) {
 		q.Pop(q.heap[0].at)
 	}
