--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -15,76 +15,76 @@
 
 type attempt struct {
 	AttemptRecord
-	live bool
-	wait time.Duration // of one sent before its request was whole: from then on; 0: to the deadline
+	isPending bool
+	timeout   time.Duration // of one sent before its request was whole: from then on; 0: to the deadline
 }
 
 type stream struct {
-	id          uint64
-	key, order  string
-	payload     Payload
-	owner       Owner
-	began, ends time.Duration
-	class, plan int
-	customer    uint64
-	retry       bool
-	window      time.Duration // for which a repeat of its key is recognised, as its class said when it came
-	trace       Trace
-	expires     time.Duration // of one that is open: its time, once it is whole
-	open        bool
-	closed      bool
-	leaving     bool // its client has left, which the module has yet to be told
-	released    bool // what no two streams may have at a time is free again
-	timedOut    bool // its last upstream request ran out of time
-	attempts    []attempt
-	live        int
+	id                        uint64
+	requestID, idempotencyKey string
+	payload                   Payload
+	owner                     Owner
+	startedAt, deadline       time.Duration
+	class, plan               int
+	customer                  uint64
+	isRetry                   bool
+	repeatWindow              time.Duration // for which a repeat of its key is recognised, as its class said when it came
+	trace                     Trace
+	timeout                   time.Duration // of one that is open: its time, once it is whole
+	isIncomplete              bool
+	isClosed                  bool
+	isLeaveUnreported         bool // its client has left, which the module has yet to be told
+	isReleased                bool // what no two streams may have at a time is free again
+	hasTimedOut               bool // its last upstream request ran out of time
+	attempts                  []attempt
+	pendingAttempts           int
 }
 
-type due struct {
+type timer struct {
 	kind  timerKind
 	ref   Ref
 	token uint64
 }
 
 type probe struct {
-	host  string
-	began time.Duration
+	host      string
+	startedAt time.Duration
 }
 
 // Core is owned by the loop's goroutine.
 type Core struct {
-	decider   Decider
-	upstreams Upstreams
-	counter   Counter
-	cluster   Cluster
-	observer  Observer
-	figures   *figures.Metrics
-	log       *slog.Logger
-	margin    time.Duration
-
-	now     time.Duration
-	lastID  uint64
-	streams map[uint64]*stream
-	keys    map[string]struct{} // of the streams
-	probes  map[uint64]probe
-	open    int // streams not ended
-	coming  int // those of them whose requests are not whole
-	timers  timerq.Queue[due]
-	events  []admission.Event
-	spare   []admission.Event
-	actions []admission.Action
-	leaving []*stream // see stream.leaving
-	orders  orders
-
-	debugs   bool             // the log takes debug lines
-	reason   admission.Reason // of the end that the module has just ordered
-	turning  bool             // actions are being carried out
-	held     bool             // the module is given nothing yet
-	witness  HandoverObserver
-	parking  bool // counter calls wait,
-	dropping bool // or are a successor's to make
-	parked   []admission.CounterAdd
-	theirs   map[uint64]StreamState // of the predecessor
+	decider        Decider
+	upstreams      Upstreams
+	counter        Counter
+	cluster        Cluster
+	observer       Observer
+	metrics        *figures.Metrics
+	log            *slog.Logger
+	deadlineMargin time.Duration
+
+	now               time.Duration
+	lastID            uint64
+	streams           map[uint64]*stream
+	requestIDs        map[string]struct{} // of the streams
+	probes            map[uint64]probe
+	openStreams       int // streams not ended
+	incompleteStreams int // those of them whose requests are not whole
+	timers            timerq.Queue[timer]
+	events            []admission.Event
+	spareEvents       []admission.Event
+	actions           []admission.Action
+	unreportedLeaves  []*stream // see stream.leaving
+	idempotencyKeys   keyTable
+
+	isDebugEnabled     bool             // the log takes debug lines
+	endReason          admission.Reason // of the end that the module has just ordered
+	isExecuting        bool             // actions are being carried out
+	isHeld             bool             // the module is given nothing yet
+	handoverObserver   HandoverObserver
+	parksCounterCalls  bool // counter calls wait,
+	dropsCounterCalls  bool // or are a successor's to make
+	parkedCounterCalls []admission.CounterAdd
+	predecessorStreams map[uint64]StreamState // of the predecessor
 }
 
 // Config holds what a core is built of. Margin is how long before the client's own deadline
@@ -107,17 +107,17 @@
 		c.Metrics = &figures.Metrics{}
 	}
 	return &Core{decider: c.Decider, upstreams: c.Upstreams, counter: c.Counter, cluster: c.Cluster,
-		observer: c.Observer, figures: c.Metrics, log: c.Log, margin: c.DeadlineMargin,
-		streams: map[uint64]*stream{}, keys: map[string]struct{}{}, probes: map[uint64]probe{},
-		orders: orders{windows: c.RepeatWindows, byKey: map[string]*order{}, places: map[string]place{}},
-		theirs: map[uint64]StreamState{}, debugs: DebugEnabled(c.Log)}
+		observer: c.Observer, metrics: c.Metrics, log: c.Log, deadlineMargin: c.DeadlineMargin,
+		streams: map[uint64]*stream{}, requestIDs: map[string]struct{}{}, probes: map[uint64]probe{},
+		idempotencyKeys:    keyTable{repeatWindows: c.RepeatWindows, entries: map[string]*keyEntry{}, hostLocations: map[string]location{}},
+		predecessorStreams: map[uint64]StreamState{}, isDebugEnabled: DebugEnabled(c.Log)}
 }
 
 // Observed tells whether anybody is told of streams' ends, and so whether traces are worth keeping.
 func (c *Core) HasObserver() bool { return c.observer != nil }
 
 // OpenStreams tells how many streams are owed an answer.
-func (c *Core) OpenStreams() int { return c.open }
+func (c *Core) OpenStreams() int { return c.openStreams }
 
 // TrackedStreams tells how many are open or have something out still.
 func (c *Core) TrackedStreams() int { return len(c.streams) }
@@ -133,45 +133,45 @@
 // for a second copy of the other.
 func (c *Core) StartStream(now time.Duration, r Request) uint64 {
 	c.AdvanceClock(now)
-	window := c.orders.window(r.Class)
+	window := c.idempotencyKeys.repeatWindow(r.Class)
 	if window == 0 {
 		r.IdempotencyKey = ""
 	}
-	c.orders.expire(c.now)
-	c.callOff(r.IdempotencyKey)
-	if r.IdempotencyKey != "" && c.orders.open(r.IdempotencyKey) {
-		c.traceTurnedDown(r, "its idempotency key is open")
-		c.tally(r.Class, Failed) // the front answers with an error
+	c.idempotencyKeys.removeExpired(c.now)
+	c.cancelDisconnectedStream(r.IdempotencyKey)
+	if r.IdempotencyKey != "" && c.idempotencyKeys.hasOpenStream(r.IdempotencyKey) {
+		c.logRequestRejected(r, "its idempotency key is open")
+		c.countEnd(r.Class, Failed) // the front answers with an error
 		return 0
 	}
 	if r.RequestID != "" {
-		if _, taken := c.keys[r.RequestID]; taken {
-			c.traceTurnedDown(r, "its id is open")
-			c.tally(r.Class, Failed)
+		if _, taken := c.requestIDs[r.RequestID]; taken {
+			c.logRequestRejected(r, "its id is open")
+			c.countEnd(r.Class, Failed)
 			return 0
 		}
-		c.keys[r.RequestID] = struct{}{}
+		c.requestIDs[r.RequestID] = struct{}{}
 	}
 	c.lastID++
 	ev := r.RequestArrived
 	ev.ID = c.lastID
-	ev.ExpiresIn = max(0, ev.ExpiresIn-c.margin)
+	ev.ExpiresIn = max(0, ev.ExpiresIn-c.deadlineMargin)
 	if r.IdempotencyKey != "" {
-		ev.Earlier = c.orders.earlier(r.IdempotencyKey, c.now)
-		c.orders.begin(r.IdempotencyKey, ev.ID)
+		ev.Earlier = c.idempotencyKeys.earlierAttempt(r.IdempotencyKey, c.now)
+		c.idempotencyKeys.openStream(r.IdempotencyKey, ev.ID)
 	}
-	s := &stream{id: ev.ID, key: r.RequestID, order: r.IdempotencyKey, payload: r.Payload, owner: r.Owner, began: c.now, ends: c.now + ev.ExpiresIn,
-		class: ev.Class, plan: ev.Plan, customer: ev.Customer, retry: ev.Retry, window: window,
+	s := &stream{id: ev.ID, requestID: r.RequestID, idempotencyKey: r.IdempotencyKey, payload: r.Payload, owner: r.Owner, startedAt: c.now, deadline: c.now + ev.ExpiresIn,
+		class: ev.Class, plan: ev.Plan, customer: ev.Customer, isRetry: ev.Retry, repeatWindow: window,
 		trace: r.Trace}
 	c.streams[s.id] = s
-	c.open++
+	c.openStreams++
 	if r.IsIncomplete {
-		s.open, s.expires, s.ends = true, ev.ExpiresIn, c.now+openMost
-		c.coming++
+		s.isIncomplete, s.timeout, s.deadline = true, ev.ExpiresIn, c.now+maxIncompleteDuration
+		c.incompleteStreams++
 	} else {
-		c.runOut(s)
+		c.setDeadlineTimers(s)
 	}
-	c.traceArrived(s, ev.ExpiresIn)
+	c.logRequestStarted(s, ev.ExpiresIn)
 	c.events = append(c.events, ev)
 	return s.id
 }
@@ -180,30 +180,30 @@
 func (c *Core) UpstreamEnded(now time.Duration, ref Ref, o admission.Outcome, a Answer) {
 	c.AdvanceClock(now)
 	s := c.streams[ref.Stream]
-	if s == nil || ref.Attempt >= len(s.attempts) || !s.attempts[ref.Attempt].live {
-		drop(a)
+	if s == nil || ref.Attempt >= len(s.attempts) || !s.attempts[ref.Attempt].isPending {
+		discardAnswer(a)
 		return
 	}
 	t := &s.attempts[ref.Attempt]
-	t.live, t.Outcome, t.Took = false, o, c.now-t.Began
-	c.traceAttemptEnded(s, ref, t.Host, o, t.Took)
-	s.live--
-	s.timedOut = o == admission.TimedOut
-	if o == admission.OK && !s.closed {
-		c.end(s, End{Kind: Served, Answer: a})
+	t.isPending, t.Outcome, t.Took = false, o, c.now-t.Began
+	c.logAttemptEnded(s, ref, t.Host, o, t.Took)
+	s.pendingAttempts--
+	s.hasTimedOut = o == admission.TimedOut
+	if o == admission.OK && !s.isClosed {
+		c.closeStream(s, End{Kind: Served, Answer: a})
 	} else {
-		drop(a)
+		discardAnswer(a)
 	}
-	if s.order != "" && unran(o) {
-		c.orders.unran(s.order, t.Host, t.Began)
+	if s.idempotencyKey != "" && neverRan(o) {
+		c.idempotencyKeys.clearAttempt(s.idempotencyKey, t.Host, t.Began)
 	}
-	ev := admission.AttemptEnded{ID: s.id, Attempt: ref.Attempt, Server: t.Host, Outcome: o, Took: t.Took, Done: s.closed,
-		Billed: a.Billed, Gone: gone(s.payload)}
+	ev := admission.AttemptEnded{ID: s.id, Attempt: ref.Attempt, Server: t.Host, Outcome: o, Took: t.Took, Done: s.isClosed,
+		Billed: a.Billed, Gone: isPayloadGone(s.payload)}
 	c.events = append(c.events, ev)
-	if c.witness != nil {
-		c.witness.AttemptEnded(ev, c.now)
+	if c.handoverObserver != nil {
+		c.handoverObserver.AttemptEnded(ev, c.now)
 	}
-	c.forget(s)
+	c.removeIfFinished(s)
 }
 
 // ProbeEnded takes the outcome of a probe.
@@ -211,7 +211,7 @@
 	c.AdvanceClock(now)
 	if p, ok := c.probes[ref.Stream]; ok {
 		delete(c.probes, ref.Stream)
-		c.events = append(c.events, admission.ProbeEnded{Server: p.host, Took: c.now - p.began, Outcome: o})
+		c.events = append(c.events, admission.ProbeEnded{Server: p.host, Took: c.now - p.startedAt, Outcome: o})
 	}
 }
 
@@ -225,6 +225,6 @@
 
 // List takes discovery's news.
 func (c *Core) ServerListReceived(ev admission.ServerList) {
-	c.orders.list(ev)
+	c.idempotencyKeys.updateLocations(ev)
 	c.events = append(c.events, ev)
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -229,8 +229,8 @@
 	require.Len(t, s.seen, 1)
 	c.Turn(30 * ms)
 	require.Equal(t, admission.TimerFired{Token: 7}, s.seen[1])
-	c.Turn(probeLimit)
-	require.Equal(t, admission.ProbeEnded{Server: "h", Took: probeLimit, Outcome: admission.TimedOut}, s.seen[2])
+	c.Turn(probeTimeout)
+	require.Equal(t, admission.ProbeEnded{Server: "h", Took: probeTimeout, Outcome: admission.TimedOut}, s.seen[2])
 	require.Equal(t, []string{"close h", "refetch", "probe", "cancel"}, w.told)
 }
 
@@ -263,27 +263,27 @@
 
 // Keys are remembered for their window and no longer, whatever becomes of their streams.
 func TestKeysOfOrders(t *testing.T) {
-	o := orders{windows: []time.Duration{time.Second}, byKey: map[string]*order{}, places: map[string]place{"h": {"a", 3}}}
-	o.begin("k", 1)
-	require.True(t, o.open("k"))
-	require.Nil(t, o.earlier("k", 0))
-	o.sent("k", "h", 10, time.Second)
-	o.unran("k", "h", 10)
-	require.Nil(t, o.earlier("k", 20), "what was turned away has not run")
-	o.sent("k", "h", 30, time.Second)
-	o.sent("k", "other", 40, time.Second)
-	require.Equal(t, &admission.Earlier{Server: "h", Zone: "a", Cell: 3, At: 30}, o.earlier("k", 50), "the first counts")
-	o.end("k", 2)
-	require.True(t, o.open("k"), "another's end is not this one's")
-	o.end("k", 1)
-	require.False(t, o.open("k"))
-	require.NotNil(t, o.earlier("k", time.Second))
-	o.expire(30 + time.Second)
-	require.Empty(t, o.byKey)
-	require.Empty(t, o.ending)
-	o.begin("k", 3)
-	o.end("k", 3)
-	require.Empty(t, o.byKey, "one that was never sent is forgotten at once")
+	o := keyTable{repeatWindows: []time.Duration{time.Second}, entries: map[string]*keyEntry{}, hostLocations: map[string]location{"h": {"a", 3}}}
+	o.openStream("k", 1)
+	require.True(t, o.hasOpenStream("k"))
+	require.Nil(t, o.earlierAttempt("k", 0))
+	o.recordAttempt("k", "h", 10, time.Second)
+	o.clearAttempt("k", "h", 10)
+	require.Nil(t, o.earlierAttempt("k", 20), "what was turned away has not run")
+	o.recordAttempt("k", "h", 30, time.Second)
+	o.recordAttempt("k", "other", 40, time.Second)
+	require.Equal(t, &admission.Earlier{Server: "h", Zone: "a", Cell: 3, At: 30}, o.earlierAttempt("k", 50), "the first counts")
+	o.closeStream("k", 2)
+	require.True(t, o.hasOpenStream("k"), "another's end is not this one's")
+	o.closeStream("k", 1)
+	require.False(t, o.hasOpenStream("k"))
+	require.NotNil(t, o.earlierAttempt("k", time.Second))
+	o.removeExpired(30 + time.Second)
+	require.Empty(t, o.entries)
+	require.Empty(t, o.expirations)
+	o.openStream("k", 3)
+	o.closeStream("k", 3)
+	require.Empty(t, o.entries, "one that was never sent is forgotten at once")
 }
 
 // What must hold for all of a turn comes before requests that wait from the last one.
--- a/internal/core/crossing_test.go
+++ b/internal/core/crossing_test.go
@@ -74,7 +74,7 @@
 			}
 			return sends(ev)
 		})
-		c.orders.windows = []time.Duration{100 * ms}
+		c.idempotencyKeys.repeatWindows = []time.Duration{100 * ms}
 		w.unwritten = unwritten
 		r := w.request(time.Second)
 		r.IdempotencyKey = "k"
@@ -88,7 +88,7 @@
 		if unwritten {
 			require.Equal(t, admission.Event(want), s.seen[len(s.seen)-1])
 		}
-		require.Equal(t, unwritten, c.streams[id].live == 0)
+		require.Equal(t, unwritten, c.streams[id].pendingAttempts == 0)
 	}
 }
 
@@ -102,7 +102,7 @@
 			}
 			return sends(ev)
 		})
-		c.orders.windows = []time.Duration{time.Second}
+		c.idempotencyKeys.repeatWindows = []time.Duration{time.Second}
 		r := w.request(time.Second)
 		r.IdempotencyKey = "k"
 		id := c.StartStream(0, r)
@@ -152,7 +152,7 @@
 		}
 		return nil
 	})
-	c.orders.windows = []time.Duration{time.Second}
+	c.idempotencyKeys.repeatWindows = []time.Duration{time.Second}
 	r := w.request(time.Second)
 	r.IdempotencyKey = "k"
 	owner := &again{world: w, c: c, first: c.StartStream(0, r), next: r}
@@ -234,7 +234,7 @@
 		}
 		return nil
 	})
-	c.orders.windows = []time.Duration{time.Second}
+	c.idempotencyKeys.repeatWindows = []time.Duration{time.Second}
 	r := w.request(100 * ms)
 	r.IdempotencyKey = "k"
 	left := c.StartStream(0, r)
--- a/internal/core/end.go
+++ b/internal/core/end.go
@@ -11,18 +11,18 @@
 // Leave tells that a stream's client has gone.
 func (c *Core) ClientDisconnected(now time.Duration, id uint64) {
 	c.AdvanceClock(now)
-	if s := c.streams[id]; s != nil && !s.closed {
+	if s := c.streams[id]; s != nil && !s.isClosed {
 		s.owner = nil
-		c.leave(s, ClientLeft)
+		c.abandonStream(s, ClientLeft)
 	}
 }
 
-// leave ends a stream that nobody waits for any more. What waits for its connection is not sent on, whatever the
+// abandonStream ends a stream that nobody waits for any more. What waits for its connection is not sent on, whatever the
 // module makes of attempts that are out.
-func (c *Core) leave(s *stream, kind EndKind) {
-	s.leaving = true
-	c.leaving = append(c.leaving, s)
-	c.end(s, End{Kind: kind})
+func (c *Core) abandonStream(s *stream, kind EndKind) {
+	s.isLeaveUnreported = true
+	c.unreportedLeaves = append(c.unreportedLeaves, s)
+	c.closeStream(s, End{Kind: kind})
 	c.events = append(c.events, admission.ClientLeft{ID: s.id})
 	for i := range s.attempts {
 		c.withdraw(Ref{s.id, i})
@@ -33,26 +33,26 @@
 func (c *Core) ExpireStreams(now time.Duration) {
 	c.AdvanceClock(now)
 	for _, s := range c.streams {
-		if !s.closed {
-			c.leave(s, Expired)
+		if !s.isClosed {
+			c.abandonStream(s, Expired)
 		}
 	}
 }
 
-// end closes a stream, once.
-func (c *Core) end(s *stream, e End) {
-	s.closed = true
-	c.traceEnd(s, e.Kind)
-	c.reason = ""
-	c.open--
-	if s.open {
-		c.coming--
+// closeStream closes a stream, once.
+func (c *Core) closeStream(s *stream, e End) {
+	s.isClosed = true
+	c.logRequestEnded(s, e.Kind)
+	c.endReason = ""
+	c.openStreams--
+	if s.isIncomplete {
+		c.incompleteStreams--
 	}
 	e.HasAttempts = len(s.attempts) > 0
 	if class := s.class; e.Answer.Rest != nil {
-		e.OnRelayed = func(whole bool) { c.relayed(class, whole) }
+		e.OnRelayed = func(whole bool) { c.countRelayed(class, whole) }
 	} else {
-		c.tally(class, e.Kind)
+		c.countEnd(class, e.Kind)
 	}
 	owner := s.owner
 	s.owner = nil
@@ -60,37 +60,37 @@
 		owner.End(e)
 	}
 	if c.observer != nil {
-		rec := StreamRecord{Class: s.class, Plan: s.plan, Customer: s.customer, IsRetry: s.retry, Trace: s.trace, Kind: e.Kind, Began: s.began, Took: c.now - s.began}
+		rec := StreamRecord{Class: s.class, Plan: s.plan, Customer: s.customer, IsRetry: s.isRetry, Trace: s.trace, Kind: e.Kind, Began: s.startedAt, Took: c.now - s.startedAt}
 		for _, t := range s.attempts {
 			rec.Attempts = append(rec.Attempts, t.AttemptRecord)
 		}
 		c.observer.StreamEnded(rec)
 	}
-	c.forget(s)
+	c.removeIfFinished(s)
 }
 
-// forget lets go of a stream of which nothing is owed or out any more.
-func (c *Core) forget(s *stream) {
-	if !s.closed || s.live > 0 {
+// removeIfFinished lets go of a stream of which nothing is owed or out any more.
+func (c *Core) removeIfFinished(s *stream) {
+	if !s.isClosed || s.pendingAttempts > 0 {
 		return
 	}
-	c.release(s)
-	if !s.leaving {
+	c.releaseKeys(s)
+	if !s.isLeaveUnreported {
 		delete(c.streams, s.id)
 	}
 }
 
-// release frees what no two streams may have at a time.
-func (c *Core) release(s *stream) {
-	if s.released {
+// releaseKeys frees what no two streams may have at a time.
+func (c *Core) releaseKeys(s *stream) {
+	if s.isReleased {
 		return
 	}
-	s.released, s.payload = true, nil
-	delete(c.keys, s.key)
-	if s.order != "" {
-		c.orders.end(s.order, s.id)
+	s.isReleased, s.payload = true, nil
+	delete(c.requestIDs, s.requestID)
+	if s.idempotencyKey != "" {
+		c.idempotencyKeys.closeStream(s.idempotencyKey, s.id)
 	}
-	if c.witness != nil {
-		c.witness.StreamDone(s.id, c.now)
+	if c.handoverObserver != nil {
+		c.handoverObserver.StreamDone(s.id, c.now)
 	}
 }
--- a/internal/core/open.go
+++ b/internal/core/open.go
@@ -9,20 +9,20 @@
 
 // Streams whose requests are still coming, and what else of a stream changes while it is open.
 
-// openMost bounds the time of a stream whose request never becomes whole; who reads it gives up long before.
-const openMost = time.Hour
+// maxIncompleteDuration bounds the time of a stream whose request never becomes whole; who reads it gives up long before.
+const maxIncompleteDuration = time.Hour
 
-// runOut sets the timers of a stream's deadline.
-func (c *Core) runOut(s *stream) {
-	c.timers.Push(s.ends, due{kind: deadline, ref: Ref{Stream: s.id}})
-	c.timers.Push(s.ends+c.margin/2, due{kind: overdue, ref: Ref{Stream: s.id}})
+// setDeadlineTimers sets the timers of a stream's deadline.
+func (c *Core) setDeadlineTimers(s *stream) {
+	c.timers.Push(s.deadline, timer{kind: deadlineTimer, ref: Ref{Stream: s.id}})
+	c.timers.Push(s.deadline+c.deadlineMargin/2, timer{kind: overdueTimer, ref: Ref{Stream: s.id}})
 }
 
-// callOff has the module hear at once of a client that left within this turn, where its key comes again: what is out of
+// cancelDisconnectedStream has the module hear at once of a client that left within this turn, where its key comes again: what is out of
 // it is called off before the turn's end otherwise, and the next would be turned away for it.
-func (c *Core) callOff(order string) {
-	if k := c.orders.byKey[order]; k != nil && c.HasPendingEvents() && !c.turning {
-		if s := c.streams[k.stream]; s != nil && s.closed {
+func (c *Core) cancelDisconnectedStream(order string) {
+	if k := c.idempotencyKeys.entries[order]; k != nil && c.HasPendingEvents() && !c.isExecuting {
+		if s := c.streams[k.streamID]; s != nil && s.isClosed {
 			c.Turn(c.now)
 		}
 	}
@@ -32,30 +32,30 @@
 func (c *Core) RequestCompleted(now time.Duration, id uint64) {
 	c.AdvanceClock(now)
 	s := c.streams[id]
-	if s == nil || !s.open || s.closed {
+	if s == nil || !s.isIncomplete || s.isClosed {
 		return
 	}
-	s.open, s.ends = false, c.now+s.expires
-	c.coming--
-	c.runOut(s)
+	s.isIncomplete, s.deadline = false, c.now+s.timeout
+	c.incompleteStreams--
+	c.setDeadlineTimers(s)
 	for i := range s.attempts {
 		t := &s.attempts[i]
-		if !t.live {
+		if !t.isPending {
 			continue
 		}
-		if s.order != "" {
-			c.orders.moved(s.order, t.Host, t.Began, c.now, s.window)
+		if s.idempotencyKey != "" {
+			c.idempotencyKeys.updateStart(s.idempotencyKey, t.Host, t.Began, c.now, s.repeatWindow)
 		}
 		t.Began = c.now
-		if t.wait > 0 && t.wait < s.expires {
-			c.timers.Push(c.now+t.wait, due{kind: waitOver, ref: Ref{s.id, i}})
+		if t.timeout > 0 && t.timeout < s.timeout {
+			c.timers.Push(c.now+t.timeout, timer{kind: attemptTimer, ref: Ref{s.id, i}})
 		}
 	}
 	c.events = append(c.events, admission.RequestWhole{ID: id})
 }
 
 // CompleteRequests tells how many of the open streams' requests have wholly come.
-func (c *Core) CompleteRequests() int { return c.open - c.coming }
+func (c *Core) CompleteRequests() int { return c.openStreams - c.incompleteStreams }
 
 // SetCounter has calls carried out by a counter from now on.
 func (c *Core) SetCounter(counter Counter) { c.counter = counter }
@@ -63,7 +63,7 @@
 // UpdateSettings goes on under other settings, from the next event on. Streams that are open keep what they came with.
 func (c *Core) UpdateSettings(now time.Duration, s admission.Settings) {
 	c.AdvanceClock(now)
-	c.orders.windows = RepeatWindows(s.Classes)
+	c.idempotencyKeys.repeatWindows = RepeatWindows(s.Classes)
 	c.events = append(c.events, admission.SettingsChanged{Settings: s})
 }
 
@@ -88,30 +88,30 @@
 
 // withdraw takes back an upstream request that is not wholly written, and so can't have run.
 func (c *Core) withdraw(ref Ref) {
-	if s := c.streams[ref.Stream]; s != nil && s.attempts[ref.Attempt].live && c.upstreams.Withdraw(ref) {
+	if s := c.streams[ref.Stream]; s != nil && s.attempts[ref.Attempt].isPending && c.upstreams.Withdraw(ref) {
 		c.UpstreamEnded(c.now, ref, admission.NotSent, Answer{})
 	}
 }
 
-// drop tells who sends the rest of an answer that nobody takes it.
-func drop(a Answer) {
+// discardAnswer tells who sends the rest of an answer that nobody takes it.
+func discardAnswer(a Answer) {
 	if r, ok := a.Rest.(interface{ CloseRead() }); ok {
 		r.CloseRead()
 	}
 }
 
-// relayed counts the end of a request whose answer was passed on while it came.
-func (c *Core) relayed(class int, whole bool) {
+// countRelayed counts the end of a request whose answer was passed on while it came.
+func (c *Core) countRelayed(class int, whole bool) {
 	if whole {
-		c.tally(class, Served)
+		c.countEnd(class, Served)
 	} else {
-		c.tally(class, Failed)
+		c.countEnd(class, Failed)
 	}
 }
 
-// tally counts the end of a request. One that its client abandoned has none.
-func (c *Core) tally(class int, kind EndKind) {
-	f := c.figures.Class(class)
+// countEnd counts the end of a request. One that its client abandoned has none.
+func (c *Core) countEnd(class int, kind EndKind) {
+	f := c.metrics.Class(class)
 	switch {
 	case f == nil || kind == ClientLeft:
 	case kind == Served:
--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -24,7 +24,7 @@
 // gone once it was sent has a method Gone, which tells so.
 type Payload any
 
-func gone(p Payload) bool {
+func isPayloadGone(p Payload) bool {
 	g, ok := p.(interface{ Gone() bool })
 	return ok && g.Gone()
 }
@@ -52,7 +52,7 @@
 	Body        []byte
 	ContentType string
 	Rest        any // what comes after Body, nil: nothing. The core does not look into it
-	Billed int // true units that the upstream host charged, where units settle afterwards; 0: not told
+	Billed      int // true units that the upstream host charged, where units settle afterwards; 0: not told
 }
 
 // EndKind tells how a stream ended.
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -14,36 +14,36 @@
 // DebugEnabled tells whether a log takes debug lines. It is asked once, at a start: the level of a process does not change.
 func DebugEnabled(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
 
-func (c *Core) traceArrived(s *stream, expires time.Duration) {
-	if c.debugs {
-		c.log.Debug("request taken", "stream", s.id, "request", s.key, "order", s.order, "class", s.class, "customer", s.customer,
-			"left", expires, "open", s.open)
+func (c *Core) logRequestStarted(s *stream, expires time.Duration) {
+	if c.isDebugEnabled {
+		c.log.Debug("request taken", "stream", s.id, "request", s.requestID, "order", s.idempotencyKey, "class", s.class, "customer", s.customer,
+			"left", expires, "open", s.isIncomplete)
 	}
 }
 
-func (c *Core) traceTurnedDown(r Request, why string) {
-	if c.debugs {
+func (c *Core) logRequestRejected(r Request, why string) {
+	if c.isDebugEnabled {
 		c.log.Debug("request turned down", "request", r.RequestID, "order", r.IdempotencyKey, "reason", why)
 	}
 }
 
-func (c *Core) traceSend(s *stream, ref Ref, host string, left time.Duration) {
-	if c.debugs {
-		c.log.Debug("attempt", "stream", s.id, "request", s.key, "attempt", ref.Attempt, "host", host, "left", left)
+func (c *Core) logAttemptStarted(s *stream, ref Ref, host string, left time.Duration) {
+	if c.isDebugEnabled {
+		c.log.Debug("attempt", "stream", s.id, "request", s.requestID, "attempt", ref.Attempt, "host", host, "left", left)
 	}
 }
 
-func (c *Core) traceAttemptEnded(s *stream, ref Ref, host string, o admission.Outcome, took time.Duration) {
-	if c.debugs {
-		c.log.Debug("attempt ended", "stream", s.id, "request", s.key, "attempt", ref.Attempt, "host", host, "outcome", o.String(),
+func (c *Core) logAttemptEnded(s *stream, ref Ref, host string, o admission.Outcome, took time.Duration) {
+	if c.isDebugEnabled {
+		c.log.Debug("attempt ended", "stream", s.id, "request", s.requestID, "attempt", ref.Attempt, "host", host, "outcome", o.String(),
 			"took", took)
 	}
 }
 
-func (c *Core) traceEnd(s *stream, kind EndKind) {
-	if c.debugs {
-		c.log.Debug("request ended", "stream", s.id, "request", s.key, "end", kind.String(), "reason", string(c.reason),
-			"attempts", len(s.attempts), "took", c.now-s.began)
+func (c *Core) logRequestEnded(s *stream, kind EndKind) {
+	if c.isDebugEnabled {
+		c.log.Debug("request ended", "stream", s.id, "request", s.requestID, "end", kind.String(), "reason", string(c.endReason),
+			"attempts", len(s.attempts), "took", c.now-s.startedAt)
 	}
 }
 
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -44,16 +44,16 @@
 func (f *Metrics) AppendText(b []byte, now Gauges) []byte {
 	for i := range f.Classes {
 		c := &f.Classes[i]
-		b = call(b, c.Name, "success", c.Success)
-		b = call(b, c.Name, "busy", c.Busy)
-		b = call(b, c.Name, "failure", c.Failure)
+		b = appendCallCount(b, c.Name, "success", c.Success)
+		b = appendCallCount(b, c.Name, "busy", c.Busy)
+		b = appendCallCount(b, c.Name, "failure", c.Failure)
 	}
-	b = line(b, "backend_calls", f.UpstreamRequests)
-	b = line(b, "inflight", uint64(max(0, now.InFlight)))
-	b = line(b, "hosts_listed", uint64(max(0, now.ListedHosts)))
-	b = line(b, "hosts_down", uint64(max(0, now.AvoidedHosts)))
-	b = line(b, "reconfig_ok", f.ReconfigOK)
-	return line(b, "reconfig_failed", f.ReconfigFailed)
+	b = appendSample(b, "backend_calls", f.UpstreamRequests)
+	b = appendSample(b, "inflight", uint64(max(0, now.InFlight)))
+	b = appendSample(b, "hosts_listed", uint64(max(0, now.ListedHosts)))
+	b = appendSample(b, "hosts_down", uint64(max(0, now.AvoidedHosts)))
+	b = appendSample(b, "reconfig_ok", f.ReconfigOK)
+	return appendSample(b, "reconfig_failed", f.ReconfigFailed)
 }
 
 // SettingsVersions is which settings an ingress acts on, where they have a version.
@@ -70,18 +70,18 @@
 // AppendSettingsVersions writes them in the same form.
 func AppendSettingsVersions(b []byte, f SettingsVersions) []byte {
 	if f.DrainedVersion > 0 {
-		b = line(b, "drained_version", f.DrainedVersion)
-		b = line(b, "drained_stale_members", uint64(f.DrainedStaleMembers))
+		b = appendSample(b, "drained_version", f.DrainedVersion)
+		b = appendSample(b, "drained_stale_members", uint64(f.DrainedStaleMembers))
 	}
 	if f.NewestVersion == 0 {
 		return b
 	}
-	b = line(b, "settings_version", f.NewestVersion)
-	b = line(b, "settings_oldest_version", f.OldestVersion)
-	b = line(b, "settings_versions_acting", uint64(f.ActiveVersions))
-	b = line(b, "settings_stale_members", uint64(f.StaleMembers))
-	b = line(b, "settings_versions_rejected", uint64(f.RejectedVersions))
-	return flag(b, "settings_cut_off", f.IsCutOff)
+	b = appendSample(b, "settings_version", f.NewestVersion)
+	b = appendSample(b, "settings_oldest_version", f.OldestVersion)
+	b = appendSample(b, "settings_versions_acting", uint64(f.ActiveVersions))
+	b = appendSample(b, "settings_stale_members", uint64(f.StaleMembers))
+	b = appendSample(b, "settings_versions_rejected", uint64(f.RejectedVersions))
+	return appendFlag(b, "settings_cut_off", f.IsCutOff)
 }
 
 // Membership is what an ingress holds of the others, where they talk.
@@ -101,16 +101,16 @@
 
 // AppendMembership writes them in the same form.
 func AppendMembership(b []byte, f Membership) []byte {
-	b = line(b, "view_version", f.ViewVersion)
+	b = appendSample(b, "view_version", f.ViewVersion)
 	for _, s := range f.States {
 		b = append(append(append(b, `app_members{state="`...), s.Name...), `"} `...)
 		b = append(strconv.AppendInt(b, int64(s.Members), 10), '\n')
 	}
-	b = line(b, "members_absent", uint64(f.AbsentMembers))
-	b = flag(b, "member_settled", f.IsSettled)
-	b = line(b, "peer_messages_sent", f.MessagesSent)
-	b = line(b, "peer_messages_received", f.MessagesReceived)
-	return line(b, "peer_messages_dropped", f.MessagesDropped)
+	b = appendSample(b, "members_absent", uint64(f.AbsentMembers))
+	b = appendFlag(b, "member_settled", f.IsSettled)
+	b = appendSample(b, "peer_messages_sent", f.MessagesSent)
+	b = appendSample(b, "peer_messages_received", f.MessagesReceived)
+	return appendSample(b, "peer_messages_dropped", f.MessagesDropped)
 }
 
 // ControlGroup is what an ingress holds of the control group, where there is one.
@@ -123,29 +123,29 @@
 
 // AppendControlGroup writes them in the same form.
 func AppendControlGroup(b []byte, f ControlGroup) []byte {
-	b = flag(b, "control_connected", f.IsConnected)
-	b = flag(b, "control_lease", f.HoldsSettingsLease)
-	b = flag(b, "control_share", f.HoldsShareLease)
-	b = line(b, "control_term", f.Term)
-	b = line(b, "control_connections", f.Connections)
-	b = line(b, "control_bytes_sent", f.BytesSent)
-	return line(b, "control_bytes_received", f.BytesReceived)
+	b = appendFlag(b, "control_connected", f.IsConnected)
+	b = appendFlag(b, "control_lease", f.HoldsSettingsLease)
+	b = appendFlag(b, "control_share", f.HoldsShareLease)
+	b = appendSample(b, "control_term", f.Term)
+	b = appendSample(b, "control_connections", f.Connections)
+	b = appendSample(b, "control_bytes_sent", f.BytesSent)
+	return appendSample(b, "control_bytes_received", f.BytesReceived)
 }
 
-// flag is a line of 1 or 0.
-func flag(b []byte, name string, on bool) []byte {
+// appendFlag is a line of 1 or 0.
+func appendFlag(b []byte, name string, on bool) []byte {
 	if on {
-		return line(b, name, 1)
+		return appendSample(b, name, 1)
 	}
-	return line(b, name, 0)
+	return appendSample(b, name, 0)
 }
 
-func line(b []byte, name string, n uint64) []byte {
+func appendSample(b []byte, name string, n uint64) []byte {
 	b = append(append(append(b, "app_"...), name...), ' ')
 	return append(strconv.AppendUint(b, n, 10), '\n')
 }
 
-func call(b []byte, class, code string, n uint64) []byte {
+func appendCallCount(b []byte, class, code string, n uint64) []byte {
 	b = append(b, `app_calls{tier="`...)
 	for i := 0; i < len(class); i++ { // a label's value, escaped
 		switch c := class[i]; c {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -93,23 +93,23 @@
 	TelemetryInterval    time.Duration // between exports
 }
 
-// reserve is what is kept free of connections: standard streams, epoll, eventfd,
+// reservedDescriptors is what is kept free of connections: standard streams, epoll, eventfd,
 // listeners, discovery, operators, telemetry's exporters, the runtime's own.
-const reserve = 56
+const reservedDescriptors = 56
 
-// downstreamPart of all descriptors, in percent, are for clients at the most.
-const downstreamPart = 29
+// downstreamPercent of all descriptors, in percent, are for clients at the most.
+const downstreamPercent = 29
 
 // Bodies that are passed on hold a part of the memory at the most: those under way share it.
 const (
-	flowPart  = 16 // in each direction
-	flowMost  = 64 << 10
-	flowLeast = 8 << 10
+	relayMemoryDivisor = 16 // in each direction
+	maxRelayWindow     = 64 << 10
+	minRelayWindow     = 8 << 10
 )
 
 // RelayWindow is how many bytes may be held of one more body, where so many are passed on already.
 func (l Limits) RelayWindow(flows int) int {
-	return min(flowMost, max(flowLeast, l.MaxRelayBufferBytes/(flows+1)))
+	return min(maxRelayWindow, max(minRelayWindow, l.MaxRelayBufferBytes/(flows+1)))
 }
 
 // RequestTimeout is how long a request may take to come, from its first byte, of whose body so much has come.
@@ -131,24 +131,24 @@
 // turn and fail when they have waited too long, and a failed one has cost it as much. An ingress alone takes
 // one of these for itself.
 const (
-	clusterSpread = 3 * time.Millisecond   // between first watches
-	clusterFirst  = 60 * time.Millisecond  // between watches after one failure each
-	clusterMost   = 100 * time.Millisecond // between watches when all have failed again and again
+	jitterPerIngress         = 3 * time.Millisecond   // between first watches
+	initialBackoffPerIngress = 60 * time.Millisecond  // between watches after one failure each
+	maxBackoffPerIngress     = 100 * time.Millisecond // between watches when all have failed again and again
 )
 
-// clusterApart leaves half a second of the 6 s after which what discovery has counts as told to whoever can reach it.
-const clusterApart = 5500 * time.Millisecond
+// maxWatchGap leaves half a second of the 6 s after which what discovery has counts as told to whoever can reach it.
+const maxWatchGap = 5500 * time.Millisecond
 
-// agentMost is the longest wait between watches at an agent of this machine that refuses them.
-const agentMost = 250 * time.Millisecond
+// agentMaxBackoff is the longest wait between watches at an agent of this machine that refuses them.
+const agentMaxBackoff = 250 * time.Millisecond
 
 // Connections to the counter. An ingress of a few, which makes most of the counter's calls, has many, so that
 // a slow part of the counter holds up few calls of another. One of many makes a few calls a second: on many
 // connections nearly each call would wait for its own to come up.
 const (
-	counterFleet = 96 // over all ingresses
-	counterMost  = 24 // of one
-	counterLeast = 2
+	fleetCounterConns = 96 // over all ingresses
+	maxCounterConns   = 24 // of one
+	minCounterConns   = 2
 )
 
 // For fills in the limits of a site.
@@ -161,13 +161,13 @@
 		NewConnGrace: 25 * time.Millisecond, LingerTimeout: time.Second, MaxLingerBytes: 1 << 20, MaxAcceptsPerTurn: 64, MaxPipelinedPerTurn: 16,
 		MaxManagementConns: 16, MaxManagementLineBytes: 256, ManagementConnTimeout: 6 * time.Second,
 		UpstreamIdleTimeout: s.HostIdleTimeout * 8 / 10, UpstreamReuseDelay: 10 * time.Millisecond, DialTimeout: s.DialTimeout,
-		CounterConns: min(counterMost, max(counterLeast, counterFleet/max(1, s.Ingresses))), MaxPendingCounterCalls: 48, CounterCallTimeout: s.CounterCallTimeout,
+		CounterConns: min(maxCounterConns, max(minCounterConns, fleetCounterConns/max(1, s.Ingresses))), MaxPendingCounterCalls: 48, CounterCallTimeout: s.CounterCallTimeout,
 		CounterIdleTimeout: 4 * time.Second, CounterSilenceTimeout: 2 * time.Second, CounterStuckTimeout: 4 * s.CounterCallTimeout,
 		CounterMoveTimeout: 1500 * time.Millisecond,
 		InitialBackoff:     20 * time.Millisecond, MaxBackoff: 500 * time.Millisecond,
 		MaxClusterMessageBytes: 1 << 20, ClusterDialTimeout: time.Second, ClusterResponseTimeout: 5 * time.Second, ClusterSilenceTimeout: 5 * time.Second, DiscoveryReadyTimeout: 400 * time.Millisecond,
-		ClusterMaxWatchGap: clusterApart,
-		ClusterJitter:      clusterSpread * time.Duration(max(0, s.Ingresses-1)),
+		ClusterMaxWatchGap: maxWatchGap,
+		ClusterJitter:      jitterPerIngress * time.Duration(max(0, s.Ingresses-1)),
 		DeadlineMargin:     8 * time.Millisecond,
 		DrainAcceptPeriod:  700 * time.Millisecond,
 		DrainTimeout:       s.LongestDeadline + 600*time.Millisecond, // the platform kills 100 ms later at the earliest
@@ -188,14 +188,14 @@
 	if s.DrainGrace > 0 {
 		l.ClusterJitter = min(l.ClusterJitter, s.DrainGrace/2)
 	}
-	l.ClusterInitialBackoff = max(l.InitialBackoff, clusterFirst*time.Duration(s.Ingresses))
-	l.ClusterMaxBackoff = max(l.MaxBackoff, clusterMost*time.Duration(s.Ingresses))
+	l.ClusterInitialBackoff = max(l.InitialBackoff, initialBackoffPerIngress*time.Duration(s.Ingresses))
+	l.ClusterMaxBackoff = max(l.MaxBackoff, maxBackoffPerIngress*time.Duration(s.Ingresses))
 	// What an agent has counts as told, whether a watch is open or not, and it answers at once and at no cost: each
 	// watch that is lost, refused or silent is made good within the grace, or as soon as its silence shows.
 	if s.HasLocalAgent {
-		l.ClusterJitter, l.ClusterInitialBackoff, l.ClusterMaxBackoff = 0, l.InitialBackoff, agentMost
+		l.ClusterJitter, l.ClusterInitialBackoff, l.ClusterMaxBackoff = 0, l.InitialBackoff, agentMaxBackoff
 		if s.DrainGrace > 0 {
-			l.ClusterMaxBackoff = min(agentMost, s.DrainGrace/2)
+			l.ClusterMaxBackoff = min(agentMaxBackoff, s.DrainGrace/2)
 		}
 		l.ClusterResponseTimeout, l.ClusterSilenceTimeout = time.Second, 3*time.Second
 	}
@@ -208,14 +208,14 @@
 	if l.CounterCallTimeout <= 0 {
 		l.CounterCallTimeout = 50 * time.Millisecond
 	}
-	free := l.Sockets - reserve - l.CounterConns
+	free := l.Sockets - reservedDescriptors - l.CounterConns
 	if free < 32 {
-		return Limits{}, fmt.Errorf("limits.sockets is %d, need at least %d", l.Sockets, reserve+l.CounterConns+32)
+		return Limits{}, fmt.Errorf("limits.sockets is %d, need at least %d", l.Sockets, reservedDescriptors+l.CounterConns+32)
 	}
 	// All clients together hold at most a third of the descriptors. Connections that stand idle for good count
 	// there: if that third were reached before our own bound, nobody could connect and we would close nothing.
-	l.MaxDownstreamConns = min(free/2, l.Sockets*downstreamPart/100)
+	l.MaxDownstreamConns = min(free/2, l.Sockets*downstreamPercent/100)
 	l.MaxUpstreamConns = free - l.MaxDownstreamConns
-	l.MaxRelayBufferBytes = l.MemoryMB << 20 / flowPart
+	l.MaxRelayBufferBytes = l.MemoryMB << 20 / relayMemoryDivisor
 	return l, nil
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -15,6 +15,6 @@
 		require.NoError(t, err)
 		require.Less(t, l.MaxDownstreamConns, sockets*3/10)
 		require.GreaterOrEqual(t, l.MaxDownstreamConns, 64)
-		require.LessOrEqual(t, l.MaxDownstreamConns+l.MaxUpstreamConns+2*l.CounterConns, sockets-reserve/2, "also while the counter moves")
+		require.LessOrEqual(t, l.MaxDownstreamConns+l.MaxUpstreamConns+2*l.CounterConns, sockets-reservedDescriptors/2, "also while the counter moves")
 	}
 }
--- a/internal/timerq/timerq.go
+++ b/internal/timerq/timerq.go
@@ -4,9 +4,9 @@
 import "time"
 
 type item[T any] struct {
-	at  time.Duration
-	seq uint64
-	v   T
+	due   time.Duration
+	seq   uint64
+	value T
 }
 
 // Queue is a binary heap of values by due time; equal times keep their order of entry.
@@ -18,7 +18,7 @@
 
 func (q *Queue[T]) less(i, j int) bool {
 	a, b := &q.heap[i], &q.heap[j]
-	return a.at < b.at || a.at == b.at && a.seq < b.seq
+	return a.due < b.due || a.due == b.due && a.seq < b.seq
 }
 
 // Push enters a value due at a time.
@@ -40,22 +40,22 @@
 	if len(q.heap) == 0 {
 		return 0, false
 	}
-	return q.heap[0].at, true
+	return q.heap[0].due, true
 }
 
 // DiscardInactive takes out the first values as long as they no longer matter, due or not.
 func (q *Queue[T]) DiscardInactive(matters func(T) bool) {
-	for len(q.heap) > 0 && !matters(q.heap[0].v) {
-		q.Pop(q.heap[0].at)
+	for len(q.heap) > 0 && !matters(q.heap[0].value) {
+		q.Pop(q.heap[0].due)
 	}
 }
 
 // Pop takes out the first value that is due by now.
 func (q *Queue[T]) Pop(now time.Duration) (v T, ok bool) {
-	if len(q.heap) == 0 || q.heap[0].at > now {
+	if len(q.heap) == 0 || q.heap[0].due > now {
 		return v, false
 	}
-	v = q.heap[0].v
+	v = q.heap[0].value
 	last := len(q.heap) - 1
 	q.heap[0] = q.heap[last]
 	q.heap[last] = item[T]{}
