--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -24,7 +24,7 @@
 	MinBodyRate            int           // bytes a second of a body, beyond that time; a slower one is given up
 	RelayStallTimeout      time.Duration // a body passed on is given up when its peer gives or takes nothing for this long
 	RelayStartDelay        time.Duration // after which an answer of unknown length is passed on though it may be short
-	NewConnGrace           time.Duration // for which a connection that was never served is left its place, however scarce
+	EvictionGrace          time.Duration // for which a connection that was never served is left its place, however scarce
 	LingerTimeout          time.Duration // for which bytes of a closed connection are still read
 	MaxLingerBytes         int           // and how many
 	MaxAcceptsPerTurn      int           // connections accepted in a turn of the loop
@@ -158,7 +158,7 @@
 		MaxHeaderBytes: 16 << 10, MaxBodyBytes: 32 << 20, MaxBufferedBodyBytes: 64 << 10,
 		DownstreamIdleTimeout: 30 * time.Second, FirstRequestTimeout: 2 * time.Second, HeaderTimeout: 3 * time.Second,
 		MinBodyRate: 48 << 10, RelayStallTimeout: 20 * time.Second, RelayStartDelay: 100 * time.Millisecond,
-		NewConnGrace: 25 * time.Millisecond, LingerTimeout: time.Second, MaxLingerBytes: 1 << 20, MaxAcceptsPerTurn: 64, MaxPipelinedPerTurn: 16,
+		EvictionGrace: 25 * time.Millisecond, LingerTimeout: time.Second, MaxLingerBytes: 1 << 20, MaxAcceptsPerTurn: 64, MaxPipelinedPerTurn: 16,
 		MaxManagementConns: 16, MaxManagementLineBytes: 256, ManagementConnTimeout: 6 * time.Second,
 		UpstreamIdleTimeout: s.HostIdleTimeout * 8 / 10, UpstreamReuseDelay: 10 * time.Millisecond, DialTimeout: s.DialTimeout,
 		CounterConns: min(maxCounterConns, max(minCounterConns, fleetCounterConns/max(1, s.Ingresses))), MaxPendingCounterCalls: 48, CounterCallTimeout: s.CounterCallTimeout,
--- a/internal/net/downstream/end_test.go
+++ b/internal/net/downstream/end_test.go
@@ -24,7 +24,7 @@
 	l, err := loop.New()
 	require.NoError(t, err)
 	lim := limits.Limits{MaxDownstreamConns: 4, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10, MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
-		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, NewConnGrace: time.Minute, LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, EvictionGrace: time.Minute, LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
 	s := New(l, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	f := &auto{s: s, after: -1}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
@@ -73,7 +73,7 @@
 	l, err := loop.New()
 	require.NoError(t, err)
 	lim := limits.Limits{MaxDownstreamConns: 2, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10, MaxAcceptsPerTurn: 1, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
-		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, NewConnGrace: time.Minute, LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, EvictionGrace: time.Minute, LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
 	s := New(l, lim, slog.New(slog.DiscardHandler))
 	f := &waits{}
 	require.NoError(t, s.Listen("127.0.0.1:0", f))
@@ -116,7 +116,7 @@
 	l, err := loop.New()
 	require.NoError(t, err)
 	lim := limits.Limits{MaxDownstreamConns: 4, MaxHeaderBytes: 1 << 10, MaxBufferedBodyBytes: 1 << 10, MaxBodyBytes: 1 << 20, MinBodyRate: 1 << 10, MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4,
-		FirstRequestTimeout: time.Minute, HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, NewConnGrace: time.Minute, LingerTimeout: time.Second,
+		FirstRequestTimeout: time.Minute, HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, EvictionGrace: time.Minute, LingerTimeout: time.Second,
 		MaxLingerBytes: 1 << 20, RelayStallTimeout: time.Minute}
 	s := New(l, lim, slog.New(slog.DiscardHandler))
 	f := &holds{}
@@ -138,7 +138,7 @@
 	l, err := loop.New()
 	require.NoError(t, err)
 	lim := limits.Limits{MaxDownstreamConns: 4, MaxHeaderBytes: 1 << 10, MaxBodyBytes: 1 << 10, MaxAcceptsPerTurn: 4, MaxPipelinedPerTurn: 4, FirstRequestTimeout: time.Minute,
-		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, NewConnGrace: time.Minute, LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
+		HeaderTimeout: time.Minute, DownstreamIdleTimeout: time.Minute, EvictionGrace: time.Minute, LingerTimeout: time.Second, MaxLingerBytes: 1 << 10}
 	change(&lim)
 	s = New(l, lim, slog.New(slog.DiscardHandler))
 	f = &auto{s: s, after: -1}
@@ -165,8 +165,8 @@
 
 // A request comes as its connection would be closed to make room for another: it is answered, and the connection kept.
 func TestARequestCrossesTheMakingOfRoom(t *testing.T) {
-	l, s, f, ask := resting(t, func(lim *limits.Limits) { lim.NewConnGrace = time.Millisecond })
-	l.After(10*s.lim.NewConnGrace, func() {
+	l, s, f, ask := resting(t, func(lim *limits.Limits) { lim.EvictionGrace = time.Millisecond })
+	l.After(10*s.lim.EvictionGrace, func() {
 		ask()
 		require.False(t, s.makeRoom(), "nothing is silent")
 	})
--- a/internal/net/downstream/room.go
+++ b/internal/net/downstream/room.go
@@ -44,7 +44,7 @@
 	var c *Conn
 	longest := time.Duration(0)
 	look := func(l *list, weight time.Duration) {
-		if f := l.first; f != nil && now-f.moved > s.lim.NewConnGrace && weight*(now-f.moved) > longest {
+		if f := l.first; f != nil && now-f.moved > s.lim.EvictionGrace && weight*(now-f.moved) > longest {
 			c, longest = f, weight*(now-f.moved)
 		}
 	}
@@ -77,7 +77,7 @@
 	for _, ln := range s.listeners {
 		ln.src.SetEvents(0)
 	}
-	s.loop.After(s.lim.NewConnGrace, s.resume)
+	s.loop.After(s.lim.EvictionGrace, s.resume)
 }
 
 // logEvery: a flood that pauses accepting again and again is told of so often.
