--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,4 +1,6 @@
-// Package limits holds every size, count and time that bounds the daemon.
+// Package limits computes the sizes, counts and durations that bound the daemon.
+// [For] derives them once at start from what the configuration says of the machine and the fleet;
+// afterwards they are passed by value and never change by themselves.
 package limits
 
 import (
@@ -6,196 +8,305 @@
 	"time"
 )
 
-// Limits is filled once at start and handed down.
+// Limits holds the bounds of one process.
 type Limits struct {
-	Sockets  int // descriptors this process may hold
+	// Sockets is the number of file descriptors that the process may hold.
+	Sockets int
+	// MemoryMB is the memory that the process may use, in MiB.
 	MemoryMB int
 
-	MaxDownstreamConns   int // client connections held at once, over all fronts
-	MaxUpstreamConns     int // connections to upstream hosts held at once
-	MaxHeaderBytes       int // of a message's start line and headers
-	MaxBodyBytes         int // of a message's body
-	MaxBufferedBodyBytes int // of a body that is kept whole, since a try again needs it; a longer one is passed on as it comes
-	MaxRelayBufferBytes  int // of all bodies passed on in one direction, held between their connections; see Window
-
-	DownstreamIdleTimeout  time.Duration // a client connection silent this long between requests is closed
-	FirstRequestTimeout    time.Duration // from connecting, in which a first request must be whole
-	HeaderTimeout          time.Duration // from its first byte, in which a request's head must be whole
-	MinBodyRate            int           // bytes a second of a body, beyond that time; a slower one is given up
-	RelayStallTimeout      time.Duration // a body passed on is given up when its peer gives or takes nothing for this long
-	RelayStartDelay        time.Duration // after which an answer of unknown length is passed on though it may be short
-	EvictionGrace          time.Duration // for which a connection that was never served is left its place, however scarce
-	LingerTimeout          time.Duration // for which bytes of a closed connection are still read
-	MaxLingerBytes         int           // and how many
-	MaxAcceptsPerTurn      int           // connections accepted in a turn of the loop
-	MaxPipelinedPerTurn    int           // requests that a client has sent ahead which one turn takes up
-	MaxManagementConns     int           // operators' connections held at once
-	MaxManagementLineBytes int           // of an operator's line
-	ManagementConnTimeout  time.Duration // after which an operator's connection is closed
-	UpstreamIdleTimeout    time.Duration // an upstream connection idle this long is dropped
-	UpstreamReuseDelay     time.Duration // after an answer, in which a second one to the same request may come
-	DialTimeout            time.Duration // for a connection to come up
-
-	CounterConns           int           // connections to the counter
-	MaxPendingCounterCalls int           // calls written and not answered on one of them
-	CounterCallTimeout     time.Duration // for a call
-	CounterIdleTimeout     time.Duration // a counter connection idle this long is dropped
-	CounterSilenceTimeout  time.Duration // one that owes answers this long is given up
-	CounterStuckTimeout    time.Duration // one that owes answers this long while another is heard: given up
-	CounterMoveTimeout     time.Duration // for which calls to a counter that has moved may still be answered there
-	InitialBackoff         time.Duration // wait before a new connection after a failed one; doubles
-	MaxBackoff             time.Duration
-
-	MaxClusterMessageBytes int           // of one of discovery's messages
-	ClusterDialTimeout     time.Duration // for a watch's connection to come up
-	ClusterResponseTimeout time.Duration // for a watch to begin its answer; doubles with each in a row that did not
-	ClusterSilenceTimeout  time.Duration // a watch with nothing for this long is opened anew: a sign of life comes every 2 s
-	ClusterJitter          time.Duration // over which a fleet's first watches are spread, each at an instant of its own
-	ClusterInitialBackoff  time.Duration // wait before a further watch after a failed one; doubles, and is then spread, too
-	ClusterMaxBackoff      time.Duration // and the most of it
-	ClusterMaxWatchGap     time.Duration // from a watch's last sign of life, or its opening, to the next at the most, whatever failed
-	DiscoveryReadyTimeout  time.Duration // after which the daemon is ready though discovery is silent
-
-	DeadlineMargin    time.Duration // before the client's own deadline, for the answer's way back
-	DrainAcceptPeriod time.Duration // after SIGTERM, for which new connections are still taken
-	DrainTimeout      time.Duration // after SIGTERM, at which what is still open is answered, and then the daemon ends
-	DrainFlushPeriod  time.Duration // for those answers' way out
-
-	// Of an upgrade, by phase; see package phase.
-	HelloTimeout            time.Duration // for the new process to start
-	PrepareTimeout          time.Duration // to read its configuration and reach discovery
-	CopyTimeout             time.Duration // for customers to be copied ahead
-	FreezeTimeout           time.Duration // from the last read of the old process to the commit; an upgrade over it fails
-	ProbationPeriod         time.Duration // for which the old process takes back what its successor drops
-	MaxHandoverMessageBytes int           // of one message
-	MaxHandoverQueueBytes   int           // bytes of messages that may wait, beyond which no more customers are copied
-	UpgradeCounterConns     int           // counter connections of the new process while the old one may have its own
-
-	// Of the membership, where it is on.
-	MemberProbeInterval     time.Duration // between probes; one is out at a time
-	MemberAckTimeout        time.Duration // for a probe's answer before others are asked to help
-	MemberSuspicionTimeout  time.Duration // after which a suspect that was not heard is dead
-	MemberIndirectProbes    int           // asked to probe for an ingress
-	MemberUpdatesPerMessage int           // updates on a message
-	MaxDatagramsPerTurn     int           // read from peers in a turn of the loop
-	MaxDatagramsPerSecond   int           // and taken in in a second: the rest is dropped
-
-	// Of the control group, where there is one.
-	ControlReadyTimeout        time.Duration // after which a new process is ready though it holds no lease
-	ControlDialTimeout         time.Duration // for a connection to a replica to come up
-	ControlFirstMessageTimeout time.Duration // for the first word on it
-	ControlSilenceTimeout      time.Duration // after which a replica that has said nothing is left for the next one
-	ControlProposalTimeout     time.Duration // for the group to tell what became of a proposed version
-	ControlReleaseTimeout      time.Duration // at the end, for a replica to see that this process has given up its leases
-	MaxControlQueueBytes       int           // bytes of requests that a replica may leave unread
-
-	TelemetryQueueLength int           // records, and spans, that may wait to be exported
-	TelemetryInterval    time.Duration // between exports
+	// MaxDownstreamConns bounds the open client connections over all fronts.
+	MaxDownstreamConns int
+	// MaxUpstreamConns bounds the open connections to upstream hosts.
+	MaxUpstreamConns int
+	// MaxHeaderBytes bounds a message's start line and headers.
+	MaxHeaderBytes int
+	// MaxBodyBytes bounds a message's body.
+	MaxBodyBytes int
+	// MaxBufferedBodyBytes is the size up to which a body is buffered whole, which a retry needs.
+	// A longer body is relayed as it arrives.
+	MaxBufferedBodyBytes int
+	// MaxRelayBufferBytes is the memory for all bodies relayed in one direction; see RelayWindow.
+	MaxRelayBufferBytes int
+
+	// DownstreamIdleTimeout closes a client connection that is silent this long between requests.
+	DownstreamIdleTimeout time.Duration
+	// FirstRequestTimeout closes a client connection on which no request has begun this long after it opened.
+	FirstRequestTimeout time.Duration
+	// HeaderTimeout bounds the time from a request's first byte to the end of its headers.
+	HeaderTimeout time.Duration
+	// MinBodyRate is the rate of a request body, in bytes per second, below which the request is given up. See
+	// RequestTimeout.
+	MinBodyRate int
+	// RelayStallTimeout gives up a relayed body when its peer sends or accepts nothing for this long.
+	RelayStallTimeout time.Duration
+	// RelayStartDelay is how long a response of unknown length is buffered, as it may be short, before it is relayed.
+	RelayStartDelay time.Duration
+	// EvictionGrace is how long a client connection must be silent before it may be closed to make room for another.
+	EvictionGrace time.Duration
+	// LingerTimeout is how long bytes of a closed connection are still read and discarded.
+	LingerTimeout time.Duration
+	// MaxLingerBytes bounds the bytes of a closed connection that are read and discarded.
+	MaxLingerBytes int
+	// MaxAcceptsPerTurn bounds the connections accepted in one turn of the event loop.
+	MaxAcceptsPerTurn int
+	// MaxPipelinedPerTurn bounds the pipelined requests of one client that are started in one turn of the event loop.
+	MaxPipelinedPerTurn int
+	// MaxManagementConns bounds the open connections of operators.
+	MaxManagementConns int
+	// MaxManagementLineBytes bounds a line sent by an operator.
+	MaxManagementLineBytes int
+	// ManagementConnTimeout closes an operator's connection this long after it opened.
+	ManagementConnTimeout time.Duration
+	// UpstreamIdleTimeout closes an upstream connection that is idle this long.
+	UpstreamIdleTimeout time.Duration
+	// UpstreamReuseDelay is the time after a response in which a second response to the same request may still arrive.
+	// Where hosts send such duplicates, a connection is not reused within it for requests that must not run twice.
+	UpstreamReuseDelay time.Duration
+	// DialTimeout bounds the time to establish a connection.
+	DialTimeout time.Duration
+
+	// CounterConns is the number of connections to the counter.
+	CounterConns int
+	// MaxPendingCounterCalls bounds the unanswered calls on one counter connection.
+	MaxPendingCounterCalls int
+	// CounterCallTimeout bounds one counter call.
+	CounterCallTimeout time.Duration
+	// CounterIdleTimeout closes a counter connection that is idle this long.
+	CounterIdleTimeout time.Duration
+	// CounterSilenceTimeout closes a counter connection that has pending calls and receives nothing for this long.
+	CounterSilenceTimeout time.Duration
+	// CounterStuckTimeout closes a counter connection that has pending calls and receives nothing for this long while
+	// another one receives answers.
+	CounterStuckTimeout time.Duration
+	// CounterMoveTimeout is how long calls sent to the counter's old address may still be answered after it has moved.
+	CounterMoveTimeout time.Duration
+	// InitialBackoff is the delay before a new connection after one failure. It doubles with each further failure.
+	InitialBackoff time.Duration
+	// MaxBackoff bounds the delay before a new connection after failures.
+	MaxBackoff time.Duration
+
+	// MaxClusterMessageBytes bounds one message from discovery.
+	MaxClusterMessageBytes int
+	// ClusterDialTimeout bounds the time to establish a watch's connection.
+	ClusterDialTimeout time.Duration
+	// ClusterResponseTimeout bounds the time until a watch's response begins. It doubles with each watch in a row that
+	// exceeds it.
+	ClusterResponseTimeout time.Duration
+	// ClusterSilenceTimeout reopens a watch that receives nothing for this long. Discovery sends a heartbeat every 2 s.
+	ClusterSilenceTimeout time.Duration
+	// ClusterJitter is the period over which a fleet's first watches are spread, each at a random instant.
+	ClusterJitter time.Duration
+	// ClusterInitialBackoff is the delay before a new watch after one failure. It doubles with each further failure and
+	// is jittered.
+	ClusterInitialBackoff time.Duration
+	// ClusterMaxBackoff bounds the delay before a new watch after failures.
+	ClusterMaxBackoff time.Duration
+	// ClusterMaxWatchGap bounds the time from a watch's last sign of life, or its opening, to the next watch, whatever
+	// the backoff.
+	ClusterMaxWatchGap time.Duration
+	// DiscoveryReadyTimeout is how long after its start the daemon becomes ready although discovery is silent.
+	DiscoveryReadyTimeout time.Duration
+
+	// DeadlineMargin is how long before the client's deadline an answer is sent, to arrive in time.
+	DeadlineMargin time.Duration
+	// DrainAcceptPeriod is how long after SIGTERM new connections are still accepted.
+	DrainAcceptPeriod time.Duration
+	// DrainTimeout is the time after SIGTERM at which streams still open are answered and the daemon exits.
+	DrainTimeout time.Duration
+	// DrainFlushPeriod is the time to send those last answers.
+	DrainFlushPeriod time.Duration
+
+	// Limits of an upgrade, by phase; see package phase.
+
+	// HelloTimeout bounds the start of the new process.
+	HelloTimeout time.Duration
+	// PrepareTimeout bounds the time in which the new process reads its configuration and reaches discovery.
+	PrepareTimeout time.Duration
+	// CopyTimeout bounds the copying of customers before the freeze.
+	CopyTimeout time.Duration
+	// FreezeTimeout bounds the time from the old process's last read to the commit. An upgrade that exceeds it fails.
+	FreezeTimeout time.Duration
+	// ProbationPeriod is how long the old process takes back what its successor drops.
+	ProbationPeriod time.Duration
+	// MaxHandoverMessageBytes bounds one handover message.
+	MaxHandoverMessageBytes int
+	// MaxHandoverQueueBytes is the size of the queue of unsent messages above which no more customers are copied.
+	MaxHandoverQueueBytes int
+	// UpgradeCounterConns is the number of counter connections of the new process while the old one may have its own.
+	UpgradeCounterConns int
+
+	// Limits of the membership, where it is enabled.
+
+	// MemberProbeInterval is the time between probes. One probe is outstanding at a time.
+	MemberProbeInterval time.Duration
+	// MemberAckTimeout is how long a probe waits for its answer before other members are asked to probe.
+	MemberAckTimeout time.Duration
+	// MemberSuspicionTimeout declares a suspect dead that is not heard for this long.
+	MemberSuspicionTimeout time.Duration
+	// MemberIndirectProbes is the number of members asked to probe an ingress that did not answer.
+	MemberIndirectProbes int
+	// MemberUpdatesPerMessage bounds the membership updates carried by one message.
+	MemberUpdatesPerMessage int
+	// MaxDatagramsPerTurn bounds the datagrams read from peers in one turn of the event loop.
+	MaxDatagramsPerTurn int
+	// MaxDatagramsPerSecond bounds the datagrams processed per second. The rest are dropped.
+	MaxDatagramsPerSecond int
+
+	// Limits of the client of the control group, where there is one.
+
+	// ControlReadyTimeout is how long after its start a process becomes ready although it holds no lease.
+	ControlReadyTimeout time.Duration
+	// ControlDialTimeout bounds the time to connect to a replica.
+	ControlDialTimeout time.Duration
+	// ControlFirstMessageTimeout bounds the time until a replica's first message on a new connection.
+	ControlFirstMessageTimeout time.Duration
+	// ControlSilenceTimeout is how long a replica may send nothing before the client moves on to the next one.
+	ControlSilenceTimeout time.Duration
+	// ControlProposalTimeout bounds the time in which the group reports the outcome of a proposed version.
+	ControlProposalTimeout time.Duration
+	// ControlReleaseTimeout bounds the time, at exit, in which a replica learns that the process has released its leases.
+	ControlReleaseTimeout time.Duration
+	// MaxControlQueueBytes bounds the bytes of requests that a replica leaves unread.
+	MaxControlQueueBytes int
+
+	// TelemetryQueueLength bounds the records, and also the spans, that wait for export.
+	TelemetryQueueLength int
+	// TelemetryInterval is the time between exports.
+	TelemetryInterval time.Duration
 }
 
-// reservedDescriptors is what is kept free of connections: standard streams, epoll, eventfd,
-// listeners, discovery, operators, telemetry's exporters, the runtime's own.
+// reservedDescriptors are kept free of connections: for standard streams, epoll, eventfd, listeners, discovery,
+// operators, the telemetry exporters and the Go runtime.
 const reservedDescriptors = 56
 
-// downstreamPercent of all descriptors, in percent, are for clients at the most.
+// downstreamPercent is the share of all descriptors that clients may use; see For.
 const downstreamPercent = 29
 
-// Bodies that are passed on hold a part of the memory at the most: those under way share it.
+// The relayed bodies of each direction share a fixed part of the memory; see RelayWindow.
 const (
-	relayMemoryDivisor = 16 // in each direction
+	relayMemoryDivisor = 16 // each direction uses 1/16 of the memory
 	maxRelayWindow     = 64 << 10
 	minRelayWindow     = 8 << 10
 )
 
-// RelayWindow is how many bytes may be held of one more body, where so many are passed on already.
-func (l Limits) RelayWindow(flows int) int {
-	return min(maxRelayWindow, max(minRelayWindow, l.MaxRelayBufferBytes/(flows+1)))
+// RelayWindow returns how many bytes of a new body may be buffered while the given number of bodies are relayed in
+// the same direction.
+func (l Limits) RelayWindow(relays int) int {
+	return min(maxRelayWindow, max(minRelayWindow, l.MaxRelayBufferBytes/(relays+1)))
 }
 
-// RequestTimeout is how long a request may take to come, from its first byte, of whose body so much has come.
-func (l Limits) RequestTimeout(body int) time.Duration {
-	return l.HeaderTimeout + time.Duration(body)*time.Second/time.Duration(l.MinBodyRate)
+// RequestTimeout returns how long after its first byte a request may still be incomplete, when bodyBytes of its body
+// have arrived: HeaderTimeout, plus the time that those bytes take at MinBodyRate.
+func (l Limits) RequestTimeout(bodyBytes int) time.Duration {
+	return l.HeaderTimeout + time.Duration(bodyBytes)*time.Second/time.Duration(l.MinBodyRate)
 }
 
-// Site is what the configuration tells of the machine and of its peers.
+// Site is what the configuration says of the machine, the fleet and the peers. A zero HostIdleTimeout, DialTimeout or
+// CounterCallTimeout selects a default.
 type Site struct {
-	Sockets, MemoryMB                                int
+	// Sockets is the number of file descriptors, MemoryMB the memory in MiB that the process may use.
+	Sockets, MemoryMB int
+	// HostIdleTimeout is the time after which upstream hosts close an idle connection.
 	HostIdleTimeout, DialTimeout, CounterCallTimeout time.Duration
-	LongestDeadline                                  time.Duration
-	Ingresses                                        int           // ingresses of the fleet, which share discovery and the counter
-	DrainGrace                                       time.Duration // in which nothing new goes to a host that is told to drain
-	HasLocalAgent                                    bool          // discovery is an agent of this machine that has to be asked for nothing
+	// LongestDeadline is the longest deadline of a request.
+	LongestDeadline time.Duration
+	// Ingresses is the size of the fleet, which shares discovery and the counter.
+	Ingresses int
+	// DrainGrace is how soon after a host is told to drain no new request may be sent to it. 0 sets no bound.
+	DrainGrace time.Duration
+	// HasLocalAgent reports that discovery is an agent on this machine that sends lists without being asked.
+	HasLocalAgent bool
 }
 
-// Shares of what the whole fleet may ask of discovery, which is one service of fixed capacity: calls wait in
-// turn and fail when they have waited too long, and a failed one has cost it as much. An ingress alone takes
-// one of these for itself.
+// The spacing per ingress of watch requests to discovery, so that the whole fleet stays within what discovery can serve.
+// Discovery is one service of fixed capacity: requests queue, fail when they have waited too long, and a failed one has
+// cost discovery as much as a successful one.
 const (
 	jitterPerIngress         = 3 * time.Millisecond   // between first watches
 	initialBackoffPerIngress = 60 * time.Millisecond  // between watches after one failure each
-	maxBackoffPerIngress     = 100 * time.Millisecond // between watches when all have failed again and again
+	maxBackoffPerIngress     = 100 * time.Millisecond // between watches after repeated failures of all
 )
 
-// maxWatchGap leaves half a second of the 6 s after which what discovery has counts as told to whoever can reach it.
+// maxWatchGap leaves half a second of the 6 s after which an ingress that can reach discovery counts as informed of all
+// that discovery has.
 const maxWatchGap = 5500 * time.Millisecond
 
-// agentMaxBackoff is the longest wait between watches at an agent of this machine that refuses them.
+// agentMaxBackoff bounds the delay between watches of a local agent that refuses them.
 const agentMaxBackoff = 250 * time.Millisecond
 
-// Connections to the counter. An ingress of a few, which makes most of the counter's calls, has many, so that
-// a slow part of the counter holds up few calls of another. One of many makes a few calls a second: on many
-// connections nearly each call would wait for its own to come up.
+// Counter connections of one ingress. In a small fleet each ingress makes a large part of the counter's calls, and has
+// many connections so that a slow part of the counter delays few calls to the others. In a large fleet it makes a few
+// calls per second: spread over many connections, nearly every call would wait for its connection to be established.
 const (
-	fleetCounterConns = 96 // over all ingresses
-	maxCounterConns   = 24 // of one
+	fleetCounterConns = 96 // of all ingresses together
+	maxCounterConns   = 24
 	minCounterConns   = 2
 )
 
-// For fills in the limits of a site.
-func For(s Site) (Limits, error) {
+// For returns the limits of a process at the given site. It fails when site.Sockets leaves too few descriptors for
+// client and upstream connections.
+func For(site Site) (Limits, error) {
 	l := Limits{
-		Sockets: s.Sockets, MemoryMB: s.MemoryMB,
+		Sockets: site.Sockets, MemoryMB: site.MemoryMB,
 		MaxHeaderBytes: 16 << 10, MaxBodyBytes: 32 << 20, MaxBufferedBodyBytes: 64 << 10,
 		DownstreamIdleTimeout: 30 * time.Second, FirstRequestTimeout: 2 * time.Second, HeaderTimeout: 3 * time.Second,
 		MinBodyRate: 48 << 10, RelayStallTimeout: 20 * time.Second, RelayStartDelay: 100 * time.Millisecond,
-		EvictionGrace: 25 * time.Millisecond, LingerTimeout: time.Second, MaxLingerBytes: 1 << 20, MaxAcceptsPerTurn: 64, MaxPipelinedPerTurn: 16,
+		EvictionGrace: 25 * time.Millisecond, LingerTimeout: time.Second, MaxLingerBytes: 1 << 20,
+		MaxAcceptsPerTurn: 64, MaxPipelinedPerTurn: 16,
 		MaxManagementConns: 16, MaxManagementLineBytes: 256, ManagementConnTimeout: 6 * time.Second,
-		UpstreamIdleTimeout: s.HostIdleTimeout * 8 / 10, UpstreamReuseDelay: 10 * time.Millisecond, DialTimeout: s.DialTimeout,
-		CounterConns: min(maxCounterConns, max(minCounterConns, fleetCounterConns/max(1, s.Ingresses))), MaxPendingCounterCalls: 48, CounterCallTimeout: s.CounterCallTimeout,
-		CounterIdleTimeout: 4 * time.Second, CounterSilenceTimeout: 2 * time.Second, CounterStuckTimeout: 4 * s.CounterCallTimeout,
+		// Connections are closed here well before the host closes them.
+		UpstreamIdleTimeout: site.HostIdleTimeout * 8 / 10,
+		UpstreamReuseDelay:  10 * time.Millisecond,
+		DialTimeout:         site.DialTimeout,
+
+		CounterConns:           min(maxCounterConns, max(minCounterConns, fleetCounterConns/max(1, site.Ingresses))),
+		MaxPendingCounterCalls: 48, CounterCallTimeout: site.CounterCallTimeout,
+		CounterIdleTimeout: 4 * time.Second, CounterSilenceTimeout: 2 * time.Second, CounterStuckTimeout: 4 * site.CounterCallTimeout,
 		CounterMoveTimeout: 1500 * time.Millisecond,
 		InitialBackoff:     20 * time.Millisecond, MaxBackoff: 500 * time.Millisecond,
-		MaxClusterMessageBytes: 1 << 20, ClusterDialTimeout: time.Second, ClusterResponseTimeout: 5 * time.Second, ClusterSilenceTimeout: 5 * time.Second, DiscoveryReadyTimeout: 400 * time.Millisecond,
-		ClusterMaxWatchGap: maxWatchGap,
-		ClusterJitter:      jitterPerIngress * time.Duration(max(0, s.Ingresses-1)),
-		DeadlineMargin:     8 * time.Millisecond,
-		DrainAcceptPeriod:  700 * time.Millisecond,
-		DrainTimeout:       s.LongestDeadline + 600*time.Millisecond, // the platform kills 100 ms later at the earliest
-		DrainFlushPeriod:   50 * time.Millisecond,
-		HelloTimeout:       2 * time.Second, PrepareTimeout: 4 * time.Second, CopyTimeout: 20 * time.Second, FreezeTimeout: time.Second,
+
+		MaxClusterMessageBytes: 1 << 20, ClusterDialTimeout: time.Second,
+		ClusterResponseTimeout: 5 * time.Second, ClusterSilenceTimeout: 5 * time.Second,
+		DiscoveryReadyTimeout: 400 * time.Millisecond,
+		ClusterMaxWatchGap:    maxWatchGap,
+		ClusterJitter:         jitterPerIngress * time.Duration(max(0, site.Ingresses-1)),
+
+		DeadlineMargin:    8 * time.Millisecond,
+		DrainAcceptPeriod: 700 * time.Millisecond,
+		DrainTimeout:      site.LongestDeadline + 600*time.Millisecond, // the platform kills 100 ms later at the earliest
+		DrainFlushPeriod:  50 * time.Millisecond,
+
+		HelloTimeout: 2 * time.Second, PrepareTimeout: 4 * time.Second, CopyTimeout: 20 * time.Second, FreezeTimeout: time.Second,
 		ProbationPeriod: 2 * time.Second, MaxHandoverMessageBytes: 16 << 20, MaxHandoverQueueBytes: 256 << 10, UpgradeCounterConns: 8,
+
 		TelemetryQueueLength: 2048, TelemetryInterval: 5 * time.Second,
+
 		MemberProbeInterval: 300 * time.Millisecond, MemberAckTimeout: 100 * time.Millisecond, MemberSuspicionTimeout: 1000 * time.Millisecond,
-		// A silent replica is left while half a second of a settings lease of 1.5 s remains for the next one. Longer than
-		// an election, in which no replica has anything to say.
+
 		ControlReadyTimeout: 5 * time.Second, ControlDialTimeout: 300 * time.Millisecond,
+		// ControlSilenceTimeout leaves half a second of a settings lease of 1.5 s to reach the next replica, and is longer
+		// than an election, during which no replica has anything to send.
 		ControlFirstMessageTimeout: 500 * time.Millisecond, ControlSilenceTimeout: time.Second,
 		ControlProposalTimeout: 5 * time.Second, ControlReleaseTimeout: 100 * time.Millisecond, MaxControlQueueBytes: 256 << 10,
+
 		MemberIndirectProbes: 2, MemberUpdatesPerMessage: 6, MaxDatagramsPerTurn: 64, MaxDatagramsPerSecond: 400,
 	}
-	// Clients may come before a process that took a dead one's place is up, and what it would have been told had it
-	// asked at once counts as told: later than the grace it would send to hosts that have long drained.
-	if s.DrainGrace > 0 {
-		l.ClusterJitter = min(l.ClusterJitter, s.DrainGrace/2)
+	// Clients may connect before a process that replaces a dead one is up, and the process counts as informed of what
+	// discovery would have told it at once. Were its first watch later than the drain grace, it would send requests to
+	// hosts that have been draining for longer.
+	if site.DrainGrace > 0 {
+		l.ClusterJitter = min(l.ClusterJitter, site.DrainGrace/2)
 	}
-	l.ClusterInitialBackoff = max(l.InitialBackoff, initialBackoffPerIngress*time.Duration(s.Ingresses))
-	l.ClusterMaxBackoff = max(l.MaxBackoff, maxBackoffPerIngress*time.Duration(s.Ingresses))
-	// What an agent has counts as told, whether a watch is open or not, and it answers at once and at no cost: each
-	// watch that is lost, refused or silent is made good within the grace, or as soon as its silence shows.
-	if s.HasLocalAgent {
+	l.ClusterInitialBackoff = max(l.InitialBackoff, initialBackoffPerIngress*time.Duration(site.Ingresses))
+	l.ClusterMaxBackoff = max(l.MaxBackoff, maxBackoffPerIngress*time.Duration(site.Ingresses))
+	// An ingress counts as informed of what its local agent has, whether a watch is open or not, and the agent answers at
+	// once and at no cost. So a watch that is lost, refused or silent is replaced within the drain grace, or as soon as
+	// its silence is detected.
+	if site.HasLocalAgent {
 		l.ClusterJitter, l.ClusterInitialBackoff, l.ClusterMaxBackoff = 0, l.InitialBackoff, agentMaxBackoff
-		if s.DrainGrace > 0 {
-			l.ClusterMaxBackoff = min(agentMaxBackoff, s.DrainGrace/2)
+		if site.DrainGrace > 0 {
+			l.ClusterMaxBackoff = min(agentMaxBackoff, site.DrainGrace/2)
 		}
 		l.ClusterResponseTimeout, l.ClusterSilenceTimeout = time.Second, 3*time.Second
 	}
@@ -212,8 +323,8 @@
 	if free < 32 {
 		return Limits{}, fmt.Errorf("limits.sockets is %d, need at least %d", l.Sockets, reservedDescriptors+l.CounterConns+32)
 	}
-	// All clients together hold at most a third of the descriptors. Connections that stand idle for good count
-	// there: if that third were reached before our own bound, nobody could connect and we would close nothing.
+	// The platform lets all clients together hold at most a third of the descriptors, permanently idle
+	// connections included. If they reached that third before the bound set here, nobody could connect and the ingress would close nothing.
 	l.MaxDownstreamConns = min(free/2, l.Sockets*downstreamPercent/100)
 	l.MaxUpstreamConns = free - l.MaxDownstreamConns
 	l.MaxRelayBufferBytes = l.MemoryMB << 20 / relayMemoryDivisor
--- a/internal/timerq/timerq.go
+++ b/internal/timerq/timerq.go
@@ -1,41 +1,43 @@
-// Package timerq keeps values in order of the time at which they are due.
+// Package timerq provides a priority queue of values ordered by due time. A queue is not safe for concurrent use;
+// it has no clock and starts no timers.
 package timerq
 
 import "time"
 
 type item[T any] struct {
-	due   time.Duration
-	seq   uint64
-	value T
+	due      time.Duration
+	sequence uint64 // order of entry, for equal due times
+	value    T
 }
 
-// Queue is a binary heap of values by due time; equal times keep their order of entry.
-// Nothing is taken out early: owners check, when a value falls due, that it still matters.
+// Queue is a binary heap of values by due time. Values with equal due times leave it in the order in which they were
+// pushed. Values can't be removed early: the caller checks when a value is due, or in DiscardInactive, whether it is
+// still needed. The zero Queue is empty and ready to use.
 type Queue[T any] struct {
-	heap []item[T]
-	seq  uint64
+	heap         []item[T]
+	lastSequence uint64
 }
 
 func (q *Queue[T]) less(i, j int) bool {
 	a, b := &q.heap[i], &q.heap[j]
-	return a.due < b.due || a.due == b.due && a.seq < b.seq
+	return a.due < b.due || a.due == b.due && a.sequence < b.sequence
 }
 
-// Push enters a value due at a time.
-func (q *Queue[T]) Push(at time.Duration, v T) {
-	q.seq++
-	q.heap = append(q.heap, item[T]{at, q.seq, v})
+// Push adds a value with its due time.
+func (q *Queue[T]) Push(due time.Duration, value T) {
+	q.lastSequence++
+	q.heap = append(q.heap, item[T]{due, q.lastSequence, value})
 	for i := len(q.heap) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !q.less(i, up) {
+		parent := (i - 1) / 2
+		if !q.less(i, parent) {
 			break
 		}
-		q.heap[i], q.heap[up] = q.heap[up], q.heap[i]
-		i = up
+		q.heap[i], q.heap[parent] = q.heap[parent], q.heap[i]
+		i = parent
 	}
 }
 
-// Next tells when the first value is due.
+// Next returns the due time of the first value, and false if the queue is empty.
 func (q *Queue[T]) Next() (time.Duration, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -43,34 +45,34 @@
 	return q.heap[0].due, true
 }
 
-// DiscardInactive takes out the first values as long as they no longer matter, due or not.
-func (q *Queue[T]) DiscardInactive(matters func(T) bool) {
-	for len(q.heap) > 0 && !matters(q.heap[0].value) {
+// DiscardInactive removes values from the front of the queue, due or not, until isActive accepts one.
+func (q *Queue[T]) DiscardInactive(isActive func(T) bool) {
+	for len(q.heap) > 0 && !isActive(q.heap[0].value) {
 		q.Pop(q.heap[0].due)
 	}
 }
 
-// Pop takes out the first value that is due by now.
-func (q *Queue[T]) Pop(now time.Duration) (v T, ok bool) {
+// Pop removes and returns the first value if it is due at now, and returns false otherwise.
+func (q *Queue[T]) Pop(now time.Duration) (value T, ok bool) {
 	if len(q.heap) == 0 || q.heap[0].due > now {
-		return v, false
+		return value, false
 	}
-	v = q.heap[0].value
+	value = q.heap[0].value
 	last := len(q.heap) - 1
 	q.heap[0] = q.heap[last]
 	q.heap[last] = item[T]{}
 	q.heap = q.heap[:last]
 	for i := 0; ; {
-		least := i
-		for c := 2*i + 1; c <= 2*i+2 && c < last; c++ {
-			if q.less(c, least) {
-				least = c
+		smallest := i
+		for child := 2*i + 1; child <= 2*i+2 && child < last; child++ {
+			if q.less(child, smallest) {
+				smallest = child
 			}
 		}
-		if least == i {
-			return v, true
+		if smallest == i {
+			return value, true
 		}
-		q.heap[i], q.heap[least] = q.heap[least], q.heap[i]
-		i = least
+		q.heap[i], q.heap[smallest] = q.heap[smallest], q.heap[i]
+		i = smallest
 	}
 }
--- a/internal/timerq/timerq_test.go
+++ b/internal/timerq/timerq_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestValuesComeInOrderAndNotEarly(t *testing.T) {
+func TestValuesLeaveInOrderAndNotBeforeTheyAreDue(t *testing.T) {
 	var q Queue[int]
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 500 {
@@ -16,14 +16,14 @@
 	}
 	_, ok := q.Pop(-1)
 	require.False(t, ok)
-	last, at := -1, time.Duration(-1)
+	lastValue, lastDue := -1, time.Duration(-1)
 	for range 500 {
-		next, ok := q.Next()
+		due, ok := q.Next()
 		require.True(t, ok)
-		v, ok := q.Pop(next)
+		value, ok := q.Pop(due)
 		require.True(t, ok)
-		require.True(t, next > at || next == at && v > last, "equal times keep their order")
-		last, at = v, next
+		require.True(t, due > lastDue || due == lastDue && value > lastValue, "equal due times keep the order of entry")
+		lastValue, lastDue = value, due
 	}
 	_, ok = q.Next()
 	require.False(t, ok)
