--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -1,153 +1,156 @@
-// Package figures holds what an ingress tells its operators of itself: plain integers, each counted once, where
-// the thing happens, and written out here.
+// Package figures counts what an ingress reports of itself to operators and writes it in the Prometheus text format.
+// The values are plain integers without locks: they are owned by the goroutine of the event loop, and each is counted
+// once, where the event happens. The package does no input or output.
 package figures
 
 import "strconv"
 
-// ClassCounts counts the ended requests of one class.
+// ClassCounts counts the ended requests of one class. A request that its client abandoned is in none of the counts.
 type ClassCounts struct {
 	Name                   string
-	Success, Busy, Failure uint64 // served, refused, failed; what a client abandoned is in none
+	Success, Busy, Failure uint64 // requests that were served, refused and failed
 }
 
-// Metrics begin at 0 with the process.
+// Metrics holds the counters of the process, which start at 0.
 type Metrics struct {
-	Classes          []ClassCounts // by the class's place in the settings
-	UpstreamRequests uint64        // upstream requests written whole
-	ReconfigOK       uint64        // configurations taken while running,
-	ReconfigFailed   uint64        // and turned down
+	Classes          []ClassCounts // by the class's index in the settings
+	UpstreamRequests uint64        // upstream requests that were fully written
+	ReconfigOK       uint64        // configurations applied while running
+	ReconfigFailed   uint64        // configurations rejected while running
 }
 
-// Gauges are figures that are read off where they stand.
+// Gauges holds values that are read when the metrics are written.
 type Gauges struct {
-	InFlight     int // requests taken and not ended
-	ListedHosts  int // upstream hosts in the list
-	AvoidedHosts int // those of them that are avoided
+	InFlight     int // requests that are complete and not yet ended
+	ListedHosts  int // upstream hosts in discovery's list
+	AvoidedHosts int // listed hosts that requests avoid
 }
 
-// Class returns the counts of a class, nil where there is none.
-func (f *Metrics) Class(i int) *ClassCounts {
-	if i < 0 || i >= len(f.Classes) {
+// Class returns the counts of the class with index i, or nil if there is no such class.
+func (m *Metrics) Class(i int) *ClassCounts {
+	if i < 0 || i >= len(m.Classes) {
 		return nil
 	}
-	return &f.Classes[i]
+	return &m.Classes[i]
 }
 
-// AddClasses has a count for each class of these names. Places once given stay.
-func (f *Metrics) AddClasses(names []string) {
-	for i := len(f.Classes); i < len(names); i++ {
-		f.Classes = append(f.Classes, ClassCounts{Name: names[i]})
+// AddClasses appends counts for those names whose index has none yet. Existing counts keep their index and name.
+func (m *Metrics) AddClasses(names []string) {
+	for i := len(m.Classes); i < len(names); i++ {
+		m.Classes = append(m.Classes, ClassCounts{Name: names[i]})
 	}
 }
 
-// AppendText writes all figures in the text form of Prometheus.
-func (f *Metrics) AppendText(b []byte, now Gauges) []byte {
-	for i := range f.Classes {
-		c := &f.Classes[i]
+// AppendText appends the metrics and the given gauges to b in the Prometheus text format.
+func (m *Metrics) AppendText(b []byte, gauges Gauges) []byte {
+	for i := range m.Classes {
+		c := &m.Classes[i]
 		b = appendCallCount(b, c.Name, "success", c.Success)
 		b = appendCallCount(b, c.Name, "busy", c.Busy)
 		b = appendCallCount(b, c.Name, "failure", c.Failure)
 	}
-	b = appendSample(b, "backend_calls", f.UpstreamRequests)
-	b = appendSample(b, "inflight", uint64(max(0, now.InFlight)))
-	b = appendSample(b, "hosts_listed", uint64(max(0, now.ListedHosts)))
-	b = appendSample(b, "hosts_down", uint64(max(0, now.AvoidedHosts)))
-	b = appendSample(b, "reconfig_ok", f.ReconfigOK)
-	return appendSample(b, "reconfig_failed", f.ReconfigFailed)
+	b = appendSample(b, "backend_calls", m.UpstreamRequests)
+	b = appendSample(b, "inflight", uint64(max(0, gauges.InFlight)))
+	b = appendSample(b, "hosts_listed", uint64(max(0, gauges.ListedHosts)))
+	b = appendSample(b, "hosts_down", uint64(max(0, gauges.AvoidedHosts)))
+	b = appendSample(b, "reconfig_ok", m.ReconfigOK)
+	return appendSample(b, "reconfig_failed", m.ReconfigFailed)
 }
 
-// SettingsVersions is which settings an ingress acts on, where they have a version.
+// SettingsVersions describes which versions of the settings the fleet's members act on.
 type SettingsVersions struct {
-	NewestVersion, OldestVersion uint64 // of the versions acted on together
-	ActiveVersions               int    // how many these are; 1: agreed
-	StaleMembers                 int    // other members not known to act on the newest
-	RejectedVersions             int    // versions turned down
-	IsCutOff                     bool   // no other member is heard
-	DrainedVersion               uint64 // newest version of the list of hosts drained by the operators, 0: there is none
-	DrainedStaleMembers          int    // other members not known to act on that
-}
-
-// AppendSettingsVersions writes them in the same form.
-func AppendSettingsVersions(b []byte, f SettingsVersions) []byte {
-	if f.DrainedVersion > 0 {
-		b = appendSample(b, "drained_version", f.DrainedVersion)
-		b = appendSample(b, "drained_stale_members", uint64(f.DrainedStaleMembers))
+	NewestVersion, OldestVersion uint64 // of the versions in use; 0: the settings have no version
+	ActiveVersions               int    // number of versions in use; 1 when all members agree
+	StaleMembers                 int    // other members not known to act on the newest version
+	RejectedVersions             int    // versions that were rejected
+	IsCutOff                     bool   // no other member is heard from
+	DrainedVersion               uint64 // newest version of the operators' list of drained hosts; 0: there is none
+	DrainedStaleMembers          int    // other members not known to act on DrainedVersion
+}
+
+// AppendSettingsVersions appends v to b in the Prometheus text format. It leaves out documents that have no version.
+func AppendSettingsVersions(b []byte, v SettingsVersions) []byte {
+	if v.DrainedVersion > 0 {
+		b = appendSample(b, "drained_version", v.DrainedVersion)
+		b = appendSample(b, "drained_stale_members", uint64(v.DrainedStaleMembers))
 	}
-	if f.NewestVersion == 0 {
+	if v.NewestVersion == 0 {
 		return b
 	}
-	b = appendSample(b, "settings_version", f.NewestVersion)
-	b = appendSample(b, "settings_oldest_version", f.OldestVersion)
-	b = appendSample(b, "settings_versions_acting", uint64(f.ActiveVersions))
-	b = appendSample(b, "settings_stale_members", uint64(f.StaleMembers))
-	b = appendSample(b, "settings_versions_rejected", uint64(f.RejectedVersions))
-	return appendFlag(b, "settings_cut_off", f.IsCutOff)
+	b = appendSample(b, "settings_version", v.NewestVersion)
+	b = appendSample(b, "settings_oldest_version", v.OldestVersion)
+	b = appendSample(b, "settings_versions_acting", uint64(v.ActiveVersions))
+	b = appendSample(b, "settings_stale_members", uint64(v.StaleMembers))
+	b = appendSample(b, "settings_versions_rejected", uint64(v.RejectedVersions))
+	return appendFlag(b, "settings_cut_off", v.IsCutOff)
 }
 
-// Membership is what an ingress holds of the others, where they talk.
+// Membership describes an ingress's view of the fleet, where the ingresses exchange messages.
 type Membership struct {
-	ViewVersion                                     uint64 // of its view
+	ViewVersion                                     uint64
 	States                                          []StateCount
-	AbsentMembers                                   int    // members counted out of joint budgets
-	IsSettled                                       bool   // it takes its share of ceilings
-	MessagesSent, MessagesReceived, MessagesDropped uint64 // messages
+	AbsentMembers                                   int  // members that have no share of joint budgets
+	IsSettled                                       bool // the ingress takes its share of ceilings
+	MessagesSent, MessagesReceived, MessagesDropped uint64
 }
 
-// StateCount counts the members in a state.
+// StateCount is the number of members in a state.
 type StateCount struct {
 	Name    string
 	Members int
 }
 
-// AppendMembership writes them in the same form.
-func AppendMembership(b []byte, f Membership) []byte {
-	b = appendSample(b, "view_version", f.ViewVersion)
-	for _, s := range f.States {
-		b = append(append(append(b, `app_members{state="`...), s.Name...), `"} `...)
-		b = append(strconv.AppendInt(b, int64(s.Members), 10), '\n')
+// AppendMembership appends m to b in the Prometheus text format.
+func AppendMembership(b []byte, m Membership) []byte {
+	b = appendSample(b, "view_version", m.ViewVersion)
+	for _, state := range m.States {
+		b = append(append(append(b, `app_members{state="`...), state.Name...), `"} `...)
+		b = append(strconv.AppendInt(b, int64(state.Members), 10), '\n')
 	}
-	b = appendSample(b, "members_absent", uint64(f.AbsentMembers))
-	b = appendFlag(b, "member_settled", f.IsSettled)
-	b = appendSample(b, "peer_messages_sent", f.MessagesSent)
-	b = appendSample(b, "peer_messages_received", f.MessagesReceived)
-	return appendSample(b, "peer_messages_dropped", f.MessagesDropped)
+	b = appendSample(b, "members_absent", uint64(m.AbsentMembers))
+	b = appendFlag(b, "member_settled", m.IsSettled)
+	b = appendSample(b, "peer_messages_sent", m.MessagesSent)
+	b = appendSample(b, "peer_messages_received", m.MessagesReceived)
+	return appendSample(b, "peer_messages_dropped", m.MessagesDropped)
 }
 
-// ControlGroup is what an ingress holds of the control group, where there is one.
+// ControlGroup describes an ingress's connection to the control group and the leases it holds there.
 type ControlGroup struct {
-	IsConnected, HoldsSettingsLease, HoldsShareLease bool   // a replica is connected; the settings lease and the share lease are held
-	Term                                             uint64 // of the leader that granted last
-	Connections                                      uint64 // to replicas, that came up
-	BytesSent, BytesReceived                         uint64 // bytes
-}
-
-// AppendControlGroup writes them in the same form.
-func AppendControlGroup(b []byte, f ControlGroup) []byte {
-	b = appendFlag(b, "control_connected", f.IsConnected)
-	b = appendFlag(b, "control_lease", f.HoldsSettingsLease)
-	b = appendFlag(b, "control_share", f.HoldsShareLease)
-	b = appendSample(b, "control_term", f.Term)
-	b = appendSample(b, "control_connections", f.Connections)
-	b = appendSample(b, "control_bytes_sent", f.BytesSent)
-	return appendSample(b, "control_bytes_received", f.BytesReceived)
-}
-
-// appendFlag is a line of 1 or 0.
-func appendFlag(b []byte, name string, on bool) []byte {
-	if on {
+	IsConnected, HoldsSettingsLease, HoldsShareLease bool
+	Term                                             uint64 // of the leader that granted a lease last
+	Connections                                      uint64 // connections to replicas established so far
+	BytesSent, BytesReceived                         uint64
+}
+
+// AppendControlGroup appends g to b in the Prometheus text format.
+func AppendControlGroup(b []byte, g ControlGroup) []byte {
+	b = appendFlag(b, "control_connected", g.IsConnected)
+	b = appendFlag(b, "control_lease", g.HoldsSettingsLease)
+	b = appendFlag(b, "control_share", g.HoldsShareLease)
+	b = appendSample(b, "control_term", g.Term)
+	b = appendSample(b, "control_connections", g.Connections)
+	b = appendSample(b, "control_bytes_sent", g.BytesSent)
+	return appendSample(b, "control_bytes_received", g.BytesReceived)
+}
+
+// appendFlag appends a sample with the value 1 or 0.
+func appendFlag(b []byte, name string, value bool) []byte {
+	if value {
 		return appendSample(b, name, 1)
 	}
 	return appendSample(b, name, 0)
 }
 
-func appendSample(b []byte, name string, n uint64) []byte {
+// appendSample appends a sample without labels; app_ precedes its name.
+func appendSample(b []byte, name string, value uint64) []byte {
 	b = append(append(append(b, "app_"...), name...), ' ')
-	return append(strconv.AppendUint(b, n, 10), '\n')
+	return append(strconv.AppendUint(b, value, 10), '\n')
 }
 
-func appendCallCount(b []byte, class, code string, n uint64) []byte {
+// appendCallCount appends the number of a class's requests that ended with a result code.
+func appendCallCount(b []byte, class, code string, count uint64) []byte {
 	b = append(b, `app_calls{tier="`...)
-	for i := 0; i < len(class); i++ { // a label's value, escaped
+	for i := 0; i < len(class); i++ { // label values are escaped
 		switch c := class[i]; c {
 		case '\\', '"':
 			b = append(b, '\\', c)
@@ -158,5 +161,5 @@
 		}
 	}
 	b = append(append(append(b, `",code="`...), code...), `"} `...)
-	return append(strconv.AppendUint(b, n, 10), '\n')
+	return append(strconv.AppendUint(b, count, 10), '\n')
 }
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAppend(t *testing.T) {
-	f := &Metrics{UpstreamRequests: 9, ReconfigOK: 1, ReconfigFailed: 2}
-	f.AddClasses([]string{"stock"})
-	f.Class(0).Success, f.Class(0).Busy = 812, 3
-	f.AddClasses([]string{"stock", "a\"b\\c\nd"}) // a class that came later; the first keeps its counts
-	require.Nil(t, f.Class(2))
-	require.Nil(t, f.Class(-1))
+func TestAppendText(t *testing.T) {
+	m := &Metrics{UpstreamRequests: 9, ReconfigOK: 1, ReconfigFailed: 2}
+	m.AddClasses([]string{"stock"})
+	m.Class(0).Success, m.Class(0).Busy = 812, 3
+	m.AddClasses([]string{"stock", "a\"b\\c\nd"}) // a class added later; the first keeps its counts
+	require.Nil(t, m.Class(2))
+	require.Nil(t, m.Class(-1))
 	require.Equal(t, `app_calls{tier="stock",code="success"} 812
 app_calls{tier="stock",code="busy"} 3
 app_calls{tier="stock",code="failure"} 0
@@ -25,7 +25,7 @@
 app_hosts_down 2
 app_reconfig_ok 1
 app_reconfig_failed 2
-`, string(f.AppendText(nil, Gauges{InFlight: 14, ListedHosts: 12, AvoidedHosts: 2})))
+`, string(m.AppendText(nil, Gauges{InFlight: 14, ListedHosts: 12, AvoidedHosts: 2})))
 }
 
 func TestAppendFleet(t *testing.T) {
