--- /dev/null
+++ b/internal/core/attempt.go
@@ -0,0 +1,115 @@
+package core
+
+import (
+	"time"
+
+	"ferryfront.example/ferryfront/admission"
+)
+
+// attempt is an upstream request of a stream.
+type attempt struct {
+	AttemptRecord
+	isPending bool // started and not ended
+	// timeout of an attempt that was sent before its request was complete. It runs from that time; 0: until the deadline.
+	timeout time.Duration
+}
+
+// startAttempt carries out a send of the module. The attempt ends at once with NotSent if its stream is closed or past its
+// deadline, or if its payload can't be sent again.
+func (c *Core) startAttempt(action admission.Send) {
+	s := c.streams[action.ID]
+	if s == nil {
+		c.log.Error("send for an unknown stream", "stream", action.ID)
+		return
+	}
+	ref := Ref{s.id, len(s.attempts)}
+	s.attempts = append(s.attempts, attempt{AttemptRecord: AttemptRecord{Host: action.Server, Began: c.now}, isPending: true})
+	s.pendingAttempts++
+	if c.handoverObserver != nil {
+		c.handoverObserver.AttemptStarted(s.id, action.Server, c.now)
+	}
+	if s.isClosed || c.now >= s.deadline || action.Wait < 0 || isPayloadGone(s.payload) {
+		c.UpstreamEnded(c.now, ref, admission.NotSent, Answer{})
+		return
+	}
+	if s.idempotencyKey != "" {
+		if windowEnd := c.idempotencyKeys.recordAttempt(s.idempotencyKey, action.Server, c.now, s.repeatWindow); windowEnd > 0 {
+			c.timers.Push(windowEnd-c.deadlineMargin, timer{kind: repeatWindowTimer, ref: ref})
+		}
+	}
+	timeout := s.deadline - c.now
+	c.logAttemptStarted(s, ref, action.Server, timeout)
+	if s.isIncomplete {
+		s.attempts[ref.Attempt].timeout, timeout = action.Wait, s.timeout
+	} else if action.Wait > 0 && action.Wait < timeout {
+		timeout = action.Wait
+		c.timers.Push(c.now+timeout, timer{kind: attemptTimer, ref: ref})
+	}
+	c.upstreams.Start(ref, action.Server, s.payload, timeout)
+}
+
+// UpstreamEnded reports the outcome of an upstream request. The first good answer is the stream's. A request that is no
+// longer pending is ignored, and its answer discarded.
+func (c *Core) UpstreamEnded(now time.Duration, ref Ref, outcome admission.Outcome, answer Answer) {
+	c.AdvanceClock(now)
+	s := c.streams[ref.Stream]
+	if s == nil || ref.Attempt >= len(s.attempts) || !s.attempts[ref.Attempt].isPending {
+		discardAnswer(answer)
+		return
+	}
+	a := &s.attempts[ref.Attempt]
+	a.isPending, a.Outcome, a.Took = false, outcome, c.now-a.Began
+	c.logAttemptEnded(s, ref, a.Host, outcome, a.Took)
+	s.pendingAttempts--
+	s.hasTimedOut = outcome == admission.TimedOut
+	if outcome == admission.OK && !s.isClosed {
+		c.closeStream(s, End{Kind: Served, Answer: answer})
+	} else {
+		discardAnswer(answer)
+	}
+	if s.idempotencyKey != "" && neverRan(outcome) {
+		c.idempotencyKeys.clearAttempt(s.idempotencyKey, a.Host, a.Began)
+	}
+	ev := admission.AttemptEnded{ID: s.id, Attempt: ref.Attempt, Server: a.Host, Outcome: outcome, Took: a.Took, Done: s.isClosed,
+		Billed: answer.Billed, Gone: isPayloadGone(s.payload)}
+	c.events = append(c.events, ev)
+	if c.handoverObserver != nil {
+		c.handoverObserver.AttemptEnded(ev, c.now)
+	}
+	c.removeIfFinished(s)
+}
+
+// cancelAttempt ends a pending upstream request with the given outcome. Its connection is closed before the module learns
+// of the end, so that a further attempt is never a second copy. A request that was not fully written can't have run and
+// ends with Unreachable instead of TimedOut, or else with NotSent.
+func (c *Core) cancelAttempt(ref Ref, outcome admission.Outcome) {
+	s := c.streams[ref.Stream]
+	if s == nil || ref.Attempt < 0 || ref.Attempt >= len(s.attempts) || !s.attempts[ref.Attempt].isPending {
+		return
+	}
+	if mayHaveRun := c.upstreams.Cancel(ref); !mayHaveRun && outcome == admission.TimedOut {
+		outcome = admission.Unreachable
+	} else if !mayHaveRun {
+		outcome = admission.NotSent
+	}
+	c.UpstreamEnded(c.now, ref, outcome, Answer{})
+}
+
+// withdraw ends a pending upstream request that is not fully written, and so can't have run. It leaves others pending.
+func (c *Core) withdraw(ref Ref) {
+	if s := c.streams[ref.Stream]; s != nil && s.attempts[ref.Attempt].isPending && c.upstreams.Withdraw(ref) {
+		c.UpstreamEnded(c.now, ref, admission.NotSent, Answer{})
+	}
+}
+
+// discardAnswer tells the sender of an answer's remaining body that nobody reads it.
+func discardAnswer(answer Answer) {
+	if body, ok := answer.Rest.(interface{ CloseRead() }); ok {
+		body.CloseRead()
+	}
+}
+
+// neverRan reports whether an outcome shows that the upstream host did not run the request.
+func neverRan(outcome admission.Outcome) bool {
+	return outcome == admission.Full || outcome == admission.Unreachable || outcome == admission.NotSent
+}
--- a/internal/core/trace.go
+++ b/internal/core/debug_log.go
@@ -8,34 +8,35 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// The debug log of requests: each line has the stream's number, by which all lines of one request are found, and its first
-// one the client's Request-Id. While the log is at a higher level none of it is computed.
+// The debug log of requests. Every line of a stream carries its id, by which all lines of one request are found, and the
+// client's Request-Id. No argument is computed while the log has a higher level.
 
-// DebugEnabled tells whether a log takes debug lines. It is asked once, at a start: the level of a process does not change.
+// DebugEnabled reports whether a logger writes debug lines. It is called once at start, as a process's level does not
+// change.
 func DebugEnabled(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
 
-func (c *Core) logRequestStarted(s *stream, expires time.Duration) {
+func (c *Core) logRequestStarted(s *stream, timeout time.Duration) {
 	if c.isDebugEnabled {
 		c.log.Debug("request taken", "stream", s.id, "request", s.requestID, "order", s.idempotencyKey, "class", s.class, "customer", s.customer,
-			"left", expires, "open", s.isIncomplete)
+			"left", timeout, "open", s.isIncomplete)
 	}
 }
 
-func (c *Core) logRequestRejected(r Request, why string) {
+func (c *Core) logRequestRejected(r Request, reason string) {
 	if c.isDebugEnabled {
-		c.log.Debug("request turned down", "request", r.RequestID, "order", r.IdempotencyKey, "reason", why)
+		c.log.Debug("request turned down", "request", r.RequestID, "order", r.IdempotencyKey, "reason", reason)
 	}
 }
 
-func (c *Core) logAttemptStarted(s *stream, ref Ref, host string, left time.Duration) {
+func (c *Core) logAttemptStarted(s *stream, ref Ref, host string, timeLeft time.Duration) {
 	if c.isDebugEnabled {
-		c.log.Debug("attempt", "stream", s.id, "request", s.requestID, "attempt", ref.Attempt, "host", host, "left", left)
+		c.log.Debug("attempt", "stream", s.id, "request", s.requestID, "attempt", ref.Attempt, "host", host, "left", timeLeft)
 	}
 }
 
-func (c *Core) logAttemptEnded(s *stream, ref Ref, host string, o admission.Outcome, took time.Duration) {
+func (c *Core) logAttemptEnded(s *stream, ref Ref, host string, outcome admission.Outcome, took time.Duration) {
 	if c.isDebugEnabled {
-		c.log.Debug("attempt ended", "stream", s.id, "request", s.requestID, "attempt", ref.Attempt, "host", host, "outcome", o.String(),
+		c.log.Debug("attempt ended", "stream", s.id, "request", s.requestID, "attempt", ref.Attempt, "host", host, "outcome", outcome.String(),
 			"took", took)
 	}
 }
@@ -46,20 +47,3 @@
 			"attempts", len(s.attempts), "took", c.now-s.startedAt)
 	}
 }
-
-// String names a kind of end in logs and telemetry.
-func (k EndKind) String() string {
-	switch k {
-	case Served:
-		return "served"
-	case Refused:
-		return "refused"
-	case Failed:
-		return "failed"
-	case Expired:
-		return "expired"
-	case ClientLeft:
-		return "client_left"
-	}
-	return "unknown"
-}
--- /dev/null
+++ b/internal/core/idempotency.go
@@ -0,0 +1,158 @@
+package core
+
+import (
+	"time"
+
+	"ferryfront.example/ferryfront/admission"
+)
+
+// keyTable remembers for each idempotency key where a request with it may have run. The upstream hosts of a cell drop
+// a repeat of a key within the repeat window of its class. During that window a request with the key is sent only
+// there, and never while another request with the key is open. After the window the key counts as new: the client has
+// been told that the earlier request may have taken effect.
+type keyTable struct {
+	repeatWindows []time.Duration // by class; 0: the class has no keys
+	entries       map[string]*keyEntry
+	hostLocations map[string]location // by host name
+	expirations   []keyExpiry         // keys without an open stream, in the order in which their streams ended
+}
+
+// keyEntry is the state of an idempotency key.
+type keyEntry struct {
+	streamID   uint64 // the open stream with the key, 0 if there is none
+	mayHaveRun bool   // a request with the key may have run; the fields below say where and when
+	host       string
+	location   location
+	startedAt  time.Duration // start of the repeat window
+	expiresAt  time.Duration // end of the repeat window
+}
+
+// keyExpiry is the time at which a key is forgotten. It is checked when a request arrives and not by a timer: a turn of
+// the event loop for it would cost as much as one for a request.
+type keyExpiry struct {
+	key       string
+	expiresAt time.Duration
+}
+
+// location is the zone and cell of a host.
+type location struct {
+	zone string
+	cell int
+}
+
+// RepeatWindows returns for each class how long a repeat of an idempotency key is recognised, 0 where it has no keys.
+func RepeatWindows(classes []admission.Class) (windows []time.Duration) {
+	for _, class := range classes {
+		window := time.Duration(0)
+		if class.Effect == admission.Keyed {
+			window = class.RepeatWindow
+		}
+		windows = append(windows, window)
+	}
+	return windows
+}
+
+// repeatWindow returns the window of a class, 0 if the class has no keys or does not exist.
+func (t *keyTable) repeatWindow(class int) time.Duration {
+	if class < 0 || class >= len(t.repeatWindows) {
+		return 0
+	}
+	return t.repeatWindows[class]
+}
+
+// longestRepeatWindow returns the longest window of any class. It is used for streams of the predecessor, which does not
+// tell their class.
+func (t *keyTable) longestRepeatWindow() (longest time.Duration) {
+	for _, window := range t.repeatWindows {
+		longest = max(longest, window)
+	}
+	return longest
+}
+
+// updateLocations records the locations of the listed hosts.
+func (t *keyTable) updateLocations(list admission.ServerList) {
+	for _, server := range list.Servers {
+		if server.State == admission.Gone {
+			delete(t.hostLocations, server.Name)
+		} else {
+			t.hostLocations[server.Name] = location{server.Zone, server.Cell}
+		}
+	}
+}
+
+// earlierAttempt returns where a request with the key may have run, or nil if none has within the repeat window.
+func (t *keyTable) earlierAttempt(key string, now time.Duration) *admission.Earlier {
+	if entry := t.entries[key]; entry != nil && entry.mayHaveRun && now < entry.expiresAt {
+		return &admission.Earlier{Server: entry.host, Zone: entry.location.zone, Cell: entry.location.cell, At: entry.startedAt}
+	}
+	return nil
+}
+
+// hasOpenStream reports whether a stream with the key is open or has pending attempts.
+func (t *keyTable) hasOpenStream(key string) bool {
+	entry := t.entries[key]
+	return entry != nil && entry.streamID != 0
+}
+
+// openStream records that a stream with the key has started.
+func (t *keyTable) openStream(key string, streamID uint64) {
+	if t.entries[key] == nil {
+		t.entries[key] = &keyEntry{}
+	}
+	t.entries[key].streamID = streamID
+}
+
+// recordAttempt records that a request with the key is sent to a host. Only the first host that may have run it within
+// the window is kept, as later ones are of the same cell. For a repeat it returns the end of the window, by which the
+// request must have reached the host, as it may still wait for its connection; otherwise it returns 0.
+func (t *keyTable) recordAttempt(key, host string, now, window time.Duration) (windowEnd time.Duration) {
+	entry := t.entries[key]
+	switch {
+	case entry == nil:
+		return 0
+	case entry.mayHaveRun && now < entry.expiresAt:
+		return entry.expiresAt
+	}
+	entry.mayHaveRun, entry.host, entry.location, entry.startedAt, entry.expiresAt = true, host, t.hostLocations[host], now, now+window
+	return 0
+}
+
+// updateStart restarts the window of the attempt that was recorded at the time startedAt. A request that was incomplete
+// can't run before all of it has arrived.
+func (t *keyTable) updateStart(key, host string, startedAt, now, window time.Duration) {
+	if entry := t.entries[key]; entry != nil && entry.mayHaveRun && entry.host == host && entry.startedAt == startedAt {
+		entry.startedAt, entry.expiresAt = now, now+window
+	}
+}
+
+// clearAttempt records that the attempt that was recorded at the time startedAt has not run.
+func (t *keyTable) clearAttempt(key, host string, startedAt time.Duration) {
+	if entry := t.entries[key]; entry != nil && entry.mayHaveRun && entry.host == host && entry.startedAt == startedAt {
+		entry.mayHaveRun = false
+	}
+}
+
+// closeStream records that a stream with the key has finished. The key is remembered to the end of its window if a request
+// with it may have run, and forgotten at once if not.
+func (t *keyTable) closeStream(key string, streamID uint64) {
+	entry := t.entries[key]
+	if entry == nil || entry.streamID != streamID {
+		return
+	}
+	if entry.streamID = 0; !entry.mayHaveRun {
+		delete(t.entries, key)
+		return
+	}
+	t.expirations = append(t.expirations, keyExpiry{key, entry.expiresAt})
+}
+
+// removeExpired forgets keys whose window has ended. A key with a short window may be kept longer, behind one with a
+// longer window.
+func (t *keyTable) removeExpired(now time.Duration) {
+	for len(t.expirations) > 0 && now >= t.expirations[0].expiresAt {
+		if entry := t.entries[t.expirations[0].key]; entry != nil && entry.streamID == 0 && now >= entry.expiresAt {
+			delete(t.entries, t.expirations[0].key)
+		}
+		t.expirations = t.expirations[1:]
+	}
+}
--- /dev/null
+++ b/internal/core/types.go
@@ -0,0 +1,149 @@
+package core
+
+import (
+	"time"
+
+	"ferryfront.example/ferryfront/admission"
+	"ferryfront.example/ferryfront/internal/tracecontext"
+)
+
+// Decider is the decision module. The returned slice is valid until the next call.
+type Decider interface {
+	Handle(now time.Duration, ev admission.Event) []admission.Action
+}
+
+// Ref identifies an upstream request by its stream and its index among the stream's attempts, from 0.
+// A probe has a stream id of its own.
+type Ref struct {
+	Stream  uint64
+	Attempt int
+}
+
+// Payload is the request that a stream sends to its upstream host. The core does not read it. A payload of which a part
+// may be consumed by sending it has a method Gone() bool, which reports whether that has happened.
+type Payload any
+
+// isPayloadGone reports whether p can't be sent again.
+func isPayloadGone(p Payload) bool {
+	consumable, ok := p.(interface{ Gone() bool })
+	return ok && consumable.Gone()
+}
+
+// Upstreams sends upstream requests. Each one that Start begins ends with one call of [Core.UpstreamEnded], possibly
+// within Start, unless Cancel or Withdraw ends it. The same holds for Probe and [Core.ProbeEnded].
+type Upstreams interface {
+	Start(ref Ref, host string, p Payload, timeout time.Duration)
+	// Cancel ends a request by closing its connection. It reports whether the request may have run, which is the case
+	// unless it was not fully written.
+	Cancel(ref Ref) (mayHaveRun bool)
+	// Withdraw ends a request only if it was not fully written and so can't have run. It reports whether it did.
+	Withdraw(ref Ref) (withdrawn bool)
+	Probe(ref Ref, host string, timeout time.Duration)
+	// CloseIdle closes the idle connections to a host.
+	CloseIdle(host string)
+}
+
+// Counter makes calls to the shared quota counter. Each call of Add ends with one call of [Core.CounterCallEnded].
+type Counter interface {
+	// Add adds an amount to the number called name, which the counter deletes after the time keep.
+	Add(name string, amount float64, keep time.Duration)
+}
+
+// Cluster requests the complete host list from discovery.
+type Cluster interface{ Refetch() }
+
+// Answer is the answer of an upstream host.
+type Answer struct {
+	Body        []byte
+	ContentType string
+	// Rest is the part of the body that is still arriving after Body, or nil. The core does not read it. If it has a
+	// method CloseRead, that is called when nobody takes the answer.
+	Rest any
+	// Billed is the number of units that the host charged, where units are settled after the request. 0: not reported.
+	Billed int
+}
+
+// EndKind says how a stream ended.
+type EndKind int
+
+const (
+	Served     EndKind = iota // with an upstream host's answer
+	Refused                   // by the module; the client may safely retry
+	Failed                    // by the module; the request may or may not have taken effect
+	Expired                   // by the module after an upstream request timed out, or because nobody answered in time
+	ClientLeft                // the client went away
+)
+
+// String returns the name of the kind in logs and telemetry.
+func (k EndKind) String() string {
+	switch k {
+	case Served:
+		return "served"
+	case Refused:
+		return "refused"
+	case Failed:
+		return "failed"
+	case Expired:
+		return "expired"
+	case ClientLeft:
+		return "client_left"
+	}
+	return "unknown"
+}
+
+// End describes the end of a stream.
+type End struct {
+	Kind        EndKind
+	Answer      Answer        // for Served
+	RetryAfter  time.Duration // for Refused; 0: no advice
+	HasAttempts bool          // an upstream request was made for the stream
+	// OnRelayed is set if the answer's body is still arriving. The owner calls it with whether the client received the
+	// whole answer, but not if the client leaves.
+	OnRelayed func(isComplete bool)
+}
+
+// Owner is the front's side of a stream. End is called once, unless the client has left.
+type Owner interface{ End(e End) }
+
+// Trace is a stream's position in a distributed trace. It is zero if there is no observer.
+type Trace struct {
+	tracecontext.Context
+	Span tracecontext.SpanID // the stream's span; the spans of its upstream requests are derived from it
+}
+
+// Request is a client's request as a front passes it to [Core.StartStream].
+type Request struct {
+	admission.RequestArrived        // without the ID, which the core assigns
+	RequestID                string // identifies the request to upstream hosts; unique among tracked streams; may be empty
+	IdempotencyKey           string // where the request's class uses idempotency keys
+	Trace                    Trace
+	Payload                  Payload
+	Owner                    Owner
+	IsIncomplete             bool // a part is still to arrive; its time starts with [Core.RequestCompleted]
+}
+
+// StreamRecord describes an ended stream to the observer.
+type StreamRecord struct {
+	Class, Plan int
+	Customer    uint64
+	IsRetry     bool // the client marked the request as a retry
+	Trace       Trace
+	Kind        EndKind
+	Began       time.Duration
+	Took        time.Duration
+	Attempts    []AttemptRecord
+}
+
+// AttemptRecord describes an upstream request of a stream.
+type AttemptRecord struct {
+	Host    string
+	Began   time.Duration
+	Took    time.Duration // 0 while the request is pending
+	Outcome admission.Outcome
+}
+
+// Observer receives ended streams and counter calls, for telemetry. Its methods must not block.
+type Observer interface {
+	StreamEnded(StreamRecord)
+	CounterAnswered(admission.Outcome, time.Duration)
+}
