--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -135,9 +135,9 @@
 		}
 	}
 	site := limits.Site{Sockets: r.Object("limits").Int("sockets"), MemoryMB: r.Object("limits").Int("memory_mb"),
-		HostIdleTimeout: set.Object("limits").Millis("idleClose"), DialTimeout: c.Settings.DialLimit,
-		CounterCallTimeout: c.Settings.CounterLimit, Ingresses: c.Settings.Gateways, DrainGrace: c.Settings.DrainGrace,
-		HasLocalAgent: !c.Settings.MustAsk}
+		HostIdleTimeout: set.Object("limits").Millis("idleClose"), DialTimeout: c.Settings.DialTimeout,
+		CounterCallTimeout: c.Settings.CounterTimeout, Ingresses: c.Settings.Gateways, DrainGrace: c.Settings.DrainGrace,
+		HasLocalAgent: !c.Settings.MustSubscribe}
 	for _, class := range c.Settings.Classes {
 		site.LongestDeadline = max(site.LongestDeadline, min(class.Deadline, 3*time.Second))
 	}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -71,7 +71,7 @@
 	parked := c.parkedCounterCalls
 	c.parkedCounterCalls = nil
 	for _, call := range parked {
-		c.counter.Add(call.Name, call.By, call.Keep)
+		c.counter.Add(call.Name, call.Delta, call.TTL)
 	}
 }
 
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -81,9 +81,9 @@
 }
 
 // earlierAttempt returns where a request with the key may have run, or nil if none has within the repeat window.
-func (t *keyTable) earlierAttempt(key string, now time.Duration) *admission.Earlier {
+func (t *keyTable) earlierAttempt(key string, now time.Duration) *admission.PriorAttempt {
 	if entry := t.entries[key]; entry != nil && entry.mayHaveRun && now < entry.expiresAt {
-		return &admission.Earlier{Server: entry.host, Zone: entry.location.zone, Cell: entry.location.cell, At: entry.startedAt}
+		return &admission.PriorAttempt{Server: entry.host, Zone: entry.location.zone, Cell: entry.location.cell, SentAt: entry.startedAt}
 	}
 	return nil
 }
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -62,11 +62,11 @@
 	ev.ID = c.lastID
 	ev.ExpiresIn = max(0, ev.ExpiresIn-c.deadlineMargin)
 	if r.IdempotencyKey != "" {
-		ev.Earlier = c.idempotencyKeys.earlierAttempt(r.IdempotencyKey, c.now)
+		ev.PriorAttempt = c.idempotencyKeys.earlierAttempt(r.IdempotencyKey, c.now)
 		c.idempotencyKeys.openStream(r.IdempotencyKey, ev.ID)
 	}
 	s := &stream{id: ev.ID, requestID: r.RequestID, idempotencyKey: r.IdempotencyKey, payload: r.Payload, owner: r.Owner, startedAt: c.now, deadline: c.now + ev.ExpiresIn,
-		class: ev.Class, plan: ev.Plan, customer: ev.Customer, isRetry: ev.Retry, repeatWindow: window,
+		class: ev.Class, plan: ev.Plan, customer: ev.Customer, isRetry: ev.IsRetry, repeatWindow: window,
 		trace: r.Trace}
 	c.streams[s.id] = s
 	c.openStreams++
@@ -122,7 +122,7 @@
 			c.timers.Push(c.now+a.timeout, timer{kind: attemptTimer, ref: Ref{s.id, i}})
 		}
 	}
-	c.events = append(c.events, admission.RequestWhole{ID: id})
+	c.events = append(c.events, admission.RequestComplete{ID: id})
 }
 
 // ClientDisconnected reports that a stream's client has left.
--- a/internal/core/turn.go
+++ b/internal/core/turn.go
@@ -156,7 +156,7 @@
 		case c.parksCounterCalls:
 			c.parkedCounterCalls = append(c.parkedCounterCalls, action)
 		default:
-			c.counter.Add(action.Name, action.By, action.Keep)
+			c.counter.Add(action.Name, action.Delta, action.TTL)
 		}
 	case admission.Probe:
 		c.lastID++
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -148,7 +148,7 @@
 // opening is a front and where it listens.
 type opening struct {
 	addr   string
-	front  downstream.Front
+	front  downstream.Handler
 	ready  func()
 	follow func(admission.Settings)
 }
@@ -217,7 +217,7 @@
 	}
 	d.told = cfg
 	// Every refusal tells when to come back, also where clients are not known to heed it.
-	cfg.Settings.RetryAfter = true
+	cfg.Settings.CanSendRetryAfter = true
 	d.cfg = cfg
 	// A front's file that is refused ends the start before anything is opened.
 	var file openapi.File
@@ -345,7 +345,7 @@
 	d.noteStall(now)
 	next := d.core.Turn(now)
 	d.pred.turn(now)
-	if d.server.Closed() && d.core.OpenStreams() == 0 && d.server.Connections() == 0 && !d.leaving {
+	if d.server.ListenersClosed() && d.core.OpenStreams() == 0 && d.server.OpenConnections() == 0 && !d.leaving {
 		d.leaving = true
 		d.log.Info("drained")
 		d.sayLeave(func() { d.giveUpControlGroup(d.loop.Stop) })
@@ -372,7 +372,7 @@
 	}
 	d.draining = true
 	d.o.Notify("STOPPING=1")
-	d.log.Info("draining", "streams", d.core.OpenStreams(), "connections", d.server.Connections())
+	d.log.Info("draining", "streams", d.core.OpenStreams(), "connections", d.server.OpenConnections())
 	d.server.Drain()
 	d.loop.After(d.cfg.Limits.DrainAcceptPeriod, d.server.CloseListeners)
 	d.endInTime()
