--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -28,7 +28,7 @@
 	if c.handoverObserver != nil {
 		c.handoverObserver.AttemptStarted(s.id, action.Server, c.now)
 	}
-	if s.isClosed || c.now >= s.deadline || action.Wait < 0 || isPayloadGone(s.payload) {
+	if s.isClosed || c.now >= s.deadline || action.Wait < 0 || isPayloadConsumed(s.payload) {
 		c.UpstreamEnded(c.now, ref, admission.NotSent, Answer{})
 		return
 	}
@@ -39,7 +39,7 @@
 	}
 	timeout := s.deadline - c.now
 	c.logAttemptStarted(s, ref, action.Server, timeout)
-	if s.isIncomplete {
+	if s.isPartial {
 		s.attempts[ref.Attempt].timeout, timeout = action.Wait, s.timeout
 	} else if action.Wait > 0 && action.Wait < timeout {
 		timeout = action.Wait
@@ -71,7 +71,7 @@
 		c.idempotencyKeys.clearAttempt(s.idempotencyKey, a.Host, a.Began)
 	}
 	ev := admission.AttemptEnded{ID: s.id, Attempt: ref.Attempt, Server: a.Host, Outcome: outcome, Took: a.Took, Done: s.isClosed,
-		Billed: answer.Billed, NotReplayable: isPayloadGone(s.payload)}
+		Billed: answer.Billed, NotReplayable: isPayloadConsumed(s.payload)}
 	c.events = append(c.events, ev)
 	if c.handoverObserver != nil {
 		c.handoverObserver.AttemptEnded(ev, c.now)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -13,134 +13,138 @@
 
 const ms = time.Millisecond
 
-// script is a module that answers each event as it was told to.
-type script struct {
-	seen   []admission.Event
-	answer func(admission.Event) []admission.Action
+// scriptedModule is a decision module that returns the actions of a function and records the events.
+type scriptedModule struct {
+	events  []admission.Event
+	respond func(admission.Event) []admission.Action
 }
 
-func (s *script) Handle(_ time.Duration, ev admission.Event) []admission.Action {
-	s.seen = append(s.seen, ev)
-	return s.answer(ev)
+func (m *scriptedModule) Handle(_ time.Duration, ev admission.Event) []admission.Action {
+	m.events = append(m.events, ev)
+	return m.respond(ev)
 }
 
-// world stands for hosts, counter, cluster and client, and writes down what it is told.
-type world struct {
-	told    []string
-	waits   []time.Duration
-	ends    []End
-	payload []Payload
+// fakeEnvironment stands for the upstream hosts, the counter, the cluster and the client. It records their calls.
+type fakeEnvironment struct {
+	calls    []string
+	timeouts []time.Duration
+	ends     []End
+	payloads []Payload
 
-	unwritten bool // what is out waits for its connection
+	isUnwritten bool // pending requests still wait for their connection
 }
 
-func (w *world) Start(_ Ref, host string, p Payload, wait time.Duration) {
-	w.told, w.waits, w.payload = append(w.told, "start "+host), append(w.waits, wait), append(w.payload, p)
+func (env *fakeEnvironment) Start(_ Ref, host string, p Payload, timeout time.Duration) {
+	env.calls, env.timeouts, env.payloads = append(env.calls, "start "+host), append(env.timeouts, timeout), append(env.payloads, p)
 }
-func (w *world) Withdraw(Ref) bool                           { return w.unwritten }
-func (w *world) Probe(Ref, string, time.Duration)            { w.told = append(w.told, "probe") }
-func (w *world) CloseIdle(h string)                          { w.told = append(w.told, "close "+h) }
-func (w *world) Add(name string, _ float64, _ time.Duration) { w.told = append(w.told, "add "+name) }
-func (w *world) Refetch()                                    { w.told = append(w.told, "refetch") }
-func (w *world) Cancel(Ref) bool {
-	w.told = append(w.told, "cancel")
-	return !w.unwritten
+func (env *fakeEnvironment) Withdraw(Ref) bool                { return env.isUnwritten }
+func (env *fakeEnvironment) Probe(Ref, string, time.Duration) { env.calls = append(env.calls, "probe") }
+func (env *fakeEnvironment) CloseIdle(h string)               { env.calls = append(env.calls, "close "+h) }
+func (env *fakeEnvironment) Add(name string, _ float64, _ time.Duration) {
+	env.calls = append(env.calls, "add "+name)
 }
-func (w *world) End(e End) { w.ends = append(w.ends, e) }
+func (env *fakeEnvironment) Refetch() { env.calls = append(env.calls, "refetch") }
+func (env *fakeEnvironment) Cancel(Ref) bool {
+	env.calls = append(env.calls, "cancel")
+	return !env.isUnwritten
+}
+func (env *fakeEnvironment) End(e End) { env.ends = append(env.ends, e) }
 
-const margin = 8 * ms
+const testMargin = 8 * ms
 
-func setUp(answer func(admission.Event) []admission.Action) (*Core, *script, *world, *bytes.Buffer) {
-	s, w, log := &script{answer: answer}, &world{}, &bytes.Buffer{}
-	return New(Config{Decider: s, Upstreams: w, Counter: w, Cluster: w, Log: slog.New(slog.NewTextHandler(log, nil)),
-		DeadlineMargin: margin}), s, w, log
+// newTestCore returns a core with its fakes. The log of the core is written to the buffer.
+func newTestCore(respond func(admission.Event) []admission.Action) (*Core, *scriptedModule, *fakeEnvironment, *bytes.Buffer) {
+	module, env, log := &scriptedModule{respond: respond}, &fakeEnvironment{}, &bytes.Buffer{}
+	return New(Config{Decider: module, Upstreams: env, Counter: env, Cluster: env, Log: slog.New(slog.NewTextHandler(log, nil)),
+		DeadlineMargin: testMargin}), module, env, log
 }
 
-func (w *world) request(expires time.Duration) Request {
-	return Request{RequestArrived: admission.RequestArrived{ID: 99, ExpiresIn: expires}, Payload: "as it came", Owner: w}
+// request returns a request that the environment owns and whose deadline is after timeout.
+func (env *fakeEnvironment) request(timeout time.Duration) Request {
+	return Request{RequestArrived: admission.RequestArrived{ID: 99, ExpiresIn: timeout}, Payload: "payload", Owner: env}
 }
 
-// sends answers every arrival with one upstream request.
-func sends(ev admission.Event) []admission.Action {
+// sendToHost sends every arriving request to the host h once.
+func sendToHost(ev admission.Event) []admission.Action {
 	if r, ok := ev.(admission.RequestArrived); ok {
 		return []admission.Action{admission.Send{ID: r.ID, Server: "h"}}
 	}
 	return nil
 }
 
-func TestFirstGoodAnswerIsTheStreams(t *testing.T) {
-	c, s, w, _ := setUp(sends)
-	id := c.StartStream(10*ms, w.request(100*ms))
-	require.NotEqual(t, uint64(99), id, "ids are the core's own")
+func TestFirstGoodAnswerEndsTheStream(t *testing.T) {
+	c, module, env, _ := newTestCore(sendToHost)
+	id := c.StartStream(10*ms, env.request(100*ms))
+	require.NotEqual(t, uint64(99), id, "the core assigns the id")
 	c.Turn(10 * ms)
-	require.Equal(t, []Payload{"as it came"}, w.payload)
+	require.Equal(t, []Payload{"payload"}, env.payloads)
 	c.UpstreamEnded(30*ms, Ref{id, 0}, admission.OK, Answer{Body: []byte("yes")})
 	c.Turn(30 * ms)
-	require.Equal(t, []End{{Kind: Served, Answer: Answer{Body: []byte("yes")}, HasAttempts: true}}, w.ends)
+	require.Equal(t, []End{{Kind: Served, Answer: Answer{Body: []byte("yes")}, HasAttempts: true}}, env.ends)
 	require.Equal(t, admission.AttemptEnded{ID: id, Server: "h", Outcome: admission.OK, Took: 20 * ms, Done: true},
-		s.seen[1])
+		module.events[1])
 	require.Zero(t, c.OpenStreams())
 	require.Empty(t, c.streams)
 }
 
-// The true units that an upstream host charged reach the module with the attempt's end.
-func TestTheTrueUnitsReachTheModule(t *testing.T) {
-	c, s, w, _ := setUp(sends)
-	id := c.StartStream(10*ms, w.request(100*ms))
+// The module settles quotas by the units that a host has charged; they come with the attempt's end.
+func TestBilledUnitsReachTheModule(t *testing.T) {
+	c, module, env, _ := newTestCore(sendToHost)
+	id := c.StartStream(10*ms, env.request(100*ms))
 	c.Turn(10 * ms)
 	c.UpstreamEnded(30*ms, Ref{id, 0}, admission.OK, Answer{Body: []byte("yes"), Billed: 5})
 	c.Turn(30 * ms)
-	require.Equal(t, 5, s.seen[1].(admission.AttemptEnded).Billed)
+	require.Equal(t, 5, module.events[1].(admission.AttemptEnded).Billed)
 }
 
-// Deadlines of streams that have ended do not wake the loop.
-func TestAnEndedStreamNeedsNoTurn(t *testing.T) {
-	c, _, w, _ := setUp(sends)
-	id := c.StartStream(0, w.request(100*ms))
-	require.Equal(t, 100*ms-margin, c.Turn(0))
+// The timers of a stream's deadline must not wake the event loop after the stream has ended.
+func TestEndedStreamNeedsNoTurn(t *testing.T) {
+	c, _, env, _ := newTestCore(sendToHost)
+	id := c.StartStream(0, env.request(100*ms))
+	require.Equal(t, 100*ms-testMargin, c.Turn(0))
 	c.UpstreamEnded(5*ms, Ref{id, 0}, admission.OK, Answer{})
 	require.Zero(t, c.Turn(5*ms))
 }
 
-// The events of a turn are handed over before any action is carried out.
-func TestATurnIsHandedOverInOneGo(t *testing.T) {
-	var w *world
-	c, s, world, _ := setUp(func(ev admission.Event) []admission.Action {
-		require.Empty(t, w.told)
+// The module gets all events of a turn before the first action is carried out.
+func TestEventsAreHandledBeforeActionsAreExecuted(t *testing.T) {
+	var env *fakeEnvironment
+	c, module, fake, _ := newTestCore(func(ev admission.Event) []admission.Action {
+		require.Empty(t, env.calls)
 		return []admission.Action{admission.CounterAdd{Name: "n"}}
 	})
-	w = world
-	c.StartStream(0, w.request(100*ms))
+	env = fake
+	c.StartStream(0, env.request(100*ms))
 	c.CounterCallEnded(admission.CounterAnswered{})
 	c.ServerListReceived(admission.ServerList{})
 	c.Turn(0)
-	require.Len(t, s.seen, 3)
-	require.Equal(t, []string{"add n", "add n", "add n"}, w.told)
+	require.Len(t, module.events, 3)
+	require.Equal(t, []string{"add n", "add n", "add n"}, env.calls)
 }
 
-// An upstream request that is out at the deadline ends there: its connection is closed before the module
-// hears of it, so that no further one is ever a second copy.
-func TestDeadlineEndsUpstreamRequests(t *testing.T) {
-	c, s, w, _ := setUp(func(ev admission.Event) []admission.Action {
+// An upstream request that is pending at the deadline is cancelled. If its connection were closed only after the module
+// learns of the end, a further attempt could run beside it as a second copy.
+func TestDeadlineCancelsUpstreamRequests(t *testing.T) {
+	c, module, env, _ := newTestCore(func(ev admission.Event) []admission.Action {
 		if e, ok := ev.(admission.AttemptEnded); ok {
 			require.Equal(t, admission.TimedOut, e.Outcome)
 			require.False(t, e.Done)
 			return []admission.Action{admission.Fail{ID: e.ID}}
 		}
-		return sends(ev)
+		return sendToHost(ev)
 	})
-	c.StartStream(0, w.request(100*ms))
+	c.StartStream(0, env.request(100*ms))
 	next := c.Turn(0)
-	require.Equal(t, 100*ms-margin, next)
-	require.Equal(t, []time.Duration{100*ms - margin}, w.waits)
+	require.Equal(t, 100*ms-testMargin, next)
+	require.Equal(t, []time.Duration{100*ms - testMargin}, env.timeouts)
 	c.Turn(next)
-	require.Equal(t, []string{"start h", "cancel"}, w.told)
-	require.Equal(t, []End{{Kind: Expired, HasAttempts: true}}, w.ends)
-	require.Len(t, s.seen, 2)
+	require.Equal(t, []string{"start h", "cancel"}, env.calls)
+	require.Equal(t, []End{{Kind: Expired, HasAttempts: true}}, env.ends)
+	require.Len(t, module.events, 2)
 }
 
-func TestTimeOutOfOneUpstreamRequest(t *testing.T) {
-	c, s, w, _ := setUp(func(ev admission.Event) []admission.Action {
+func TestUpstreamRequestTimesOut(t *testing.T) {
+	c, module, env, _ := newTestCore(func(ev admission.Event) []admission.Action {
 		if r, ok := ev.(admission.RequestArrived); ok {
 			return []admission.Action{admission.Send{ID: r.ID, Server: "a", Wait: 20 * ms}}
 		}
@@ -149,38 +153,39 @@
 		}
 		return nil
 	})
-	id := c.StartStream(0, w.request(100*ms))
+	id := c.StartStream(0, env.request(100*ms))
 	c.Turn(20 * ms)
 	c.Turn(40 * ms)
-	require.Equal(t, []string{"start a", "cancel", "start b"}, w.told)
-	c.UpstreamEnded(50*ms, Ref{id, 0}, admission.OK, Answer{}) // too late: that one is over
-	require.Empty(t, w.ends)
+	require.Equal(t, []string{"start a", "cancel", "start b"}, env.calls)
+	c.UpstreamEnded(50*ms, Ref{id, 0}, admission.OK, Answer{}) // ignored: that attempt has ended
+	require.Empty(t, env.ends)
 	c.UpstreamEnded(50*ms, Ref{id, 1}, admission.OK, Answer{})
-	require.Len(t, w.ends, 1)
+	require.Len(t, env.ends, 1)
 	c.Turn(50 * ms)
-	require.Equal(t, 1, s.seen[2].(admission.AttemptEnded).Attempt)
+	require.Equal(t, 1, module.events[2].(admission.AttemptEnded).Attempt)
 }
 
-// Whatever the module does, a stream gets one answer before its client's deadline, and no refusal.
-func TestAStreamIsAnsweredThoughTheModuleIsNot(t *testing.T) {
-	c, s, w, log := setUp(func(ev admission.Event) []admission.Action {
+// A panic in the module loses the actions for a request. The client must still get one answer before its deadline, which
+// is not a refusal.
+func TestStreamIsAnsweredWhenTheModulePanics(t *testing.T) {
+	c, module, env, log := newTestCore(func(ev admission.Event) []admission.Action {
 		if _, ok := ev.(admission.RequestArrived); ok {
 			panic("a fault")
 		}
 		return nil
 	})
-	id := c.StartStream(0, w.request(100*ms))
+	id := c.StartStream(0, env.request(100*ms))
 	c.Turn(0)
 	require.Contains(t, log.String(), "a fault")
 	for now := time.Duration(0); now < 100*ms; now += ms {
 		c.Turn(now)
 	}
-	require.Equal(t, []End{{Kind: Expired}}, w.ends)
-	require.Equal(t, admission.ClientLeft{ID: id}, s.seen[len(s.seen)-1])
+	require.Equal(t, []End{{Kind: Expired}}, env.ends)
+	require.Equal(t, admission.ClientLeft{ID: id}, module.events[len(module.events)-1])
 }
 
-func TestOneEndIsEnough(t *testing.T) {
-	c, _, w, _ := setUp(func(ev admission.Event) []admission.Action {
+func TestStreamEndsOnce(t *testing.T) {
+	c, _, env, _ := newTestCore(func(ev admission.Event) []admission.Action {
 		r, ok := ev.(admission.RequestArrived)
 		if !ok {
 			return nil
@@ -188,34 +193,34 @@
 		return []admission.Action{admission.Refuse{ID: r.ID, RetryAfter: 3 * ms}, admission.Fail{ID: r.ID},
 			admission.Send{ID: r.ID, Server: "h"}}
 	})
-	c.StartStream(0, w.request(100*ms))
+	c.StartStream(0, env.request(100*ms))
 	c.Turn(0)
-	require.Equal(t, []End{{Kind: Refused, RetryAfter: 3 * ms}}, w.ends)
-	require.Empty(t, w.told, "nothing is sent for a stream that has ended")
+	require.Equal(t, []End{{Kind: Refused, RetryAfter: 3 * ms}}, env.ends)
+	require.Empty(t, env.calls, "nothing is sent for a stream that has ended")
 }
 
-func TestClientThatLeft(t *testing.T) {
-	c, s, w, _ := setUp(func(ev admission.Event) []admission.Action {
+func TestClientDisconnects(t *testing.T) {
+	c, module, env, _ := newTestCore(func(ev admission.Event) []admission.Action {
 		if l, ok := ev.(admission.ClientLeft); ok {
 			return []admission.Action{admission.Cancel{ID: l.ID}}
 		}
-		return sends(ev)
+		return sendToHost(ev)
 	})
-	id := c.StartStream(0, w.request(100*ms))
+	id := c.StartStream(0, env.request(100*ms))
 	c.Turn(0)
 	c.ClientDisconnected(5*ms, id)
 	c.Turn(5 * ms)
 	c.Turn(5 * ms)
-	require.Empty(t, w.ends)
-	require.Equal(t, []string{"start h", "cancel"}, w.told)
+	require.Empty(t, env.ends)
+	require.Equal(t, []string{"start h", "cancel"}, env.calls)
 	require.Equal(t, admission.AttemptEnded{ID: id, Server: "h", Outcome: admission.Cancelled, Took: 5 * ms, Done: true},
-		s.seen[2])
+		module.events[2])
 	require.Empty(t, c.streams)
 }
 
-func TestTimersAndTheRest(t *testing.T) {
+func TestTimersProbesAndOtherActions(t *testing.T) {
 	first := true
-	c, s, w, _ := setUp(func(ev admission.Event) []admission.Action {
+	c, module, env, _ := newTestCore(func(ev admission.Event) []admission.Action {
 		if !first {
 			return nil
 		}
@@ -226,74 +231,76 @@
 	c.ServerListReceived(admission.ServerList{})
 	require.Equal(t, 30*ms, c.Turn(0))
 	c.Turn(29 * ms)
-	require.Len(t, s.seen, 1)
+	require.Len(t, module.events, 1)
 	c.Turn(30 * ms)
-	require.Equal(t, admission.TimerFired{Token: 7}, s.seen[1])
+	require.Equal(t, admission.TimerFired{Token: 7}, module.events[1])
 	c.Turn(probeTimeout)
-	require.Equal(t, admission.ProbeEnded{Server: "h", Took: probeTimeout, Outcome: admission.TimedOut}, s.seen[2])
-	require.Equal(t, []string{"close h", "refetch", "probe", "cancel"}, w.told)
+	require.Equal(t, admission.ProbeEnded{Server: "h", Took: probeTimeout, Outcome: admission.TimedOut}, module.events[2])
+	require.Equal(t, []string{"close h", "refetch", "probe", "cancel"}, env.calls)
 }
 
-// Upstream hosts know requests by their keys: while anything of a stream is out, no other has its key.
-func TestAKeyIsOpenOnce(t *testing.T) {
-	c, _, w, _ := setUp(sends)
-	r := w.request(100 * ms)
+// Upstream hosts identify requests by their id. While an upstream request of a stream is pending, even after its client
+// has left, no other stream may use the id.
+func TestRequestIDIsOpenOnce(t *testing.T) {
+	c, _, env, _ := newTestCore(sendToHost)
+	r := env.request(100 * ms)
 	r.RequestID = "k"
 	id := c.StartStream(0, r)
 	c.Turn(0)
 	require.Zero(t, c.StartStream(0, r))
 	c.ClientDisconnected(0, id)
-	require.Zero(t, c.StartStream(0, r), "its upstream request is still out")
+	require.Zero(t, c.StartStream(0, r), "its upstream request is still pending")
 	c.UpstreamEnded(0, Ref{id, 0}, admission.OK, Answer{})
 	require.NotZero(t, c.StartStream(0, r))
 }
 
-// When the process must end, what is still open is answered, once, and not as a refusal.
-func TestAbandon(t *testing.T) {
-	c, _, w, _ := setUp(sends)
-	c.StartStream(0, w.request(100*ms))
+// Streams that are open when the process must exit are answered once, and not with a refusal.
+func TestExpireStreams(t *testing.T) {
+	c, _, env, _ := newTestCore(sendToHost)
+	c.StartStream(0, env.request(100*ms))
 	c.Turn(0)
 	c.ExpireStreams(50 * ms)
 	c.Turn(50 * ms)
-	require.Equal(t, []End{{Kind: Expired, HasAttempts: true}}, w.ends)
+	require.Equal(t, []End{{Kind: Expired, HasAttempts: true}}, env.ends)
 	require.Zero(t, c.OpenStreams())
 	c.Turn(200 * ms)
-	require.Len(t, w.ends, 1)
+	require.Len(t, env.ends, 1)
 }
 
-// Keys are remembered for their window and no longer, whatever becomes of their streams.
-func TestKeysOfOrders(t *testing.T) {
-	o := keyTable{repeatWindows: []time.Duration{time.Second}, entries: map[string]*keyEntry{}, hostLocations: map[string]location{"h": {"a", 3}}}
-	o.openStream("k", 1)
-	require.True(t, o.hasOpenStream("k"))
-	require.Nil(t, o.earlierAttempt("k", 0))
-	o.recordAttempt("k", "h", 10, time.Second)
-	o.clearAttempt("k", "h", 10)
-	require.Nil(t, o.earlierAttempt("k", 20), "what was turned away has not run")
-	o.recordAttempt("k", "h", 30, time.Second)
-	o.recordAttempt("k", "other", 40, time.Second)
-	require.Equal(t, &admission.PriorAttempt{Server: "h", Zone: "a", Cell: 3, SentAt: 30}, o.earlierAttempt("k", 50), "the first counts")
-	o.closeStream("k", 2)
-	require.True(t, o.hasOpenStream("k"), "another's end is not this one's")
-	o.closeStream("k", 1)
-	require.False(t, o.hasOpenStream("k"))
-	require.NotNil(t, o.earlierAttempt("k", time.Second))
-	o.removeExpired(30 + time.Second)
-	require.Empty(t, o.entries)
-	require.Empty(t, o.expirations)
-	o.openStream("k", 3)
-	o.closeStream("k", 3)
-	require.Empty(t, o.entries, "one that was never sent is forgotten at once")
+// An idempotency key is remembered to the end of its window and no longer. It is forgotten at once if no request with it
+// can have run.
+func TestIdempotencyKeysAreRememberedForTheirWindow(t *testing.T) {
+	table := keyTable{repeatWindows: []time.Duration{time.Second}, entries: map[string]*keyEntry{}, hostLocations: map[string]location{"h": {"a", 3}}}
+	table.openStream("k", 1)
+	require.True(t, table.hasOpenStream("k"))
+	require.Nil(t, table.earlierAttempt("k", 0))
+	table.recordAttempt("k", "h", 10, time.Second)
+	table.clearAttempt("k", "h", 10)
+	require.Nil(t, table.earlierAttempt("k", 20), "a rejected request has not run")
+	table.recordAttempt("k", "h", 30, time.Second)
+	table.recordAttempt("k", "other", 40, time.Second)
+	require.Equal(t, &admission.PriorAttempt{Server: "h", Zone: "a", Cell: 3, SentAt: 30}, table.earlierAttempt("k", 50), "the first attempt counts")
+	table.closeStream("k", 2)
+	require.True(t, table.hasOpenStream("k"), "another stream has ended")
+	table.closeStream("k", 1)
+	require.False(t, table.hasOpenStream("k"))
+	require.NotNil(t, table.earlierAttempt("k", time.Second))
+	table.removeExpired(30 + time.Second)
+	require.Empty(t, table.entries)
+	require.Empty(t, table.expirations)
+	table.openStream("k", 3)
+	table.closeStream("k", 3)
+	require.Empty(t, table.entries, "a key that was never sent is forgotten at once")
 }
 
-// What must hold for all of a turn comes before requests that wait from the last one.
-func TestAnEventGoesFirst(t *testing.T) {
-	c, s, w, _ := setUp(func(admission.Event) []admission.Action { return nil })
-	c.StartStream(10*ms, w.request(100*ms))
+// An event that restricts the module must be handled before requests that are left over from the last turn.
+func TestEnqueueFirst(t *testing.T) {
+	c, module, env, _ := newTestCore(func(admission.Event) []admission.Action { return nil })
+	c.StartStream(10*ms, env.request(100*ms))
 	c.Enqueue(admission.TimerFired{})
 	c.EnqueueFirst(admission.FleetChanged{IsUncertain: true})
 	c.Turn(10 * ms)
-	require.Len(t, s.seen, 3)
-	require.Equal(t, admission.FleetChanged{IsUncertain: true}, s.seen[0])
-	require.IsType(t, admission.RequestArrived{}, s.seen[1])
+	require.Len(t, module.events, 3)
+	require.Equal(t, admission.FleetChanged{IsUncertain: true}, module.events[0])
+	require.IsType(t, admission.RequestArrived{}, module.events[1])
 }
--- a/internal/core/debug_log.go
+++ b/internal/core/debug_log.go
@@ -18,7 +18,7 @@
 func (c *Core) logRequestStarted(s *stream, timeout time.Duration) {
 	if c.isDebugEnabled {
 		c.log.Debug("request taken", "stream", s.id, "request", s.requestID, "order", s.idempotencyKey, "class", s.class, "customer", s.customer,
-			"left", timeout, "open", s.isIncomplete)
+			"left", timeout, "open", s.isPartial)
 	}
 }
 
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -6,9 +6,9 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// maxIncompleteDuration bounds the life of a stream whose request never arrives fully. The reader of the request gives
+// maxPartialDuration bounds the life of a stream whose request never arrives fully. The reader of the request gives
 // up long before.
-const maxIncompleteDuration = time.Hour
+const maxPartialDuration = time.Hour
 
 // stream is a client's request that is owed one answer. It is tracked until it is closed and none of its attempts is
 // pending.
@@ -23,8 +23,8 @@
 	isRetry                   bool
 	repeatWindow              time.Duration // the class's, when the stream started
 	trace                     Trace
-	timeout                   time.Duration // of an incomplete request, from the time when it is complete
-	isIncomplete              bool          // a part of the request is still to arrive
+	timeout                   time.Duration // of a partial request, from the time when it is complete
+	isPartial                 bool          // a part of the request is still to arrive
 	isClosed                  bool
 	isLeaveUnreported         bool // the client has left and the module has not been told
 	isReleased                bool // the request id and the idempotency key are free again
@@ -70,9 +70,9 @@
 		trace: r.Trace}
 	c.streams[s.id] = s
 	c.openStreams++
-	if r.IsIncomplete {
-		s.isIncomplete, s.timeout, s.deadline = true, ev.ExpiresIn, c.now+maxIncompleteDuration
-		c.incompleteStreams++
+	if r.IsPartial {
+		s.isPartial, s.timeout, s.deadline = true, ev.ExpiresIn, c.now+maxPartialDuration
+		c.partialStreams++
 	} else {
 		c.setDeadlineTimers(s)
 	}
@@ -98,16 +98,16 @@
 	c.timers.Push(s.deadline+c.deadlineMargin/2, timer{kind: overdueTimer, ref: Ref{Stream: s.id}})
 }
 
-// RequestCompleted reports that the rest of an incomplete request has arrived. Its time, and that of its attempts, runs
+// RequestCompleted reports that the rest of a partial request has arrived. Its time, and that of its attempts, runs
 // from now.
 func (c *Core) RequestCompleted(now time.Duration, id uint64) {
 	c.AdvanceClock(now)
 	s := c.streams[id]
-	if s == nil || !s.isIncomplete || s.isClosed {
+	if s == nil || !s.isPartial || s.isClosed {
 		return
 	}
-	s.isIncomplete, s.deadline = false, c.now+s.timeout
-	c.incompleteStreams--
+	s.isPartial, s.deadline = false, c.now+s.timeout
+	c.partialStreams--
 	c.setDeadlineTimers(s)
 	for i := range s.attempts {
 		a := &s.attempts[i]
@@ -162,8 +162,8 @@
 	c.logRequestEnded(s, e.Kind)
 	c.endReason = ""
 	c.openStreams--
-	if s.isIncomplete {
-		c.incompleteStreams--
+	if s.isPartial {
+		c.partialStreams--
 	}
 	e.HasAttempts = len(s.attempts) > 0
 	if class := s.class; e.Answer.Rest != nil {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -23,8 +23,8 @@
 // may be consumed by sending it has a method Gone() bool, which reports whether that has happened.
 type Payload any
 
-// isPayloadGone reports whether p can't be sent again.
-func isPayloadGone(p Payload) bool {
+// isPayloadConsumed reports whether p can't be sent again.
+func isPayloadConsumed(p Payload) bool {
 	consumable, ok := p.(interface{ Gone() bool })
 	return ok && consumable.Gone()
 }
@@ -119,7 +119,7 @@
 	Trace                    Trace
 	Payload                  Payload
 	Owner                    Owner
-	IsIncomplete             bool // a part is still to arrive; its time starts with [Core.RequestCompleted]
+	IsPartial                bool // a part is still to arrive; its time starts with [Core.RequestCompleted]
 }
 
 // StreamRecord describes an ended stream to the observer.
