--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -10,7 +10,8 @@
 type attempt struct {
 	AttemptRecord
 	isPending bool // started and not ended
-	// timeout of an attempt that was sent before its request was complete. It runs from that time; 0: until the deadline.
+	// timeout limits an attempt that was started before its request was complete, from the time when it is complete.
+	// 0: until the deadline.
 	timeout time.Duration
 }
 
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -33,14 +33,14 @@
 
 // KeyState is what is remembered of an idempotency key.
 type KeyState struct {
-	Key, Host, Zone      string // the host that may have run a request with the key, and its zone
+	Key, Host, Zone      string // Host may have run a request with the key, if ExpiresAt is not 0
 	Cell                 int
 	StartedAt, ExpiresAt time.Duration // the repeat window; 0 if no request with the key may have run
 	StreamID             uint64        // the open stream with the key, 0 if there is none
 }
 
-// StartHandover returns a snapshot and informs the observer of all that becomes of the streams from then on. Counter
-// calls that the module orders are parked until CommitHandover leaves them to the successor or CancelHandover makes them.
+// StartHandover returns a snapshot and reports the further progress of the streams to the observer. Counter calls that
+// the module orders are parked until CommitHandover leaves them to the successor or CancelHandover makes them.
 func (c *Core) StartHandover(observer HandoverObserver) Snapshot {
 	c.handoverObserver, c.parksCounterCalls = observer, true
 	snapshot := Snapshot{LastID: c.lastID}
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -117,8 +117,8 @@
 	return 0
 }
 
-// updateStart restarts the window of the attempt that was recorded at the time startedAt. A partial request
-// can't run before all of it has arrived.
+// updateStart restarts the window of the attempt that was recorded at the time startedAt. A partial request can't run
+// before all of it has arrived.
 func (t *keyTable) updateStart(key, host string, startedAt, now, window time.Duration) {
 	if entry := t.entries[key]; entry != nil && entry.mayHaveRun && entry.host == host && entry.startedAt == startedAt {
 		entry.startedAt, entry.expiresAt = now, now+window
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -23,7 +23,7 @@
 // may be consumed by sending it has a method Gone() bool, which reports whether that has happened.
 type Payload any
 
-// isPayloadConsumed reports whether p can't be sent again.
+// isPayloadConsumed reports whether a part of p has been consumed, so that p can't be sent again.
 func isPayloadConsumed(p Payload) bool {
 	consumable, ok := p.(interface{ Gone() bool })
 	return ok && consumable.Gone()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -77,7 +77,7 @@
 // another that is open, nor its idempotency key.
 func Open(s Streams, c *downstream.Conn, a admission.RequestArrived, r *http1.Request, o core.Owner) bool {
 	req := core.Request{RequestArrived: a, RequestID: r.Headers.Get("Request-Id"), IdempotencyKey: r.Headers.Get("Idempotency-Key"),
-		Owner: o, IsIncomplete: r.IsStreamed}
+		Owner: o, IsPartial: r.IsStreamed}
 	req.RequestArrived.IsPartial = r.IsStreamed
 	if !r.IsStreamed { // else its time has not begun
 		req.ExpiresIn = max(0, a.ExpiresIn-c.RequestAge())
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,6 +1,6 @@
 // Package limits computes the sizes, counts and durations that bound the daemon.
-// [For] derives them once at start from what the configuration says of the machine and the fleet;
-// afterwards they are passed by value and never change by themselves.
+// [For] derives them at start from what the configuration says of the machine and the fleet, and they are then passed by
+// value. The package does no input or output.
 package limits
 
 import (
@@ -31,18 +31,20 @@
 
 	// DownstreamIdleTimeout closes a client connection that is silent this long between requests.
 	DownstreamIdleTimeout time.Duration
-	// FirstRequestTimeout closes a client connection on which no request has begun this long after it opened.
+	// FirstRequestTimeout closes a client connection without a request in progress that has not been served this long
+	// after it opened.
 	FirstRequestTimeout time.Duration
 	// HeaderTimeout bounds the time from a request's first byte to the end of its headers.
 	HeaderTimeout time.Duration
-	// MinBodyRate is the rate of a request body, in bytes per second, below which the request is given up. See
+	// MinBodyRate is the rate of a request body, in bytes per second, below which the request is aborted. See
 	// RequestTimeout.
 	MinBodyRate int
-	// RelayStallTimeout gives up a relayed body when its peer sends or accepts nothing for this long.
+	// RelayStallTimeout aborts a relayed body when its peer sends or accepts nothing for this long.
 	RelayStallTimeout time.Duration
 	// RelayStartDelay is how long a response of unknown length is buffered, as it may be short, before it is relayed.
 	RelayStartDelay time.Duration
 	// EvictionGrace is how long a client connection must be silent before it may be closed to make room for another.
+	// Accepting pauses for as long if none may be closed.
 	EvictionGrace time.Duration
 	// LingerTimeout is how long bytes of a closed connection are still read and discarded.
 	LingerTimeout time.Duration
@@ -68,7 +70,7 @@
 
 	// CounterConns is the number of connections to the counter.
 	CounterConns int
-	// MaxPendingCounterCalls bounds the unanswered calls on one counter connection.
+	// MaxPendingCounterCalls bounds the calls on one counter connection that wait for their responses.
 	MaxPendingCounterCalls int
 	// CounterCallTimeout bounds one counter call.
 	CounterCallTimeout time.Duration
@@ -77,9 +79,9 @@
 	// CounterSilenceTimeout closes a counter connection that has pending calls and receives nothing for this long.
 	CounterSilenceTimeout time.Duration
 	// CounterStuckTimeout closes a counter connection that has pending calls and receives nothing for this long while
-	// another one receives answers.
+	// another one receives responses.
 	CounterStuckTimeout time.Duration
-	// CounterMoveTimeout is how long calls sent to the counter's old address may still be answered after it has moved.
+	// CounterMoveTimeout is how long calls that are pending at the counter's old address may still complete after it moved.
 	CounterMoveTimeout time.Duration
 	// InitialBackoff is the delay before a new connection after one failure. It doubles with each further failure.
 	InitialBackoff time.Duration
@@ -140,11 +142,11 @@
 
 	// MemberProbeInterval is the time between probes. One probe is outstanding at a time.
 	MemberProbeInterval time.Duration
-	// MemberAckTimeout is how long a probe waits for its answer before other members are asked to probe.
+	// MemberAckTimeout is how long a probe waits for its acknowledgement before other members are asked to probe.
 	MemberAckTimeout time.Duration
 	// MemberSuspicionTimeout declares a suspect dead that is not heard for this long.
 	MemberSuspicionTimeout time.Duration
-	// MemberIndirectProbes is the number of members asked to probe an ingress that did not answer.
+	// MemberIndirectProbes is the number of other members asked to probe an ingress that did not acknowledge a probe.
 	MemberIndirectProbes int
 	// MemberUpdatesPerMessage bounds the membership updates carried by one message.
 	MemberUpdatesPerMessage int
