--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -71,8 +71,8 @@
 	if s.idempotencyKey != "" && neverRan(outcome) {
 		c.idempotencyKeys.clearAttempt(s.idempotencyKey, a.Host, a.Began)
 	}
-	ev := admission.AttemptEnded{ID: s.id, Attempt: ref.Attempt, Server: a.Host, Outcome: outcome, Took: a.Took, Done: s.isClosed,
-		Billed: answer.Billed, NotReplayable: isPayloadConsumed(s.payload)}
+	ev := admission.AttemptEnded{ID: s.id, Attempt: ref.Attempt, Server: a.Host, Outcome: outcome, Took: a.Took,
+		Done: s.isClosed, Billed: answer.Billed, NotReplayable: isPayloadConsumed(s.payload)}
 	c.events = append(c.events, ev)
 	if c.handoverObserver != nil {
 		c.handoverObserver.AttemptEnded(ev, c.now)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -79,7 +79,8 @@
 	return &Core{decider: config.Decider, upstreams: config.Upstreams, counter: config.Counter, cluster: config.Cluster,
 		observer: config.Observer, metrics: config.Metrics, log: config.Log, deadlineMargin: config.DeadlineMargin,
 		streams: map[uint64]*stream{}, requestIDs: map[string]struct{}{}, probes: map[uint64]probe{},
-		idempotencyKeys:    keyTable{repeatWindows: config.RepeatWindows, entries: map[string]*keyEntry{}, hostLocations: map[string]location{}},
+		idempotencyKeys: keyTable{repeatWindows: config.RepeatWindows, entries: map[string]*keyEntry{},
+			hostLocations: map[string]location{}},
 		predecessorStreams: map[uint64]StreamState{}, isDebugEnabled: DebugEnabled(config.Log)}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -35,7 +35,8 @@
 }
 
 func (env *fakeEnvironment) Start(_ Ref, host string, p Payload, timeout time.Duration) {
-	env.calls, env.timeouts, env.payloads = append(env.calls, "start "+host), append(env.timeouts, timeout), append(env.payloads, p)
+	env.calls, env.timeouts, env.payloads = append(env.calls, "start "+host), append(env.timeouts, timeout),
+		append(env.payloads, p)
 }
 func (env *fakeEnvironment) Withdraw(Ref) bool                { return env.isUnwritten }
 func (env *fakeEnvironment) Probe(Ref, string, time.Duration) { env.calls = append(env.calls, "probe") }
@@ -53,7 +54,8 @@
 const testMargin = 8 * ms
 
 // newTestCore returns a core with its fakes. The log of the core is written to the buffer.
-func newTestCore(respond func(admission.Event) []admission.Action) (*Core, *scriptedModule, *fakeEnvironment, *bytes.Buffer) {
+func newTestCore(respond func(admission.Event) []admission.Action) (*Core, *scriptedModule, *fakeEnvironment,
+	*bytes.Buffer) {
 	module, env, log := &scriptedModule{respond: respond}, &fakeEnvironment{}, &bytes.Buffer{}
 	return New(Config{Decider: module, Upstreams: env, Counter: env, Cluster: env, Log: slog.New(slog.NewTextHandler(log, nil)),
 		DeadlineMargin: testMargin}), module, env, log
@@ -270,7 +272,8 @@
 // An idempotency key is remembered to the end of its window and no longer. It is forgotten at once if no request with it
 // can have run.
 func TestIdempotencyKeysAreRememberedForTheirWindow(t *testing.T) {
-	table := keyTable{repeatWindows: []time.Duration{time.Second}, entries: map[string]*keyEntry{}, hostLocations: map[string]location{"h": {"a", 3}}}
+	table := keyTable{repeatWindows: []time.Duration{time.Second}, entries: map[string]*keyEntry{},
+		hostLocations: map[string]location{"h": {"a", 3}}}
 	table.openStream("k", 1)
 	require.True(t, table.hasOpenStream("k"))
 	require.Nil(t, table.earlierAttempt("k", 0))
@@ -279,7 +282,8 @@
 	require.Nil(t, table.earlierAttempt("k", 20), "a rejected request has not run")
 	table.recordAttempt("k", "h", 30, time.Second)
 	table.recordAttempt("k", "other", 40, time.Second)
-	require.Equal(t, &admission.PriorAttempt{Server: "h", Zone: "a", Cell: 3, SentAt: 30}, table.earlierAttempt("k", 50), "the first attempt counts")
+	require.Equal(t, &admission.PriorAttempt{Server: "h", Zone: "a", Cell: 3, SentAt: 30},
+		table.earlierAttempt("k", 50), "the first attempt counts")
 	table.closeStream("k", 2)
 	require.True(t, table.hasOpenStream("k"), "another stream has ended")
 	table.closeStream("k", 1)
--- a/internal/core/debug_log.go
+++ b/internal/core/debug_log.go
@@ -17,8 +17,8 @@
 
 func (c *Core) logRequestStarted(s *stream, timeout time.Duration) {
 	if c.isDebugEnabled {
-		c.log.Debug("request taken", "stream", s.id, "request", s.requestID, "order", s.idempotencyKey, "class", s.class, "customer", s.customer,
-			"left", timeout, "open", s.isPartial)
+		c.log.Debug("request taken", "stream", s.id, "request", s.requestID, "order", s.idempotencyKey,
+			"class", s.class, "customer", s.customer, "left", timeout, "open", s.isPartial)
 	}
 }
 
@@ -36,8 +36,8 @@
 
 func (c *Core) logAttemptEnded(s *stream, ref Ref, host string, outcome admission.Outcome, took time.Duration) {
 	if c.isDebugEnabled {
-		c.log.Debug("attempt ended", "stream", s.id, "request", s.requestID, "attempt", ref.Attempt, "host", host, "outcome", outcome.String(),
-			"took", took)
+		c.log.Debug("attempt ended", "stream", s.id, "request", s.requestID, "attempt", ref.Attempt, "host", host,
+			"outcome", outcome.String(), "took", took)
 	}
 }
 
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -52,7 +52,8 @@
 		if entry.mayHaveRun || entry.streamID != 0 {
 			state := KeyState{Key: key, StreamID: entry.streamID}
 			if entry.mayHaveRun {
-				state.Host, state.Zone, state.Cell, state.StartedAt, state.ExpiresAt = entry.host, entry.location.zone, entry.location.cell, entry.startedAt, entry.expiresAt
+				state.Host, state.Zone, state.Cell, state.StartedAt, state.ExpiresAt = entry.host, entry.location.zone,
+					entry.location.cell, entry.startedAt, entry.expiresAt
 			}
 			snapshot.Keys = append(snapshot.Keys, state)
 		}
@@ -91,8 +92,8 @@
 		}
 	}
 	for _, k := range snapshot.Keys {
-		c.idempotencyKeys.entries[k.Key] = &keyEntry{streamID: k.StreamID, mayHaveRun: k.ExpiresAt > 0, host: k.Host, location: location{k.Zone, k.Cell}, startedAt: k.StartedAt,
-			expiresAt: k.ExpiresAt}
+		c.idempotencyKeys.entries[k.Key] = &keyEntry{streamID: k.StreamID, mayHaveRun: k.ExpiresAt > 0,
+			host: k.Host, location: location{k.Zone, k.Cell}, startedAt: k.StartedAt, expiresAt: k.ExpiresAt}
 		if k.StreamID == 0 {
 			c.idempotencyKeys.expirations = append(c.idempotencyKeys.expirations, keyExpiry{k.Key, k.ExpiresAt})
 		}
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -83,7 +83,8 @@
 // earlierAttempt returns where a request with the key may have run, or nil if none has within the repeat window.
 func (t *keyTable) earlierAttempt(key string, now time.Duration) *admission.PriorAttempt {
 	if entry := t.entries[key]; entry != nil && entry.mayHaveRun && now < entry.expiresAt {
-		return &admission.PriorAttempt{Server: entry.host, Zone: entry.location.zone, Cell: entry.location.cell, SentAt: entry.startedAt}
+		return &admission.PriorAttempt{Server: entry.host, Zone: entry.location.zone, Cell: entry.location.cell,
+			SentAt: entry.startedAt}
 	}
 	return nil
 }
@@ -113,7 +114,8 @@
 	case entry.mayHaveRun && now < entry.expiresAt:
 		return entry.expiresAt
 	}
-	entry.mayHaveRun, entry.host, entry.location, entry.startedAt, entry.expiresAt = true, host, t.hostLocations[host], now, now+window
+	entry.mayHaveRun, entry.host, entry.location, entry.startedAt, entry.expiresAt =
+		true, host, t.hostLocations[host], now, now+window
 	return 0
 }
 
--- a/internal/core/methods_test.go
+++ b/internal/core/methods_test.go
@@ -41,7 +41,8 @@
 
 func newSendingCore() (*core.Core, *sendingModule, *silentUpstreams) {
 	module, upstreams := &sendingModule{}, &silentUpstreams{}
-	return core.New(core.Config{Decider: module, Upstreams: upstreams, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}), module, upstreams
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	return core.New(core.Config{Decider: module, Upstreams: upstreams, Log: log}), module, upstreams
 }
 
 // The answer of a stream whose client has left is discarded: its sender must learn that nobody reads the rest.
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -65,9 +65,9 @@
 		ev.PriorAttempt = c.idempotencyKeys.earlierAttempt(r.IdempotencyKey, c.now)
 		c.idempotencyKeys.openStream(r.IdempotencyKey, ev.ID)
 	}
-	s := &stream{id: ev.ID, requestID: r.RequestID, idempotencyKey: r.IdempotencyKey, payload: r.Payload, owner: r.Owner, startedAt: c.now, deadline: c.now + ev.ExpiresIn,
-		class: ev.Class, plan: ev.Plan, customer: ev.Customer, isRetry: ev.IsRetry, repeatWindow: window,
-		trace: r.Trace}
+	s := &stream{id: ev.ID, requestID: r.RequestID, idempotencyKey: r.IdempotencyKey, payload: r.Payload,
+		owner: r.Owner, startedAt: c.now, deadline: c.now + ev.ExpiresIn, class: ev.Class, plan: ev.Plan,
+		customer: ev.Customer, isRetry: ev.IsRetry, repeatWindow: window, trace: r.Trace}
 	c.streams[s.id] = s
 	c.openStreams++
 	if r.IsPartial {
@@ -177,7 +177,8 @@
 		owner.End(e)
 	}
 	if c.observer != nil {
-		record := StreamRecord{Class: s.class, Plan: s.plan, Customer: s.customer, IsRetry: s.isRetry, Trace: s.trace, Kind: e.Kind, Began: s.startedAt, Took: c.now - s.startedAt}
+		record := StreamRecord{Class: s.class, Plan: s.plan, Customer: s.customer, IsRetry: s.isRetry,
+			Trace: s.trace, Kind: e.Kind, Began: s.startedAt, Took: c.now - s.startedAt}
 		for _, a := range s.attempts {
 			record.Attempts = append(record.Attempts, a.AttemptRecord)
 		}
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -37,8 +37,8 @@
 app_peer_messages_sent 30
 app_peer_messages_received 20
 app_peer_messages_dropped 10
-`, string(AppendMembership(nil, Membership{ViewVersion: 7, States: []StateCount{{"alive", 4}, {"dead", 1}}, AbsentMembers: 2, IsSettled: true, MessagesSent: 30,
-		MessagesReceived: 20, MessagesDropped: 10})))
+`, string(AppendMembership(nil, Membership{ViewVersion: 7, States: []StateCount{{"alive", 4}, {"dead", 1}}, AbsentMembers: 2,
+		IsSettled: true, MessagesSent: 30, MessagesReceived: 20, MessagesDropped: 10})))
 }
 
 func TestAppendRules(t *testing.T) {
@@ -51,8 +51,8 @@
 app_settings_stale_members 3
 app_settings_versions_rejected 4
 app_settings_cut_off 1
-`, string(AppendSettingsVersions(nil, SettingsVersions{NewestVersion: 9, OldestVersion: 7, ActiveVersions: 2, StaleMembers: 3, RejectedVersions: 4, IsCutOff: true,
-		DrainedVersion: 5, DrainedStaleMembers: 2})))
+`, string(AppendSettingsVersions(nil, SettingsVersions{NewestVersion: 9, OldestVersion: 7, ActiveVersions: 2, StaleMembers: 3,
+		RejectedVersions: 4, IsCutOff: true, DrainedVersion: 5, DrainedStaleMembers: 2})))
 }
 
 func TestAppendControl(t *testing.T) {
@@ -63,5 +63,6 @@
 app_control_connections 3
 app_control_bytes_sent 400
 app_control_bytes_received 500
-`, string(AppendControlGroup(nil, ControlGroup{IsConnected: true, HoldsSettingsLease: true, Term: 6, Connections: 3, BytesSent: 400, BytesReceived: 500})))
+`, string(AppendControlGroup(nil, ControlGroup{IsConnected: true, HoldsSettingsLease: true, Term: 6, Connections: 3,
+		BytesSent: 400, BytesReceived: 500})))
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -250,53 +250,87 @@
 // client and upstream connections.
 func For(site Site) (Limits, error) {
 	l := Limits{
-		Sockets: site.Sockets, MemoryMB: site.MemoryMB,
-		MaxHeaderBytes: 16 << 10, MaxBodyBytes: 32 << 20, MaxBufferedBodyBytes: 64 << 10,
-		DownstreamIdleTimeout: 30 * time.Second, FirstRequestTimeout: 2 * time.Second, HeaderTimeout: 3 * time.Second,
-		MinBodyRate: 48 << 10, RelayStallTimeout: 20 * time.Second, RelayStartDelay: 100 * time.Millisecond,
-		EvictionGrace: 25 * time.Millisecond, LingerTimeout: time.Second, MaxLingerBytes: 1 << 20,
-		MaxAcceptsPerTurn: 64, MaxPipelinedPerTurn: 16,
-		MaxManagementConns: 16, MaxManagementLineBytes: 256, ManagementConnTimeout: 6 * time.Second,
+		Sockets:                site.Sockets,
+		MemoryMB:               site.MemoryMB,
+		MaxHeaderBytes:         16 << 10,
+		MaxBodyBytes:           32 << 20,
+		MaxBufferedBodyBytes:   64 << 10,
+		DownstreamIdleTimeout:  30 * time.Second,
+		FirstRequestTimeout:    2 * time.Second,
+		HeaderTimeout:          3 * time.Second,
+		MinBodyRate:            48 << 10,
+		RelayStallTimeout:      20 * time.Second,
+		RelayStartDelay:        100 * time.Millisecond,
+		EvictionGrace:          25 * time.Millisecond,
+		LingerTimeout:          time.Second,
+		MaxLingerBytes:         1 << 20,
+		MaxAcceptsPerTurn:      64,
+		MaxPipelinedPerTurn:    16,
+		MaxManagementConns:     16,
+		MaxManagementLineBytes: 256,
+		ManagementConnTimeout:  6 * time.Second,
 		// Connections are closed here well before the host closes them.
 		UpstreamIdleTimeout: site.HostIdleTimeout * 8 / 10,
 		UpstreamReuseDelay:  10 * time.Millisecond,
 		DialTimeout:         site.DialTimeout,
 
 		CounterConns:           min(maxCounterConns, max(minCounterConns, fleetCounterConns/max(1, site.Ingresses))),
-		MaxPendingCounterCalls: 48, CounterCallTimeout: site.CounterCallTimeout,
-		CounterIdleTimeout: 4 * time.Second, CounterSilenceTimeout: 2 * time.Second, CounterStuckTimeout: 4 * site.CounterCallTimeout,
-		CounterMoveTimeout: 1500 * time.Millisecond,
-		InitialBackoff:     20 * time.Millisecond, MaxBackoff: 500 * time.Millisecond,
-
-		MaxClusterMessageBytes: 1 << 20, ClusterDialTimeout: time.Second,
-		ClusterResponseTimeout: 5 * time.Second, ClusterSilenceTimeout: 5 * time.Second,
-		DiscoveryReadyTimeout: 400 * time.Millisecond,
-		ClusterMaxWatchGap:    maxWatchGap,
-		ClusterJitter:         jitterPerIngress * time.Duration(max(0, site.Ingresses-1)),
+		MaxPendingCounterCalls: 48,
+		CounterCallTimeout:     site.CounterCallTimeout,
+		CounterIdleTimeout:     4 * time.Second,
+		CounterSilenceTimeout:  2 * time.Second,
+		CounterStuckTimeout:    4 * site.CounterCallTimeout,
+		CounterMoveTimeout:     1500 * time.Millisecond,
+		InitialBackoff:         20 * time.Millisecond,
+		MaxBackoff:             500 * time.Millisecond,
+
+		MaxClusterMessageBytes: 1 << 20,
+		ClusterDialTimeout:     time.Second,
+		ClusterResponseTimeout: 5 * time.Second,
+		ClusterSilenceTimeout:  5 * time.Second,
+		DiscoveryReadyTimeout:  400 * time.Millisecond,
+		ClusterMaxWatchGap:     maxWatchGap,
+		ClusterJitter:          jitterPerIngress * time.Duration(max(0, site.Ingresses-1)),
 
 		DeadlineMargin:    8 * time.Millisecond,
 		DrainAcceptPeriod: 700 * time.Millisecond,
 		DrainTimeout:      site.LongestDeadline + 600*time.Millisecond, // the platform kills 100 ms later at the earliest
 		DrainFlushPeriod:  50 * time.Millisecond,
 
-		HelloTimeout: 2 * time.Second, PrepareTimeout: 4 * time.Second, CopyTimeout: 20 * time.Second, FreezeTimeout: time.Second,
-		ProbationPeriod: 2 * time.Second, MaxHandoverMessageBytes: 16 << 20, MaxHandoverQueueBytes: 256 << 10, UpgradeCounterConns: 8,
-
-		TelemetryQueueLength: 2048, TelemetryInterval: 5 * time.Second,
-
-		MemberProbeInterval: 300 * time.Millisecond, MemberAckTimeout: 100 * time.Millisecond, MemberSuspicionTimeout: 1000 * time.Millisecond,
-
-		ControlReadyTimeout: 5 * time.Second, ControlDialTimeout: 300 * time.Millisecond,
-		// ControlSilenceTimeout leaves half a second of a settings lease of 1.5 s to reach the next replica, and is longer
+		HelloTimeout:            2 * time.Second,
+		PrepareTimeout:          4 * time.Second,
+		CopyTimeout:             20 * time.Second,
+		FreezeTimeout:           time.Second,
+		ProbationPeriod:         2 * time.Second,
+		MaxHandoverMessageBytes: 16 << 20,
+		MaxHandoverQueueBytes:   256 << 10,
+		UpgradeCounterConns:     8,
+
+		TelemetryQueueLength: 2048,
+		TelemetryInterval:    5 * time.Second,
+
+		MemberProbeInterval:    300 * time.Millisecond,
+		MemberAckTimeout:       100 * time.Millisecond,
+		MemberSuspicionTimeout: 1000 * time.Millisecond,
+
+		ControlReadyTimeout:        5 * time.Second,
+		ControlDialTimeout:         300 * time.Millisecond,
+		ControlFirstMessageTimeout: 500 * time.Millisecond,
+		// Leaves half a second of a settings lease of 1.5 s to reach the next replica, and is longer
 		// than an election, during which no replica has anything to send.
-		ControlFirstMessageTimeout: 500 * time.Millisecond, ControlSilenceTimeout: time.Second,
-		ControlProposalTimeout: 5 * time.Second, ControlReleaseTimeout: 100 * time.Millisecond, MaxControlQueueBytes: 256 << 10,
-
-		MemberIndirectProbes: 2, MemberUpdatesPerMessage: 6, MaxDatagramsPerTurn: 64, MaxDatagramsPerSecond: 400,
+		ControlSilenceTimeout:  time.Second,
+		ControlProposalTimeout: 5 * time.Second,
+		ControlReleaseTimeout:  100 * time.Millisecond,
+		MaxControlQueueBytes:   256 << 10,
+
+		MemberIndirectProbes:    2,
+		MemberUpdatesPerMessage: 6,
+		MaxDatagramsPerTurn:     64,
+		MaxDatagramsPerSecond:   400,
 	}
 	// Clients may connect before a process that replaces a dead one is up, and the process counts as informed of what
 	// discovery would have told it at once. Were its first watch later than the drain grace, it would send requests to
-	// hosts that have been draining for longer.
+	// hosts that finished draining long ago.
 	if site.DrainGrace > 0 {
 		l.ClusterJitter = min(l.ClusterJitter, site.DrainGrace/2)
 	}
@@ -325,8 +359,9 @@
 	if free < 32 {
 		return Limits{}, fmt.Errorf("limits.sockets is %d, need at least %d", l.Sockets, reservedDescriptors+l.CounterConns+32)
 	}
-	// The platform lets all clients together hold at most a third of the descriptors, permanently idle
-	// connections included. If they reached that third before the bound set here, nobody could connect and the ingress would close nothing.
+	// The platform lets all clients together hold at most a third of the descriptors, permanently idle connections
+	// included. If they reached that third before the bound set here, nobody could connect and the ingress would close
+	// nothing.
 	l.MaxDownstreamConns = min(free/2, l.Sockets*downstreamPercent/100)
 	l.MaxUpstreamConns = free - l.MaxDownstreamConns
 	l.MaxRelayBufferBytes = l.MemoryMB << 20 / relayMemoryDivisor
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -16,6 +16,7 @@
 		require.NoError(t, err)
 		require.Less(t, l.MaxDownstreamConns, sockets*3/10)
 		require.GreaterOrEqual(t, l.MaxDownstreamConns, 64)
-		require.LessOrEqual(t, l.MaxDownstreamConns+l.MaxUpstreamConns+2*l.CounterConns, sockets-reservedDescriptors/2, "old and new counter connections are open while the counter moves")
+		require.LessOrEqual(t, l.MaxDownstreamConns+l.MaxUpstreamConns+2*l.CounterConns, sockets-reservedDescriptors/2,
+			"old and new counter connections are open while the counter moves")
 	}
 }
