--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -31,19 +31,19 @@
 	log            *slog.Logger
 	deadlineMargin time.Duration
 
-	now              time.Duration
-	lastID           uint64 // last id given to a stream or probe
-	streams          map[uint64]*stream
-	requestIDs       map[string]struct{} // of the tracked streams and the predecessor's
-	probes           map[uint64]probe
-	openStreams      int // streams that have not ended
-	partialStreams   int // open streams whose request has not fully arrived
-	timers           timerq.Queue[timer]
-	events           []admission.Event // for the module's next turn
-	spareEvents      []admission.Event // the previous turn's slice, reused
-	actions          []admission.Action
-	unreportedLeaves []*stream // see stream.isLeaveUnreported
-	idempotencyKeys  keyTable
+	now                   time.Duration
+	lastID                uint64 // last id given to a stream or probe
+	streams               map[uint64]*stream
+	requestIDs            map[string]struct{} // of the tracked streams and the predecessor's
+	probes                map[uint64]probe
+	openStreams           int // streams that have not ended
+	partialStreams        int // open streams whose request has not fully arrived
+	timers                timerq.Queue[timer]
+	events                []admission.Event // for the module's next turn
+	spareEvents           []admission.Event // the previous turn's slice, reused
+	actions               []admission.Action
+	unreportedDisconnects []*stream // see stream.isDisconnectUnreported
+	idempotencyKeys       keyTable
 
 	isDebugEnabled     bool
 	endReason          admission.Reason // of the end that the module has just ordered, for the debug log
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -21,12 +21,12 @@
 	class, plan               int
 	customer                  uint64
 	isRetry                   bool
-	repeatWindow              time.Duration // the class's, when the stream started
+	repeatWindow              time.Duration // how long a repeat of its key is recognised, by the settings at its start
 	trace                     Trace
 	timeout                   time.Duration // of a partial request, from the time when it is complete
 	isPartial                 bool          // a part of the request is still to arrive
 	isClosed                  bool
-	isLeaveUnreported         bool // the client has left and the module has not been told
+	isDisconnectUnreported    bool // the client has left and the module has not been told
 	isReleased                bool // the request id and the idempotency key are free again
 	hasTimedOut               bool // the last upstream request to end timed out
 	attempts                  []attempt
@@ -147,8 +147,8 @@
 // abandonStream ends a stream whose answer nobody waits for any more. Upstream requests that still wait for their
 // connection are withdrawn, whatever the module does with those that are written.
 func (c *Core) abandonStream(s *stream, kind EndKind) {
-	s.isLeaveUnreported = true
-	c.unreportedLeaves = append(c.unreportedLeaves, s)
+	s.isDisconnectUnreported = true
+	c.unreportedDisconnects = append(c.unreportedDisconnects, s)
 	c.closeStream(s, End{Kind: kind})
 	c.events = append(c.events, admission.ClientLeft{ID: s.id})
 	for i := range s.attempts {
@@ -187,23 +187,23 @@
 	c.removeIfFinished(s)
 }
 
-// removeIfFinished stops tracking a stream that is closed and has no pending attempts. One whose client's leaving is
-// unreported stays until removeReportedLeaves.
+// removeIfFinished stops tracking a stream that is closed and has no pending attempts. One whose disconnect is
+// unreported stays until removeReportedDisconnects.
 func (c *Core) removeIfFinished(s *stream) {
 	if !s.isClosed || s.pendingAttempts > 0 {
 		return
 	}
 	c.releaseKeys(s)
-	if !s.isLeaveUnreported {
+	if !s.isDisconnectUnreported {
 		delete(c.streams, s.id)
 	}
 }
 
-// removeReportedLeaves removes finished streams after a turn that told the module that their clients have left. Earlier
+// removeReportedDisconnects removes finished streams after a turn that told the module that their clients have left. Earlier
 // in that turn the module may still send such a request because of a previous event, and each send must be answered.
-func (c *Core) removeReportedLeaves(streams []*stream) {
+func (c *Core) removeReportedDisconnects(streams []*stream) {
 	for _, s := range streams {
-		s.isLeaveUnreported = false
+		s.isDisconnectUnreported = false
 		c.removeIfFinished(s)
 	}
 }
--- a/internal/core/turn.go
+++ b/internal/core/turn.go
@@ -21,7 +21,7 @@
 	repeatWindowTimer                  // a repeat of an idempotency key that is not fully written is withdrawn
 )
 
-// timer is what happens when a time in Core.timers is reached.
+// timer says what a due time in Core.timers is for.
 type timer struct {
 	kind  timerKind
 	ref   Ref    // of all kinds but moduleTimer; without an attempt for a stream's or probe's timer
@@ -45,15 +45,15 @@
 	}
 	events := c.events
 	c.events, c.spareEvents = c.spareEvents[:0], events
-	leaves := c.unreportedLeaves
-	c.unreportedLeaves = nil
+	disconnected := c.unreportedDisconnects
+	c.unreportedDisconnects = nil
 	c.actions = c.actions[:0]
 	for _, ev := range events {
 		c.handleEvent(ev)
 	}
 	clear(events)
 	c.Execute(c.actions)
-	c.removeReportedLeaves(leaves)
+	c.removeReportedDisconnects(disconnected)
 	if len(c.events) > 0 { // the actions have caused new events
 		return c.now
 	}
