--- a/cmd/ferrycontrol/propose.go
+++ b/cmd/ferrycontrol/propose.go
@@ -58,12 +58,12 @@
 		return nil, err
 	}
 	var proposals []proposal
-	if cfg.Version > 0 {
-		proposals = append(proposals, proposal{controlserver.DocumentSettings, versions.NewDoc(cfg.Version, cfg.Shared)})
+	if cfg.SettingsVersion > 0 {
+		proposals = append(proposals, proposal{controlserver.DocumentSettings, versions.NewDoc(cfg.SettingsVersion, cfg.SharedSettings)})
 	}
 	if cfg.DrainedVersion > 0 {
 		proposals = append(proposals, proposal{controlserver.DocumentDrained,
-			versions.NewDoc(cfg.DrainedVersion, cfg.DrainedText())})
+			versions.NewDoc(cfg.DrainedVersion, cfg.EncodeDrainedHosts())})
 	}
 	if len(proposals) == 0 {
 		return nil, fmt.Errorf("%s: neither settings_version nor drained is there", file)
--- a/cmd/ferryfront/config.go
+++ b/cmd/ferryfront/config.go
@@ -37,7 +37,7 @@
 		o.OTLP = s.Telemetry.Endpoint
 	}
 	if o.ReadFront == nil && s.Front != nil {
-		o.ReadFront = s.File
+		o.ReadFront = s.FrontFile
 	}
 	if format == "" {
 		c.Log.Format = s.Log.Format
@@ -48,7 +48,7 @@
 	o.Members, o.ControlReplicas = s.Membership.Enabled, s.ControlGroup.Replicas
 	c.Limit = func(l *limits.Limits) {
 		// Read has made sure that it can be put in place.
-		_ = s.Limit(l)
+		_ = s.ApplyLimits(l)
 	}
 	return c, nil
 }
--- a/cmd/ferryfront/serve.go
+++ b/cmd/ferryfront/serve.go
@@ -102,7 +102,7 @@
 			}
 			_, err = fmt.Fprintf(p.out, "%s: %d classes, %d plans, ingress %d of %d, %d upstream hosts known\n", cfg.Name,
 				len(cfg.Settings.Classes), len(cfg.Settings.Plans), cfg.Settings.Index, cfg.Settings.Gateways,
-				len(cfg.Known.Entries))
+				len(cfg.KnownHosts.Entries))
 			return err
 		}}
 }
--- a/internal/capacity/settings_version.go
+++ b/internal/capacity/settings_version.go
@@ -58,22 +58,22 @@
 	}
 	spent := leastProcessorTime(settingsRepeats, func() {
 		if err == nil {
-			err = takeVersion(first, second.Shared)
+			err = takeVersion(first, second.SharedSettings)
 		}
 	})
-	return settingsCost{float64(len(second.Shared)), milliseconds(spent)}, err
+	return settingsCost{float64(len(second.SharedSettings)), milliseconds(spent)}, err
 }
 
 // takeVersion goes through a rollout of a version as the daemon does (internal/daemon/agreement.go).
 func takeVersion(own config.Config, version []byte) error {
-	if _, err := own.Under(version); err != nil { // the check
+	if _, err := own.WithSharedSettings(version); err != nil { // the check
 		return err
 	}
 	was := own.Settings
-	for _, acting := range [][][]byte{{own.Shared, version}, {version}} {
+	for _, acting := range [][][]byte{{own.SharedSettings, version}, {version}} {
 		var combined admission.Settings
 		for i, text := range acting {
-			under, err := own.Under(text)
+			under, err := own.WithSharedSettings(text)
 			if err != nil {
 				return err
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -26,12 +26,12 @@
 	Peers                            []string // where each ingress takes them, by its number
 	Seed                             uint64
 	Cores                            float64
-	Known                            discovery.List
+	KnownHosts                       discovery.List
 	Settings                         admission.Settings
-	Version                          uint64   // of the settings, above 0; 0: they have none
-	Drained                          []string // hosts that the operators drain, whatever discovery says
+	SettingsVersion                  uint64   // of the settings, above 0; 0: they have none
+	DrainedHosts                     []string // hosts that the operators drain, whatever discovery says
 	DrainedVersion                   uint64   // of that list, above 0; 0: there is none
-	Shared                           []byte   // what of them all ingresses have in common; nil without a version
+	SharedSettings                   []byte   // what of them all ingresses have in common; nil without a version
 	Limits                           limits.Limits
 
 	keys   []string // that a file for a reload must have, too
@@ -46,9 +46,9 @@
 // go before what the file says.
 func Load(getenv func(string) string) (Config, error) { return load(getenv, Parse) }
 
-// Changed names the fields in which another configuration differs beyond the addresses and settings that can be
+// FieldsNeedingRestart names the fields in which another configuration differs beyond the addresses and settings that can be
 // followed while running. The list known from before a start is not among them: discovery has told a newer one.
-func (c Config) Changed(to Config) []string {
+func (c Config) FieldsNeedingRestart(to Config) []string {
 	var names []string
 	for _, f := range []struct {
 		name     string
@@ -114,19 +114,19 @@
 		return none, err
 	}
 	if r.Has("settings_version") {
-		if c.Version, err = number(r, "settings_version"); err != nil {
+		if c.SettingsVersion, err = number(r, "settings_version"); err != nil {
 			return none, err
 		}
-		if c.Shared, err = settings.Shared(doc.Get("settings").MarshalTo(nil)); err != nil {
+		if c.SharedSettings, err = settings.Shared(doc.Get("settings").MarshalTo(nil)); err != nil {
 			return none, err
 		}
 	}
 	if r.Has("drained") {
-		if c.Drained, c.DrainedVersion, err = drained(r.Object("drained")); err != nil {
+		if c.DrainedHosts, c.DrainedVersion, err = drained(r.Object("drained")); err != nil {
 			return none, err
 		}
 	}
-	if c.Known, err = discovery.ReadList(r.Object(knownField)); err != nil {
+	if c.KnownHosts, err = discovery.ReadList(r.Object(knownField)); err != nil {
 		return none, err
 	}
 	if seed := r.Text("seed"); seed != "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,7 +31,7 @@
 	require.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
 	require.Equal(t, 12*time.Second, c.Limits.UpstreamIdleTimeout, "well before the other side closes")
 	require.Equal(t, 2600*time.Millisecond, c.Limits.DrainTimeout)
-	e := c.Known.Entries[0]
+	e := c.KnownHosts.Entries[0]
 	require.Equal(t, "127.0.0.4:8443", e.Addr)
 	require.Equal(t, admission.Up, e.State)
 	require.Equal(t, 1764585283123500*time.Microsecond, e.Boot)
@@ -89,22 +89,22 @@
 func TestUnderOtherSettings(t *testing.T) {
 	c, err := Parse([]byte(strings.Replace(good, `"seed"`, `"settings_version":7,"seed"`, 1)), env(map[string]string{"GW_NAME": "n9"}))
 	require.NoError(t, err)
-	require.Equal(t, uint64(7), c.Version)
-	require.NotContains(t, string(c.Shared), `"me"`)
-	shared := strings.Replace(string(c.Shared), `"deadline":2000`, `"deadline":1500`, 1)
-	_, err = c.Under([]byte(shared))
+	require.Equal(t, uint64(7), c.SettingsVersion)
+	require.NotContains(t, string(c.SharedSettings), `"me"`)
+	shared := strings.Replace(string(c.SharedSettings), `"deadline":2000`, `"deadline":1500`, 1)
+	_, err = c.WithSharedSettings([]byte(shared))
 	require.ErrorContains(t, err, "maxAttempts", "as strict as a reload")
 	shared = strings.Replace(shared, `"limits":{`, `"limits":{"maxAttempts":2,`, 1)
-	to, err := c.Under([]byte(shared))
+	to, err := c.WithSharedSettings([]byte(shared))
 	require.NoError(t, err)
 	require.Equal(t, "n9", to.Name)
 	require.Equal(t, 1, to.Settings.Index)
 	require.Equal(t, 1500*time.Millisecond, to.Settings.Classes[0].Deadline)
 	require.Equal(t, 2100*time.Millisecond, to.Limits.DrainTimeout)
-	require.Equal(t, c.Known, to.Known)
+	require.Equal(t, c.KnownHosts, to.KnownHosts)
 	require.ElementsMatch(t, append(slices.Clone(c.keys), "settings.limits.maxAttempts"), to.keys, "a reload needs the same keys")
 	for _, bad := range []string{"", "{", `{"balancers":1}`, strings.Replace(shared, `"balancers":3`, `"balancers":1`, 1)} {
-		_, err := c.Under([]byte(bad))
+		_, err := c.WithSharedSettings([]byte(bad))
 		require.Error(t, err, bad)
 	}
 }
@@ -117,9 +117,9 @@
 		file := strings.Replace(strings.Replace(good, host, list, 1), `"seed"`, `"settings_version":7,"seed"`, 1)
 		c, err := Parse([]byte(file), env(nil))
 		require.NoError(t, err)
-		shared := strings.Replace(string(c.Shared), `"limits":{`, `"limits":{"maxAttempts":2,`, 1)
+		shared := strings.Replace(string(c.SharedSettings), `"limits":{`, `"limits":{"maxAttempts":2,`, 1)
 		return testing.AllocsPerRun(10, func() {
-			_, err := c.Under([]byte(shared))
+			_, err := c.WithSharedSettings([]byte(shared))
 			require.NoError(t, err)
 		})
 	}
--- a/internal/config/shared_test.go
+++ b/internal/config/shared_test.go
@@ -14,7 +14,7 @@
 		`"limits":{"idleClose"`, `"limits":{"maxAttempts":2,"idleClose"`, 1)
 	c, err := Parse([]byte(whole), env(nil))
 	require.NoError(t, err)
-	require.NoError(t, CheckShared(c.Shared))
+	require.NoError(t, CheckShared(c.SharedSettings))
 	for says, change := range map[string][2]string{
 		"settings.limits.maxAttempts is 0":       {`"maxAttempts":2`, `"maxAttempts":0`},
 		"settings.classes[0].deadline is no tim": {`"deadline":2000`, `"deadline":0`},
@@ -24,7 +24,7 @@
 		"settings.me is no shared field":         {`{`, `{"me":1,`},
 		"settings.zone is no shared field":       {`{`, `{"zone":"a",`},
 	} {
-		require.ErrorContains(t, CheckShared([]byte(strings.Replace(string(c.Shared), change[0], change[1], 1))), says)
+		require.ErrorContains(t, CheckShared([]byte(strings.Replace(string(c.SharedSettings), change[0], change[1], 1))), says)
 	}
 	require.Error(t, CheckShared([]byte("null")))
 }
--- a/internal/config/under.go
+++ b/internal/config/under.go
@@ -9,10 +9,10 @@
 	"ferryfront.example/ferryfront/internal/settings"
 )
 
-// Under returns the configuration with the shared part of other settings in place of its own, checked as a file is
+// WithSharedSettings returns the configuration with the shared part of other settings in place of its own, checked as a file is
 // at a reload. Its version stays: whoever has the other settings knows theirs. What it costs does not depend on the list
 // of hosts known from before the start, which stays, too.
-func (c Config) Under(shared []byte) (Config, error) {
+func (c Config) WithSharedSettings(shared []byte) (Config, error) {
 	doc, err := fastjson.ParseBytes(c.raw)
 	if err != nil {
 		return Config{}, fmt.Errorf("not JSON: %w", err)
@@ -33,7 +33,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	under.Known = c.Known
+	under.KnownHosts = c.KnownHosts
 	under.keys = append(under.keys, knownKeys(c.keys)...)
 	return under, nil
 }
--- a/internal/config/versions.go
+++ b/internal/config/versions.go
@@ -35,14 +35,14 @@
 	return slices.Compact(hosts), n, nil
 }
 
-// DrainedText is the list as it goes to other ingresses.
-func (c Config) DrainedText() []byte {
-	b, _ := json.Marshal(append([]string{}, c.Drained...)) // of texts, which can be written
+// EncodeDrainedHosts is the list as it goes to other ingresses.
+func (c Config) EncodeDrainedHosts() []byte {
+	b, _ := json.Marshal(append([]string{}, c.DrainedHosts...)) // of texts, which can be written
 	return b
 }
 
-// ReadDrained reads it.
-func ReadDrained(text []byte) (hosts []string, err error) {
+// DecodeDrainedHosts reads it.
+func DecodeDrainedHosts(text []byte) (hosts []string, err error) {
 	if err := json.Unmarshal(text, &hosts); err != nil {
 		return nil, fmt.Errorf("drained.hosts: %w", err)
 	}
--- a/internal/controlserver/documents.go
+++ b/internal/controlserver/documents.go
@@ -29,7 +29,7 @@
 	case DocumentSettings:
 		return config.CheckShared(p.Text)
 	case DocumentDrained:
-		_, err := config.ReadDrained(p.Text)
+		_, err := config.DecodeDrainedHosts(p.Text)
 		return err
 	}
 	return fmt.Errorf("document %q is not known", p.Document)
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -52,7 +52,7 @@
 // version is what is told of the settings, and of the list of drained hosts: their versions, and whether all members
 // act on them.
 func (d *Daemon) version() (f figures.SettingsVersions) {
-	f = figures.SettingsVersions{NewestVersion: d.told.Version, OldestVersion: d.told.Version, ActiveVersions: 1, DrainedVersion: d.told.DrainedVersion}
+	f = figures.SettingsVersions{NewestVersion: d.told.SettingsVersion, OldestVersion: d.told.SettingsVersion, ActiveVersions: 1, DrainedVersion: d.told.DrainedVersion}
 	if s := d.drainedSource(); s != nil {
 		f.DrainedVersion, f.DrainedStaleMembers = s.Newest().Number, len(s.Stale())
 	}
--- a/internal/daemon/agreement.go
+++ b/internal/daemon/agreement.go
@@ -84,18 +84,18 @@
 
 // fileDocuments are the versions that a configuration has of its own: the settings', the drained list's. Number 0: none.
 func fileDocuments(c config.Config) (set, drained versions.Doc) {
-	return versions.NewDoc(c.Version, c.Shared), versions.NewDoc(c.DrainedVersion, c.DrainedText())
+	return versions.NewDoc(c.SettingsVersion, c.SharedSettings), versions.NewDoc(c.DrainedVersion, c.EncodeDrainedHosts())
 }
 
 // checkSettings tells why the text of a version of the settings can't be acted on here.
 func (d *Daemon) checkSettings(text []byte) error {
-	_, err := d.told.Under(text)
+	_, err := d.told.WithSharedSettings(text)
 	return err
 }
 
 // checkDrained tells why the text of a version of the drained list can't be acted on.
 func checkDrained(text []byte) error {
-	_, err := config.ReadDrained(text)
+	_, err := config.DecodeDrainedHosts(text)
 	return err
 }
 
@@ -165,7 +165,7 @@
 // drainedHosts are those that any version acted on drains: a drain holds from the first version that names it.
 func (a *agreement) drainedHosts() (all []string) {
 	for _, doc := range a.drained.Acting() {
-		hosts, _ := config.ReadDrained(doc.Text) // it was checked when it was taken
+		hosts, _ := config.DecodeDrainedHosts(doc.Text) // it was checked when it was taken
 		all = append(all, hosts...)
 	}
 	return all
@@ -188,7 +188,7 @@
 		return of, err
 	}
 	for i, doc := range source.Acting() {
-		c, err := of.Under(doc.Text)
+		c, err := of.WithSharedSettings(doc.Text)
 		if err != nil {
 			return to, err
 		}
@@ -259,7 +259,7 @@
 	if d.settingsSource() == nil {
 		now, err := d.combined(to)
 		if err == nil && d.drainedSource() == nil {
-			d.watcher.SetDrained(to.Drained)
+			d.watcher.SetDrained(to.DrainedHosts)
 		}
 		if err != nil || d.agreement == nil {
 			done(now, err)
--- a/internal/daemon/beside.go
+++ b/internal/daemon/beside.go
@@ -40,9 +40,9 @@
 		}
 		name = cfg.Name
 	}
-	fd, err := handover.Meet(dir, name)
+	fd, err := handover.ConnectPredecessor(dir, name)
 	if err != nil {
-		if !errors.Is(err, handover.ErrNobody) {
+		if !errors.Is(err, handover.ErrNoPredecessor) {
 			d.log.Info("no predecessor to take over from", "cause", err)
 		}
 		return -1, nil
@@ -57,7 +57,7 @@
 		return
 	}
 	d.dismiss()
-	fd, err := handover.Await(dir, d.cfg.Name)
+	fd, err := handover.ListenForSuccessor(dir, d.cfg.Name)
 	if err != nil {
 		d.log.Info("no successor can take over from this process", "cause", err)
 		return
@@ -79,12 +79,12 @@
 // Ready begins to hand over, unless that can't be now. Who is turned away sees the end of the connection.
 func (m met) Ready(uint32) {
 	d := m.d
-	fd, err := handover.Accept(d.awaits.FD())
+	fd, err := handover.AcceptSuccessor(d.awaits.FD())
 	if err != nil {
 		return
 	}
 	p := d.pred
-	if d.trial() || d.draining || p.machine.UnderWay() {
+	if d.trial() || d.draining || p.machine.IsInProgress() {
 		loop.CloseFD(fd)
 		return
 	}
@@ -94,10 +94,10 @@
 		return
 	}
 	p.peer, p.tell, p.report = r, nil, Progress{}
-	p.machine.Beside = true
+	p.machine.HasExternalSuccessor = true
 	shareMemory(d.cfg.Limits, 2)
 	d.log.Info("replacement begun")
-	p.handle(phase.Asked{})
+	p.handle(phase.UpgradeRequested{})
 }
 
 // startOver begins this process anew, by itself: nothing was taken over, and what was built for it goes with the
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -253,8 +253,8 @@
 		d.openCounter(cfg.Counter)
 		d.core.SetCounter(d.counter)
 	}
-	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.hosts, cfg.Known, cfg.Seed)
-	d.watcher.SetDrained(cfg.Drained)
+	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.hosts, cfg.KnownHosts, cfg.Seed)
+	d.watcher.SetDrained(cfg.DrainedHosts)
 	d.server = downstream.New(l, cfg.Limits, d.log)
 	first := platform.New(d.core, cfg.Settings, d.known)
 	d.fronts = append(d.fronts, opening{cfg.Listen, first, func() {}, first.Follow})
@@ -317,19 +317,19 @@
 func (d *Daemon) endAsked() {
 	if d.trial() {
 		d.succ.told = true
-		d.succ.handle(phase.EndAsked{})
+		d.succ.handle(phase.TerminateRequested{})
 		return
 	}
-	d.pred.handle(phase.EndAsked{})
+	d.pred.handle(phase.TerminateRequested{})
 }
 
 func (d *Daemon) reloadAsked() {
 	if d.trial() {
-		d.succ.handle(phase.ReloadAsked{})
+		d.succ.handle(phase.ReloadRequested{})
 		return
 	}
-	d.pred.handle(phase.ReloadAsked{})
-	if !d.pred.machine.Committed() {
+	d.pred.handle(phase.ReloadRequested{})
+	if !d.pred.machine.IsCommitted() {
 		d.reconfigure()
 	}
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -187,7 +187,7 @@
 	switch {
 	case d.members == nil:
 		return "membership is not enabled"
-	case d.pred.machine.UnderWay() || d.trial():
+	case d.pred.machine.IsInProgress() || d.trial():
 		return "an upgrade is under way"
 	}
 	d.leaves = true
--- a/internal/daemon/peer.go
+++ b/internal/daemon/peer.go
@@ -26,14 +26,14 @@
 	d := p.d
 	ours, theirs, err := handover.Pair()
 	if err != nil {
-		d.loop.After(0, func() { p.handle(phase.SpawnFailed{Why: err.Error()}) })
+		d.loop.After(0, func() { p.handle(phase.SpawnFailed{Reason: err.Error()}) })
 		return
 	}
 	r := &peer{p: p}
 	if r.conn, err = handover.New(d.loop, d.cfg.Limits, ours, r); err != nil {
 		loop.CloseFD(ours)
 		loop.CloseFD(theirs)
-		d.loop.After(0, func() { p.handle(phase.SpawnFailed{Why: err.Error()}) })
+		d.loop.After(0, func() { p.handle(phase.SpawnFailed{Reason: err.Error()}) })
 		return
 	}
 	p.peer = r
@@ -41,7 +41,7 @@
 	go func() {
 		end := os.NewFile(uintptr(theirs), "handover")
 		cmd := exec.Command(d.o.Command[0], d.o.Command[1:]...)
-		cmd.Env = append(os.Environ(), handover.Env+"=3")
+		cmd.Env = append(os.Environ(), handover.DescriptorEnv+"=3")
 		cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = os.Stdout, os.Stderr, []*os.File{end}
 		err := cmd.Start()
 		_ = end.Close()
@@ -50,14 +50,14 @@
 				r.conn.Close()
 				if p.peer == r {
 					p.peer = nil
-					p.handle(phase.SpawnFailed{Why: err.Error()})
+					p.handle(phase.SpawnFailed{Reason: err.Error()})
 				}
 			})
 			return
 		}
 		d.loop.Post(func() {
 			r.cmd = cmd
-			if p.peer != r || !p.machine.UnderWay() { // given up before it was there
+			if p.peer != r || !p.machine.IsInProgress() { // given up before it was there
 				_ = cmd.Process.Kill()
 			}
 		})
@@ -70,37 +70,37 @@
 // gone: the process has ended, for certain. What it had still said is heard first.
 func (r *peer) gone(how string) {
 	if !r.lost {
-		r.conn.Drain()
+		r.conn.ReadAll()
 	}
 	r.lost = true
 	if r.p.peer == r {
-		r.p.handle(phase.PeerGone{How: how})
+		r.p.handle(phase.PeerExited{Detail: how})
 		r.p.peer = nil
 	}
 	r.conn.Close()
 }
 
-// Lost: the new process has closed its end, or can't be understood. Whoever has closed it would serve beside
+// ConnectionLost: the new process has closed its end, or can't be understood. Whoever has closed it would serve beside
 // us if we took that for its death, so it is made sure. After Farewell it serves alone and closes its end, while this
 // process may not have ended yet: it is left to serve then.
-func (r *peer) Lost(err error) {
+func (r *peer) ConnectionLost(err error) {
 	r.lost = true
-	if r.p.peer != r || r.p.machine.State == phase.Over {
+	if r.p.peer != r || r.p.machine.State == phase.Finished {
 		return
 	}
 	if !errors.Is(err, io.EOF) {
-		r.p.handle(phase.Garbled{Why: err.Error()})
+		r.p.handle(phase.InvalidData{Reason: err.Error()})
 	}
-	if r.cmd != nil && (errors.Is(err, io.EOF) || !r.p.machine.Committed()) {
+	if r.cmd != nil && (errors.Is(err, io.EOF) || !r.p.machine.IsCommitted()) {
 		_ = r.cmd.Process.Kill()
 	}
-	if r.p.machine.Beside && errors.Is(err, io.EOF) { // it has ended, or begins by itself
+	if r.p.machine.HasExternalSuccessor && errors.Is(err, io.EOF) { // it has ended, or begins by itself
 		r.gone("it has closed its end")
 	}
 }
 
-// Message takes one of the new process's.
-func (r *peer) Message(e *pb.Envelope, fds []int) {
+// HandleMessage takes one of the new process's.
+func (r *peer) HandleMessage(e *pb.Envelope, fds []int) {
 	for _, fd := range fds { // it has none to give
 		loop.CloseFD(fd)
 	}
@@ -111,23 +111,23 @@
 	switch m := e.GetBody().(type) {
 	case *pb.Envelope_Hello:
 		p.report.Pid = int(m.Hello.GetPid())
-		p.handle(phase.Told{Message: phase.Hello, Protocol: int(m.Hello.GetProtocol())})
+		p.handle(phase.MessageReceived{Message: phase.Hello, Protocol: int(m.Hello.GetProtocol())})
 	case *pb.Envelope_Prepared:
-		p.handle(phase.Told{Message: phase.Prepared})
+		p.handle(phase.MessageReceived{Message: phase.Prepared})
 	case *pb.Envelope_CaughtUp:
 		if len(p.ids) == 0 {
-			p.handle(phase.Copied{})
+			p.handle(phase.CustomersCopied{})
 		}
 	case *pb.Envelope_Restored:
 		p.report.Customers = m.Restored.GetCustomers()
-		p.handle(phase.Told{Message: phase.Restored})
+		p.handle(phase.MessageReceived{Message: phase.Restored})
 	case *pb.Envelope_Serving:
 		p.report.FreezeUS = (p.d.loop.Now() - p.frozenAt).Microseconds()
-		p.handle(phase.Told{Message: phase.Serving})
+		p.handle(phase.MessageReceived{Message: phase.Serving})
 	case *pb.Envelope_Refused:
-		p.handle(phase.Told{Message: phase.Refused, Text: m.Refused.GetReason()})
+		p.handle(phase.MessageReceived{Message: phase.Refused, Text: m.Refused.GetReason()})
 	case *pb.Envelope_Leaving:
-		p.handle(phase.Told{Message: phase.Leaving})
+		p.handle(phase.MessageReceived{Message: phase.Leaving})
 	default: // of a later version of the protocol's fields, which an earlier one may pass over
 	}
 }
--- a/internal/daemon/peer_test.go
+++ b/internal/daemon/peer_test.go
@@ -39,9 +39,9 @@
 	p.peer.conn, err = handover.New(events, bounds, ours, p.peer)
 	require.NoError(t, err)
 
-	p.machine.State = phase.Emptying
-	p.handle(phase.Emptied{})
-	require.Equal(t, phase.Over, p.machine.State)
+	p.machine.State = phase.Draining
+	p.handle(phase.Drained{})
+	require.Equal(t, phase.Finished, p.machine.State)
 	received, err := unix.Read(theirs, make([]byte, 64))
 	require.NoError(t, err)
 	require.Positive(t, received, "Farewell")
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -31,7 +31,7 @@
 // predecessor carries out what the old process's machine wants.
 type predecessor struct {
 	d       *Daemon
-	machine phase.Old
+	machine phase.OldProcess
 	timer   *loop.Timer
 	tell    func(Progress)
 
@@ -51,7 +51,7 @@
 		return "the upgrade that started this process is not over"
 	case d.draining:
 		return "the ingress is ending"
-	case d.pred.machine.UnderWay():
+	case d.pred.machine.IsInProgress():
 		return "an upgrade is under way"
 	case d.group == nil && d.members != nil && !d.members.Node().Settled(d.loop.Now()):
 		return "the membership has not settled"
@@ -60,16 +60,16 @@
 	}
 	p := d.pred
 	p.tell, p.report = tell, Progress{}
-	p.machine.Beside = false
+	p.machine.HasExternalSuccessor = false
 	d.log.Info("upgrade begun", "binary", d.o.Command[0])
-	p.handle(phase.Asked{})
+	p.handle(phase.UpgradeRequested{})
 	return ""
 }
 
 func (p *predecessor) handle(ev phase.Event) {
 	was := p.machine.State
 	actions := p.machine.Handle(ev)
-	if is := p.machine.State; is != was && is != phase.Idle && is != phase.Over {
+	if is := p.machine.State; is != was && is != phase.Idle && is != phase.Finished {
 		p.say(Progress{Text: is.String()})
 	}
 	for _, a := range actions {
@@ -98,19 +98,19 @@
 	lim := d.cfg.Limits
 	switch a {
 	case phase.Spawn:
-		if !p.machine.Beside { // else it has come by itself
+		if !p.machine.HasExternalSuccessor { // else it has come by itself
 			p.spawn()
 		}
-	case phase.StartClock:
+	case phase.StartTimer:
 		most := map[phase.OldState]time.Duration{phase.Starting: lim.HelloTimeout, phase.Preparing: lim.PrepareTimeout,
 			phase.Copying: lim.CopyTimeout, phase.Frozen: lim.FreezeTimeout, phase.Probation: lim.ProbationPeriod}[p.machine.State]
-		p.timer = d.loop.After(most, func() { p.handle(phase.TimeUp{}) })
-	case phase.StopClock:
+		p.timer = d.loop.After(most, func() { p.handle(phase.PhaseTimedOut{}) })
+	case phase.StopTimer:
 		p.timer.Stop()
 	case phase.SendWelcome:
 		p.send(&pb.Envelope{Body: &pb.Envelope_Welcome{Welcome: &pb.Welcome{Protocol: phase.Protocol, Version: d.o.Version,
 			Name: d.cfg.Name, Listeners: d.server.ListenerAddresses()}}})
-	case phase.CopyAhead:
+	case phase.CopyCustomers:
 		p.since, p.ids, p.unsettled = d.loop.Now(), d.module.Customers(0), d.module.ActiveCustomers()
 		p.copyAhead()
 	case phase.Freeze:
@@ -130,12 +130,12 @@
 		if p.peer != nil && p.peer.cmd != nil {
 			_ = p.peer.cmd.Process.Kill() // it may have ended already
 		}
-		if r := p.peer; r != nil && p.machine.Beside { // it begins by itself once it has heard, or sees the end
+		if r := p.peer; r != nil && p.machine.HasExternalSuccessor { // it begins by itself once it has heard, or sees the end
 			p.peer = nil
-			r.conn.WhenDry(r.conn.Close)
+			r.conn.WhenFlushed(r.conn.Close)
 			d.loop.After(lim.DrainFlushPeriod, r.conn.Close)
 		}
-	case phase.Reclaim:
+	case phase.ReclaimListeners:
 		p.reclaim()
 	case phase.SendSettled:
 		p.send(&pb.Envelope{Body: &pb.Envelope_Settled{Settled: &pb.Settled{}}})
@@ -145,10 +145,10 @@
 		p.send(&pb.Envelope{Body: &pb.Envelope_Reload{Reload: &pb.Reload{}}})
 	case phase.Drain:
 		d.drain()
-	case phase.EndOwn:
+	case phase.DrainRemaining:
 		d.log.Info("ending what is left", "streams", d.core.OpenStreams(), "connections", d.server.OpenConnections())
 		d.endInTime()
-	case phase.SayFarewell:
+	case phase.SendFarewell:
 		p.farewell()
 	case phase.ReportDone:
 		p.report.Done, p.report.OK = true, true
@@ -167,13 +167,13 @@
 
 // inherited reads it: -1 where no other process has started this one.
 func inherited(getenv func(string) string) (int, error) {
-	text := getenv(handover.Env)
+	text := getenv(handover.DescriptorEnv)
 	if text == "" {
 		return -1, nil
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 3 {
-		return -1, fmt.Errorf("%s: %q is no descriptor", handover.Env, text)
+		return -1, fmt.Errorf("%s: %q is no descriptor", handover.DescriptorEnv, text)
 	}
 	return fd, nil
 }
@@ -183,7 +183,7 @@
 	if p.machine.State != phase.Copying {
 		return
 	}
-	for len(p.ids) > 0 && p.peer.conn.Waiting() < p.d.cfg.Limits.MaxHandoverQueueBytes {
+	for len(p.ids) > 0 && p.peer.conn.QueuedBytes() < p.d.cfg.Limits.MaxHandoverQueueBytes {
 		n := min(len(p.ids), customersOnce)
 		p.customers(p.ids[:n])
 		p.ids = p.ids[n:]
@@ -193,7 +193,7 @@
 		p.send(&pb.Envelope{Body: &pb.Envelope_Mark{Mark: &pb.Mark{}}})
 		return
 	}
-	p.peer.conn.WhenDry(p.copyAhead)
+	p.peer.conn.WhenFlushed(p.copyAhead)
 }
 
 // customersOnce are put into one message.
@@ -203,7 +203,7 @@
 	m := &pb.Customers{}
 	for _, id := range ids {
 		if c, ok := p.d.module.Customer(id); ok {
-			m.Customers = append(m.Customers, handover.Customer(c))
+			m.Customers = append(m.Customers, handover.EncodeCustomer(c))
 		}
 	}
 	p.send(&pb.Envelope{Body: &pb.Envelope_Customers{Customers: m}})
@@ -220,8 +220,8 @@
 			p.snapshot()
 		}
 	}
-	if p.machine.Committed() && p.d.core.TrackedStreams() == 0 && p.d.server.OpenConnections() == 0 {
-		p.handle(phase.Emptied{})
+	if p.machine.IsCommitted() && p.d.core.TrackedStreams() == 0 && p.d.server.OpenConnections() == 0 {
+		p.handle(phase.Drained{})
 	}
 }
 
@@ -241,14 +241,14 @@
 		for _, fd := range listeners {
 			loop.CloseFD(fd)
 		}
-		d.loop.After(0, func() { p.handle(phase.PeerGone{How: "no snapshot: " + err.Error()}) })
+		d.loop.After(0, func() { p.handle(phase.PeerExited{Detail: "no snapshot: " + err.Error()}) })
 		return
 	}
 	open := d.core.StartHandover(p)
 	list := d.watcher.Current()
-	m := &pb.Snapshot{Gateway: handover.Gateway(state), ClockOffset: int64(d.loop.ClockOffset()), LastStream: open.LastID,
-		ListVersion: list.Version, Hosts: handover.Hosts(list), Listeners: d.server.ListenerAddresses()}
-	m.Streams, m.Keys = handover.Open(open)
+	m := &pb.Snapshot{Gateway: handover.EncodeGateway(state), ClockOffset: int64(d.loop.ClockOffset()), LastStream: open.LastID,
+		ListVersion: list.Version, Hosts: handover.EncodeHosts(list), Listeners: d.server.ListenerAddresses()}
+	m.Streams, m.Keys = handover.EncodeStreams(open)
 	p.send(&pb.Envelope{Body: &pb.Envelope_Snapshot{Snapshot: m}}, listeners...)
 }
 
@@ -256,8 +256,8 @@
 func (p *predecessor) commit() {
 	d := p.d
 	d.dismiss()
-	d.closeMembers()       // the new process goes on under our name
-	if !p.machine.Beside { // else it has an admin endpoint of its own, and ours still tells of this process
+	d.closeMembers()                     // the new process goes on under our name
+	if !p.machine.HasExternalSuccessor { // else it has an admin endpoint of its own, and ours still tells of this process
 		d.admin.Close()
 		d.admin = nil
 	}
@@ -268,7 +268,7 @@
 		Upstreams: uint32(d.hosts.OpenConnections())}}})
 	d.server.HandOver(func(st downstream.ConnState, fd int) {
 		p.report.Clients++
-		p.send(&pb.Envelope{Body: &pb.Envelope_Client{Client: handover.Client(st)}}, fd)
+		p.send(&pb.Envelope{Body: &pb.Envelope_Client{Client: handover.EncodeClientConn(st)}}, fd)
 	})
 	d.hosts.HandOver(func(host string, since time.Duration, fd int) {
 		p.report.Upstreams++
@@ -312,7 +312,7 @@
 		p.d.loop.Stop()
 		return
 	}
-	p.peer.conn.WhenDry(p.d.loop.Stop)
+	p.peer.conn.WhenFlushed(p.d.loop.Stop)
 	p.d.loop.After(p.d.cfg.Limits.DrainFlushPeriod, p.d.loop.Stop)
 }
 
@@ -323,7 +323,7 @@
 
 // AttemptEnded passes on how an upstream request ended.
 func (p *predecessor) AttemptEnded(ev admission.AttemptEnded, at time.Duration) {
-	p.send(&pb.Envelope{Body: &pb.Envelope_Attempt{Attempt: handover.Attempt(ev, at)}})
+	p.send(&pb.Envelope{Body: &pb.Envelope_Attempt{Attempt: handover.EncodeAttemptEnded(ev, at)}})
 }
 
 // StreamDone passes on that a stream is over.
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -55,7 +55,7 @@
 	d.figures.ReconfigOK++
 	d.log.Info("configuration reloaded", "discovery", to.Discovery, "counter", to.Counter,
 		"classes", len(to.Settings.Classes))
-	if names := was.Changed(to); len(names) > 0 {
+	if names := was.FieldsNeedingRestart(to); len(names) > 0 {
 		d.log.Warn("changed configuration needs a restart", "fields", strings.Join(names, ","))
 	}
 	d.told = to
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -19,7 +19,7 @@
 // successor carries out what the new process's machine wants.
 type successor struct {
 	d       *Daemon
-	machine phase.New
+	machine phase.NewProcess
 	conn    *handover.Conn
 	timer   *loop.Timer
 
@@ -37,8 +37,8 @@
 
 // succeed starts as the successor of the process at the other end of a descriptor.
 func (d *Daemon) succeed(fd int) error {
-	if err := os.Unsetenv(handover.Env); err != nil { // it is not for processes that this one starts
-		return fmt.Errorf("%s: %w", handover.Env, err)
+	if err := os.Unsetenv(handover.DescriptorEnv); err != nil { // it is not for processes that this one starts
+		return fmt.Errorf("%s: %w", handover.DescriptorEnv, err)
 	}
 	s := &successor{d: d, bound: map[string]int{}}
 	// Only this connection's own bound is needed before the configuration is read.
@@ -47,7 +47,7 @@
 		return err
 	}
 	s.conn, d.succ = conn, s
-	s.timer = d.loop.After(greetMost, func() { s.handle(phase.TimeUp{}) })
+	s.timer = d.loop.After(greetMost, func() { s.handle(phase.PhaseTimedOut{}) })
 	if d.beside {
 		d.loop.After(besideMost, s.late)
 	}
@@ -61,11 +61,11 @@
 // late ends waiting for a predecessor that somebody else runs. It is not waited for even where only its word could
 // tell whether we serve: should we, after all, it sees our end of the connection closed and serves on.
 func (s *successor) late() {
-	if s.machine.Serves() || s.machine.State == phase.Ended {
+	if s.machine.IsServing() || s.machine.State == phase.Ended {
 		return
 	}
-	s.handle(phase.TimeUp{})
-	if s.machine.State == phase.Holding {
+	s.handle(phase.PhaseTimedOut{})
+	if s.machine.State == phase.AwaitingCommit {
 		s.d.startOver("the old process has said nothing while holding")
 	}
 }
@@ -87,10 +87,10 @@
 		s.send(&pb.Envelope{Body: &pb.Envelope_Prepared{Prepared: &pb.Prepared{}}})
 	case phase.Restore:
 		if err := s.restore(); err != nil {
-			s.handle(phase.Unfit{Why: err.Error()})
+			s.handle(phase.TakeoverFailed{Reason: err.Error()})
 			return
 		}
-		s.handle(phase.RestoredAll{})
+		s.handle(phase.SnapshotRestored{})
 	case phase.SendRestored:
 		s.send(&pb.Envelope{Body: &pb.Envelope_Restored{Restored: &pb.Restored{Customers: s.customers}}})
 	case phase.Serve:
@@ -103,9 +103,9 @@
 		s.send(&pb.Envelope{Body: &pb.Envelope_Leaving{Leaving: &pb.Leaving{}}})
 	case phase.Drain:
 		d.drain()
-	case phase.Forget:
+	case phase.ForgetPredecessor:
 		s.forget()
-	case phase.ReloadOwn:
+	case phase.ReloadConfig:
 		d.reconfigure()
 	case phase.Exit:
 		if d.beside && s.told {
@@ -117,58 +117,58 @@
 			return
 		}
 		d.fail("upgrade not taken over: %s", s.machine.Failure)
-	case phase.StopClock:
+	case phase.StopTimer:
 		s.timer.Stop()
 	}
 }
 
-// Lost: the old process has ended, or can't be understood.
-func (s *successor) Lost(err error) {
+// ConnectionLost: the old process has ended, or can't be understood.
+func (s *successor) ConnectionLost(err error) {
 	if errors.Is(err, io.EOF) {
-		s.handle(phase.PeerGone{})
+		s.handle(phase.PeerExited{})
 		return
 	}
-	s.handle(phase.Garbled{Why: err.Error()})
+	s.handle(phase.InvalidData{Reason: err.Error()})
 }
 
-// Message takes one of the old process's.
-func (s *successor) Message(e *pb.Envelope, fds []int) {
+// HandleMessage takes one of the old process's.
+func (s *successor) HandleMessage(e *pb.Envelope, fds []int) {
 	d := s.d
 	restored := s.snapshot != nil && s.machine.State != phase.Ended
 	now := d.loop.Now()
 	switch m := e.GetBody().(type) {
 	case *pb.Envelope_Welcome:
 		s.welcome = m.Welcome
-		s.handle(phase.Told{Message: phase.Welcome, Protocol: int(m.Welcome.GetProtocol())})
+		s.handle(phase.MessageReceived{Message: phase.Welcome, Protocol: int(m.Welcome.GetProtocol())})
 	case *pb.Envelope_Customers:
-		if s.machine.State != phase.Waiting || restored {
+		if s.machine.State != phase.AwaitingSnapshot || restored {
 			break
 		}
 		for _, c := range m.Customers.GetCustomers() {
-			d.module.PutCustomer(handover.FromCustomer(c))
+			d.module.PutCustomer(handover.DecodeCustomer(c))
 		}
 	case *pb.Envelope_Mark:
-		if s.machine.State == phase.Waiting {
+		if s.machine.State == phase.AwaitingSnapshot {
 			s.send(&pb.Envelope{Body: &pb.Envelope_CaughtUp{CaughtUp: &pb.CaughtUp{}}})
 		}
 	case *pb.Envelope_Snapshot:
 		s.snapshot, s.listeners = m.Snapshot, fds
 		fds = nil
-		s.handle(phase.Told{Message: phase.Snapshot})
+		s.handle(phase.MessageReceived{Message: phase.Snapshot})
 	case *pb.Envelope_Commit:
 		s.commit = m.Commit
-		s.handle(phase.Told{Message: phase.Commit})
+		s.handle(phase.MessageReceived{Message: phase.Commit})
 	case *pb.Envelope_Abort:
-		s.handle(phase.Told{Message: phase.Abort, Text: m.Abort.GetReason()})
+		s.handle(phase.MessageReceived{Message: phase.Abort, Text: m.Abort.GetReason()})
 	case *pb.Envelope_Client:
-		if len(fds) == 1 && s.machine.Serves() {
-			if err := d.server.AdoptConnection(handover.FromClient(m.Client), fds[0]); err != nil {
+		if len(fds) == 1 && s.machine.IsServing() {
+			if err := d.server.AdoptConnection(handover.DecodeClientConn(m.Client), fds[0]); err != nil {
 				d.log.Warn("client connection not taken over", "error", err)
 			}
 			fds = nil
 		}
 	case *pb.Envelope_Upstream:
-		if len(fds) == 1 && s.machine.Serves() {
+		if len(fds) == 1 && s.machine.IsServing() {
 			if err := d.hosts.AdoptConnection(m.Upstream.GetHost(), time.Duration(m.Upstream.GetSince()), fds[0]); err != nil {
 				d.log.Warn("upstream connection not taken over", "error", err)
 			}
@@ -182,7 +182,7 @@
 		}
 	case *pb.Envelope_Attempt:
 		if restored {
-			ev, at := handover.FromAttempt(m.Attempt)
+			ev, at := handover.DecodeAttemptEnded(m.Attempt)
 			d.module.PredecessorAttemptEnded(now, ev)
 			d.core.PredecessorAttemptEnded(ev.ID, ev.Server, at-ev.Took, ev.Outcome)
 		}
@@ -194,13 +194,13 @@
 	case *pb.Envelope_CounterReleased:
 		s.wholeCounter()
 	case *pb.Envelope_Settled:
-		s.handle(phase.Told{Message: phase.Settled})
+		s.handle(phase.MessageReceived{Message: phase.Settled})
 	case *pb.Envelope_Reload:
-		s.handle(phase.ReloadAsked{})
+		s.handle(phase.ReloadRequested{})
 	case *pb.Envelope_Terminate:
-		s.handle(phase.EndAsked{})
+		s.handle(phase.TerminateRequested{})
 	case *pb.Envelope_Farewell:
-		s.handle(phase.Told{Message: phase.Farewell})
+		s.handle(phase.MessageReceived{Message: phase.Farewell})
 	default: // of a later version of the protocol's fields, which an earlier one may pass over
 	}
 	for _, fd := range fds { // of a message that should have had none
@@ -213,18 +213,18 @@
 func (s *successor) prepare() {
 	d := s.d
 	if err := d.assemble(); err != nil {
-		s.handle(phase.Unfit{Why: err.Error()})
+		s.handle(phase.TakeoverFailed{Reason: err.Error()})
 		return
 	}
 	shareMemory(d.cfg.Limits, 2)
 	if d.beside { // its admin endpoint is its own, and tells that it is not ready yet
 		if err := d.openAdmin(); err != nil {
-			s.handle(phase.Unfit{Why: err.Error()})
+			s.handle(phase.TakeoverFailed{Reason: err.Error()})
 			return
 		}
 	}
 	if name := s.welcome.GetName(); name != d.cfg.Name {
-		s.handle(phase.Unfit{Why: fmt.Sprintf("the configuration is %s's, the running process is %s", d.cfg.Name, name)})
+		s.handle(phase.TakeoverFailed{Reason: fmt.Sprintf("the configuration is %s's, the running process is %s", d.cfg.Name, name)})
 		return
 	}
 	d.server.Suspend()
@@ -238,13 +238,13 @@
 		}
 		fd, err := loop.ListenReusePort(f.addr)
 		if err != nil {
-			s.handle(phase.Unfit{Why: err.Error()})
+			s.handle(phase.TakeoverFailed{Reason: err.Error()})
 			return
 		}
 		s.bound[f.addr] = fd
 	}
 	s.timer.Stop()
-	s.timer = d.loop.After(d.cfg.Limits.PrepareTimeout+d.cfg.Limits.CopyTimeout, func() { s.handle(phase.TimeUp{}) })
+	s.timer = d.loop.After(d.cfg.Limits.PrepareTimeout+d.cfg.Limits.CopyTimeout, func() { s.handle(phase.PhaseTimedOut{}) })
 	s.awaitCluster()
 }
 
@@ -257,7 +257,7 @@
 		return
 	}
 	if s.d.watcher.IsReady() {
-		s.handle(phase.Ready{})
+		s.handle(phase.PrepareDone{})
 		return
 	}
 	s.d.loop.After(clusterEvery, s.awaitCluster)
@@ -271,14 +271,14 @@
 		return fmt.Errorf("%d listeners were told of and %d have come", len(names), len(s.listeners))
 	}
 	d.loop.SetClockOffset(time.Duration(s.snapshot.GetClockOffset()))
-	if err := d.module.Restore(handover.FromGateway(s.snapshot.GetGateway())); err != nil {
+	if err := d.module.Restore(handover.DecodeGateway(s.snapshot.GetGateway())); err != nil {
 		return err
 	}
 	s.customers = uint64(d.module.CustomerCount())
 	now := d.loop.Now()
-	open := handover.FromOpen(s.snapshot)
+	open := handover.DecodeStreams(s.snapshot)
 	d.core.Restore(now, open, d.module.Adopt(now))
-	d.watcher.Adopt(handover.FromHosts(s.snapshot))
+	d.watcher.Adopt(handover.DecodeHosts(s.snapshot))
 	for i, fd := range s.listeners {
 		at := slices.IndexFunc(d.fronts, func(f opening) bool { return f.addr == names[i] })
 		if at < 0 { // the configuration has dropped it
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -17,13 +17,13 @@
 
 // Sink is told what comes. Descriptors that come with a message are the sink's.
 type Sink interface {
-	Message(e *pb.Envelope, fds []int)
-	// Lost: nothing more comes. The error is io.EOF where the other side has ended.
-	Lost(err error)
+	HandleMessage(e *pb.Envelope, fds []int)
+	// ConnectionLost: nothing more comes. The error is io.EOF where the other side has ended.
+	ConnectionLost(err error)
 }
 
-// Env names the descriptor of its end to the process that is started.
-const Env = "FERRYFRONT_HANDOVER"
+// DescriptorEnv names the descriptor of its end to the process that is started.
+const DescriptorEnv = "FERRYFRONT_HANDOVER"
 
 const (
 	packetBytes = 32 << 10 // of a message in one packet; well under what a socket may hold
@@ -102,11 +102,11 @@
 	c.flush()
 }
 
-// Waiting tells how many bytes are queued.
-func (c *Conn) Waiting() int { return c.bytes }
+// QueuedBytes tells how many bytes are queued.
+func (c *Conn) QueuedBytes() int { return c.bytes }
 
-// WhenDry has a function called, once, as soon as nothing is queued; later in this turn at the earliest.
-func (c *Conn) WhenDry(fn func()) {
+// WhenFlushed has a function called, once, as soon as nothing is queued; later in this turn at the earliest.
+func (c *Conn) WhenFlushed(fn func()) {
 	c.dry = fn
 	c.loop.After(0, c.dried)
 }
@@ -183,8 +183,8 @@
 	}
 }
 
-// Drain reads all that has come, up to the loss.
-func (c *Conn) Drain() {
+// ReadAll reads all that has come, up to the loss.
+func (c *Conn) ReadAll() {
 	for c.read() {
 	}
 }
@@ -233,7 +233,7 @@
 		}
 		fds := c.fds
 		c.part, c.fds = c.part[:0], nil
-		c.sink.Message(e, fds)
+		c.sink.HandleMessage(e, fds)
 	}
 	return true
 }
@@ -261,5 +261,5 @@
 	closeAll(c.fds)
 	c.fds, c.part, c.gone = nil, nil, true
 	c.src.Unwatch()
-	c.sink.Lost(err)
+	c.sink.ConnectionLost(err)
 }
--- a/internal/handover/conn_test.go
+++ b/internal/handover/conn_test.go
@@ -25,14 +25,14 @@
 	conn *Conn
 }
 
-func (e *end) Message(m *pb.Envelope, fds []int) {
+func (e *end) HandleMessage(m *pb.Envelope, fds []int) {
 	e.got, e.fds = append(e.got, m), append(e.fds, fds...)
 	if len(e.got) == e.want {
 		e.l.Stop()
 	}
 }
 
-func (e *end) Lost(err error) { e.err = err; e.l.Stop() }
+func (e *end) ConnectionLost(err error) { e.err = err; e.l.Stop() }
 
 func (e *end) Turn(time.Duration) time.Duration { return 0 }
 
@@ -60,7 +60,7 @@
 	require.NoError(t, w.Close())
 	long := bytes.Repeat([]byte("x"), 5<<20) // far over what a socket takes at once
 	a.Send(&pb.Envelope{Body: &pb.Envelope_Client{Client: &pb.ClientConnection{Out: long}}}, fd)
-	require.Positive(t, a.Waiting())
+	require.Positive(t, a.QueuedBytes())
 	a.Send(&pb.Envelope{Body: &pb.Envelope_Farewell{Farewell: &pb.Farewell{}}})
 	b.want = 2
 	require.NoError(t, l.Run(b))
@@ -76,7 +76,7 @@
 	loop.CloseFD(b.fds[0])
 	_, err = r.Read(got)
 	require.ErrorIs(t, err, io.EOF, "the sender has closed its own")
-	require.Zero(t, a.Waiting())
+	require.Zero(t, a.QueuedBytes())
 }
 
 func TestWhatCanNotBeReadIsALoss(t *testing.T) {
--- a/internal/handover/convert.go
+++ b/internal/handover/convert.go
@@ -43,15 +43,15 @@
 		LastTotalAt: d(v.GetSeenAt()), Pending: v.GetFold()}
 }
 
-// Customer makes a message of a customer.
-func Customer(c admission.CustomerState) *pb.Customer {
+// EncodeCustomer makes a message of a customer.
+func EncodeCustomer(c admission.CustomerState) *pb.Customer {
 	return &pb.Customer{Id: c.ID, Plan: c.Plan, Doors: c.Gateways, Rate: ledger(c.QuotaCounter), Gauge: ledger(c.InFlightCounter),
 		Demand: ledger(c.DemandCounter), Press: seen(c.Demand), Level: c.QuotaTokens, Hard: c.CeilingTokens, Take: c.OthersRate, Taken: c.PredictedUsage,
 		Used: int64(c.LastSeen), LevelAt: int64(c.QuotaTokensAt), HardAt: int64(c.CeilingTokensAt), Out: int64(c.InFlight), Reg: c.InFlightCounted, Fit: c.UnderCapShare}
 }
 
-// FromCustomer is its inverse.
-func FromCustomer(c *pb.Customer) admission.CustomerState {
+// DecodeCustomer is its inverse.
+func DecodeCustomer(c *pb.Customer) admission.CustomerState {
 	return admission.CustomerState{ID: c.GetId(), Plan: c.GetPlan(), Gateways: c.GetDoors(), QuotaCounter: fromLedger(c.GetRate()),
 		InFlightCounter: fromLedger(c.GetGauge()), DemandCounter: fromLedger(c.GetDemand()), Demand: fromSeen(c.GetPress()),
 		QuotaTokens: c.GetLevel(), CeilingTokens: c.GetHard(), OthersRate: c.GetTake(), PredictedUsage: c.GetTaken(), LastSeen: d(c.GetUsed()),
@@ -68,8 +68,8 @@
 		State: admission.ServerState(h.GetState()), Size: h.GetSize(), Boot: d(h.GetBoot())}
 }
 
-// Gateway makes a message of the module's state.
-func Gateway(s admission.State) *pb.Gateway {
+// EncodeGateway makes a message of the module's state.
+func EncodeGateway(s admission.State) *pb.Gateway {
 	g := &pb.Gateway{Now: int64(s.Now), Began: int64(s.CeilingStart), Started: s.IsStarted, Random: s.Random, Logs: int64(s.LogLines),
 		Failures: int64(s.CounterFailures), Open: s.IsBreakerOpen, NextProbe: int64(s.NextCounterProbe), AnsweredAt: int64(s.CounterAnsweredAt),
 		Ease: int64(s.CounterBaseline), CallRate: s.CallsPerRequest, AskShare: s.QueryShare, Asked: s.QueryShareAverage, HoldAt: int64(s.RecheckAt),
@@ -109,8 +109,8 @@
 	return g
 }
 
-// FromGateway is its inverse.
-func FromGateway(g *pb.Gateway) admission.State {
+// DecodeGateway is its inverse.
+func DecodeGateway(g *pb.Gateway) admission.State {
 	s := admission.State{Now: d(g.GetNow()), CeilingStart: d(g.GetBegan()), IsStarted: g.GetStarted(), Random: g.GetRandom(),
 		LogLines: int(g.GetLogs()), CounterFailures: int(g.GetFailures()), IsBreakerOpen: g.GetOpen(), NextCounterProbe: d(g.GetNextProbe()),
 		CounterAnsweredAt: d(g.GetAnsweredAt()), CounterBaseline: d(g.GetEase()), CallsPerRequest: g.GetCallRate(), QueryShare: g.GetAskShare(),
@@ -154,8 +154,8 @@
 	return s
 }
 
-// Open makes messages of a core's open streams and keys.
-func Open(o core.Snapshot) (streams []*pb.Stream, keys []*pb.Key) {
+// EncodeStreams makes messages of a core's open streams and keys.
+func EncodeStreams(o core.Snapshot) (streams []*pb.Stream, keys []*pb.Key) {
 	for _, s := range o.Streams {
 		streams = append(streams, &pb.Stream{Id: s.ID, RequestId: s.RequestID, Key: s.IdempotencyKey})
 	}
@@ -166,8 +166,8 @@
 	return streams, keys
 }
 
-// FromOpen is its inverse.
-func FromOpen(s *pb.Snapshot) core.Snapshot {
+// DecodeStreams is its inverse.
+func DecodeStreams(s *pb.Snapshot) core.Snapshot {
 	o := core.Snapshot{LastID: s.GetLastStream()}
 	for _, m := range s.GetStreams() {
 		o.Streams = append(o.Streams, core.StreamState{ID: m.GetId(), RequestID: m.GetRequestId(), IdempotencyKey: m.GetKey()})
@@ -179,16 +179,16 @@
 	return o
 }
 
-// Hosts makes messages of the cluster.
-func Hosts(l discovery.List) (hosts []*pb.Host) {
+// EncodeHosts makes messages of the cluster.
+func EncodeHosts(l discovery.List) (hosts []*pb.Host) {
 	for _, e := range l.Entries {
 		hosts = append(hosts, host(e.ServerEntry, e.Addr))
 	}
 	return hosts
 }
 
-// FromHosts is its inverse.
-func FromHosts(s *pb.Snapshot) discovery.List {
+// DecodeHosts is its inverse.
+func DecodeHosts(s *pb.Snapshot) discovery.List {
 	l := discovery.List{Version: s.GetListVersion(), Full: true}
 	for _, h := range s.GetHosts() {
 		l.Entries = append(l.Entries, discovery.Entry{ServerEntry: fromHost(h), Addr: h.GetAddress()})
@@ -196,8 +196,8 @@
 	return l
 }
 
-// Client makes a message of a client connection.
-func Client(s downstream.ConnState) *pb.ClientConnection {
+// EncodeClientConn makes a message of a client connection.
+func EncodeClientConn(s downstream.ConnState) *pb.ClientConnection {
 	p := s.Parser
 	m := &pb.Parser{Buffered: p.Buffered, InBody: p.InBody, Framing: int32(p.Framing), Left: int64(p.BytesLeft),
 		Chunk: int32(p.ChunkState), Body: p.Body, Trail: int64(p.TrailerBytes), Method: p.Method, Target: p.Target, Close: p.Close,
@@ -209,8 +209,8 @@
 		Served: s.WasServed, Parser: m}
 }
 
-// FromClient is its inverse.
-func FromClient(m *pb.ClientConnection) downstream.ConnState {
+// DecodeClientConn is its inverse.
+func DecodeClientConn(m *pb.ClientConnection) downstream.ConnState {
 	p := m.GetParser()
 	s := downstream.ConnState{ListenerAddress: m.GetListener(), Unsent: m.GetOut(), PhaseSince: d(m.GetSince()), OpenedAt: d(m.GetOpened()),
 		WasServed: m.GetServed(), Parser: http1.RequestParserState{Buffered: p.GetBuffered(), InBody: p.GetInBody(),
@@ -223,14 +223,14 @@
 	return s
 }
 
-// Attempt makes a message of an attempt's end.
-func Attempt(ev admission.AttemptEnded, at time.Duration) *pb.AttemptEnded {
+// EncodeAttemptEnded makes a message of an attempt's end.
+func EncodeAttemptEnded(ev admission.AttemptEnded, at time.Duration) *pb.AttemptEnded {
 	return &pb.AttemptEnded{Stream: ev.ID, Attempt: int32(ev.Attempt), Host: ev.Server, Outcome: int32(ev.Outcome),
 		Took: int64(ev.Took), At: int64(at)}
 }
 
-// FromAttempt is its inverse. It is for the module's books only, so its request counts as finished.
-func FromAttempt(m *pb.AttemptEnded) (ev admission.AttemptEnded, at time.Duration) {
+// DecodeAttemptEnded is its inverse. It is for the module's books only, so its request counts as finished.
+func DecodeAttemptEnded(m *pb.AttemptEnded) (ev admission.AttemptEnded, at time.Duration) {
 	o := admission.Outcome(m.GetOutcome())
 	if o < 0 || o >= admission.OutcomeCount {
 		o = admission.Cancelled
--- a/internal/handover/convert_test.go
+++ b/internal/handover/convert_test.go
@@ -28,16 +28,16 @@
 func TestWhatIsSentIsWhatComes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := rapid.Make[admission.CustomerState]().Draw(t, "customer")
-		require.Equal(t, c, FromCustomer(there(t, Customer(c), &pb.Customer{})))
+		require.Equal(t, c, DecodeCustomer(there(t, EncodeCustomer(c), &pb.Customer{})))
 		o := rapid.Make[core.Snapshot]().Draw(t, "open")
 		s := &pb.Snapshot{LastStream: o.LastID}
-		s.Streams, s.Keys = Open(o)
-		equal(t, o, FromOpen(there(t, s, &pb.Snapshot{})))
+		s.Streams, s.Keys = EncodeStreams(o)
+		equal(t, o, DecodeStreams(there(t, s, &pb.Snapshot{})))
 		ev := rapid.Make[admission.AttemptEnded]().Draw(t, "attempt")
 		ev.Outcome = admission.Outcome(rapid.IntRange(0, int(admission.OutcomeCount)-1).Draw(t, "outcome"))
 		ev.Attempt %= 8
 		ev.Done, ev.Billed, ev.Used, ev.Report, ev.NotReplayable = true, 0, 0, nil, false // not told
-		got, at := FromAttempt(there(t, Attempt(ev, time.Hour), &pb.AttemptEnded{}))
+		got, at := DecodeAttemptEnded(there(t, EncodeAttemptEnded(ev, time.Hour), &pb.AttemptEnded{}))
 		require.Equal(t, time.Hour, at)
 		require.Equal(t, ev, got)
 	})
@@ -49,7 +49,7 @@
 		for i := range g.Servers {
 			g.Servers[i].Entry.State = admission.ServerState(i % 3)
 		}
-		equal(t, g, FromGateway(there(t, Gateway(g), &pb.Gateway{})))
+		equal(t, g, DecodeGateway(there(t, EncodeGateway(g), &pb.Gateway{})))
 	})
 }
 
@@ -57,7 +57,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := rapid.Make[downstream.ConnState]().Draw(t, "connection")
 		s.Parser.Framing, s.Parser.ChunkState = s.Parser.Framing&3, s.Parser.ChunkState&3
-		equal(t, s, FromClient(there(t, Client(s), &pb.ClientConnection{})))
+		equal(t, s, DecodeClientConn(there(t, EncodeClientConn(s), &pb.ClientConnection{})))
 	})
 }
 
--- a/internal/handover/meet.go
+++ b/internal/handover/meet.go
@@ -14,8 +14,8 @@
 // nobody else. Neither takes the other at its word: the name must be a socket, not a link to one, and both ends ask
 // the kernel whose process is at the other.
 
-// ErrNobody tells that there is nobody to meet.
-var ErrNobody = errors.New("nobody there")
+// ErrNoPredecessor tells that there is nobody to meet.
+var ErrNoPredecessor = errors.New("nobody there")
 
 // place is the path of an ingress's socket. One too long for an address goes by way of the folder's descriptor.
 func place(dir, name string) (path, address string, free func(), err error) {
@@ -34,8 +34,8 @@
 // pathMost is well under what an address holds (108), with room for what a new socket's name has more.
 const pathMost = 80
 
-// Meet connects to the process that awaits its successor. It returns ErrNobody where none does.
-func Meet(dir, name string) (int, error) {
+// ConnectPredecessor connects to the process that awaits its successor. It returns ErrNobody where none does.
+func ConnectPredecessor(dir, name string) (int, error) {
 	path, address, free, err := place(dir, name)
 	if err != nil {
 		return -1, err
@@ -43,7 +43,7 @@
 	defer free()
 	var st unix.Stat_t
 	if err := unix.Lstat(path, &st); err != nil {
-		return -1, ErrNobody
+		return -1, ErrNoPredecessor
 	}
 	if st.Mode&unix.S_IFMT != unix.S_IFSOCK || int(st.Uid) != os.Getuid() {
 		return -1, fmt.Errorf("handover: %s is no socket of ours", path)
@@ -55,7 +55,7 @@
 	if err = unix.Connect(fd, &unix.SockaddrUnix{Name: address}); err == nil {
 		err = ours(fd)
 	} else if errors.Is(err, unix.ECONNREFUSED) || errors.Is(err, unix.ENOENT) { // it was left by one that has ended
-		err = ErrNobody
+		err = ErrNoPredecessor
 	}
 	if err != nil {
 		_ = unix.Close(fd)
@@ -64,8 +64,8 @@
 	return fd, nil
 }
 
-// Await opens the socket at which a successor is awaited. It takes the name from whoever had it, in one step.
-func Await(dir, name string) (int, error) {
+// ListenForSuccessor opens the socket at which a successor is awaited. It takes the name from whoever had it, in one step.
+func ListenForSuccessor(dir, name string) (int, error) {
 	_, address, free, err := place(dir, name)
 	if err != nil {
 		return -1, err
@@ -94,8 +94,8 @@
 	return fd, nil
 }
 
-// Accept takes who has come, if it is a process of ours.
-func Accept(fd int) (int, error) {
+// AcceptSuccessor takes who has come, if it is a process of ours.
+func AcceptSuccessor(fd int) (int, error) {
 	c, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
 		return -1, err
--- a/internal/handover/phase/new.go
+++ b/internal/handover/phase/new.go
@@ -6,14 +6,14 @@
 type NewState int
 
 const (
-	Greeting    NewState = iota // Hello is sent, Welcome is due
-	Building                    // configuration, parts, discovery
-	Waiting                     // prepared: customers come, then the snapshot
-	Holding                     // all is in place: Commit is due
-	Trial                       // serving, on probation
-	Alone                       // serving; the predecessor, if it is still there, only ends what it has
-	Independent                 // the predecessor is gone
-	Ended                       // we end, and had taken nothing
+	AwaitingWelcome  NewState = iota // Hello is sent, Welcome is due
+	Building                         // configuration, parts, discovery
+	AwaitingSnapshot                 // prepared: customers come, then the snapshot
+	AwaitingCommit                   // all is in place: Commit is due
+	OnProbation                      // serving, on probation
+	PastProbation                    // serving; the predecessor, if it is still there, only ends what it has
+	Independent                      // the predecessor is gone
+	Ended                            // we end, and had taken nothing
 	newStates
 )
 
@@ -21,8 +21,8 @@
 
 func (s NewState) String() string { return newNames[s] }
 
-// New is the machine of the process that takes over.
-type New struct {
+// NewProcess is the machine of the process that takes over.
+type NewProcess struct {
 	State   NewState
 	Failure string // why it ended
 
@@ -30,45 +30,45 @@
 	restored bool // a snapshot has come
 }
 
-// Serves tells whether this process accepts and reads.
-func (m *New) Serves() bool { return m.State >= Trial && m.State <= Independent }
+// IsServing tells whether this process accepts and reads.
+func (m *NewProcess) IsServing() bool { return m.State >= OnProbation && m.State <= Independent }
 
 // Handle takes one event and returns what is to be done.
-func (m *New) Handle(ev Event) []Action {
+func (m *NewProcess) Handle(ev Event) []Action {
 	if m.State == Ended {
 		return nil
 	}
 	switch ev := ev.(type) {
-	case Told:
+	case MessageReceived:
 		return m.told(ev)
-	case Garbled:
-		if m.Serves() {
+	case InvalidData:
+		if m.IsServing() {
 			return nil // nothing that it still says is worth ending for
 		}
-		return m.refuse("the old process has sent garbage: " + ev.Why)
-	case Ready:
+		return m.refuse("the old process has sent garbage: " + ev.Reason)
+	case PrepareDone:
 		if m.State == Building {
-			m.State = Waiting
+			m.State = AwaitingSnapshot
 			return []Action{SendPrepared}
 		}
-	case Unfit:
-		if !m.Serves() {
-			return m.refuse(ev.Why)
+	case TakeoverFailed:
+		if !m.IsServing() {
+			return m.refuse(ev.Reason)
 		}
-	case RestoredAll:
-		if m.State == Waiting && m.restored {
-			m.State = Holding
+	case SnapshotRestored:
+		if m.State == AwaitingSnapshot && m.restored {
+			m.State = AwaitingCommit
 			return []Action{SendRestored}
 		}
-	case PeerGone:
+	case PeerExited:
 		return m.gone()
-	case TimeUp:
-		if !m.Serves() && m.State != Holding { // holding, only the old process's word or death decides
+	case PhaseTimedOut:
+		if !m.IsServing() && m.State != AwaitingCommit { // holding, only the old process's word or death decides
 			return m.refuse("the old process has said nothing while " + m.State.String())
 		}
-	case EndAsked:
+	case TerminateRequested:
 		switch {
-		case !m.Serves():
+		case !m.IsServing():
 			return m.refuse("the new process was told to end")
 		case m.ending:
 			return nil
@@ -78,40 +78,40 @@
 		}
 		m.ending = true
 		return []Action{SendLeaving, Drain}
-	case ReloadAsked:
-		if m.Serves() {
-			return []Action{ReloadOwn}
+	case ReloadRequested:
+		if m.IsServing() {
+			return []Action{ReloadConfig}
 		}
 	}
 	return nil
 }
 
-func (m *New) told(ev Told) []Action {
+func (m *NewProcess) told(ev MessageReceived) []Action {
 	switch {
-	case ev.Message == Abort && !m.Serves():
+	case ev.Message == Abort && !m.IsServing():
 		m.State, m.Failure = Ended, "the old process carries on: "+ev.Text
 		return []Action{Exit}
-	case ev.Message == Welcome && m.State == Greeting && ev.Protocol != Protocol:
+	case ev.Message == Welcome && m.State == AwaitingWelcome && ev.Protocol != Protocol:
 		return m.refuse(fmt.Sprintf("the old process speaks protocol %d of the hand-over, this one %d", ev.Protocol, Protocol))
-	case ev.Message == Welcome && m.State == Greeting:
+	case ev.Message == Welcome && m.State == AwaitingWelcome:
 		m.State = Building
 		return []Action{Prepare}
-	case ev.Message == Snapshot && m.State == Waiting && !m.restored:
+	case ev.Message == Snapshot && m.State == AwaitingSnapshot && !m.restored:
 		m.restored = true
 		return []Action{Restore}
-	case ev.Message == Commit && m.State == Holding:
-		m.State = Trial
-		return []Action{StopClock, Serve, SendServing}
-	case ev.Message == Settled && m.State == Trial:
-		m.State = Alone
+	case ev.Message == Commit && m.State == AwaitingCommit:
+		m.State = OnProbation
+		return []Action{StopTimer, Serve, SendServing}
+	case ev.Message == Settled && m.State == OnProbation:
+		m.State = PastProbation
 		return nil
-	case ev.Message == Farewell && m.Serves():
+	case ev.Message == Farewell && m.IsServing():
 		if m.State == Independent {
 			return nil
 		}
 		m.State = Independent
-		return []Action{Forget}
-	case m.Serves():
+		return []Action{ForgetPredecessor}
+	case m.IsServing():
 		return nil
 	}
 	return m.refuse(fmt.Sprintf("the old process has sent %s while %s", ev.Message, m.State))
@@ -119,14 +119,14 @@
 
 // gone: an old process that wants to carry on says Abort first. One that is gone without a word has died, and
 // nobody serves: who has all its state takes over.
-func (m *New) gone() []Action {
+func (m *NewProcess) gone() []Action {
 	switch m.State {
-	case Holding:
+	case AwaitingCommit:
 		m.State = Independent
-		return []Action{StopClock, Serve, Forget}
-	case Trial, Alone:
+		return []Action{StopTimer, Serve, ForgetPredecessor}
+	case OnProbation, PastProbation:
 		m.State = Independent
-		return []Action{Forget}
+		return []Action{ForgetPredecessor}
 	case Independent:
 		return nil
 	}
@@ -134,7 +134,7 @@
 	return []Action{Exit}
 }
 
-func (m *New) refuse(why string) []Action {
+func (m *NewProcess) refuse(why string) []Action {
 	m.State, m.Failure = Ended, why
 	return []Action{SendRefused, Exit}
 }
--- a/internal/handover/phase/old.go
+++ b/internal/handover/phase/old.go
@@ -12,8 +12,8 @@
 	Copying                   // customers are copied ahead, while serving
 	Frozen                    // nobody reads; the snapshot is on its way
 	Probation                 // the new process serves; its first moments
-	Emptying                  // it has stood them; what we have is ending
-	Over                      // we end
+	Draining                  // it has stood them; what we have is ending
+	Finished                  // we end
 	oldStates
 )
 
@@ -21,130 +21,130 @@
 
 func (s OldState) String() string { return oldNames[s] }
 
-// Old is the machine of the process that is to be replaced.
-type Old struct {
-	State   OldState
-	Failure string // why the last upgrade failed
-	Beside  bool   // somebody else has started the new process: our end is not its end, nor is it ours to start or kill
+// OldProcess is the machine of the process that is to be replaced.
+type OldProcess struct {
+	State                OldState
+	Failure              string // why the last upgrade failed
+	HasExternalSuccessor bool   // somebody else has started the new process: our end is not its end, nor is it ours to start or kill
 
 	empty  bool // nothing of ours is open
 	ending bool // the ingress is to end: nobody's place is taken back
 	missed bool // SIGHUP came while the successor may have read the configuration already
 }
 
-// Committed tells whether a successor serves.
-func (m *Old) Committed() bool { return m.State == Probation || m.State == Emptying }
+// IsCommitted tells whether a successor serves.
+func (m *OldProcess) IsCommitted() bool { return m.State == Probation || m.State == Draining }
 
-// UnderWay tells whether an upgrade is.
-func (m *Old) UnderWay() bool { return m.State != Idle && m.State != Over }
+// IsInProgress tells whether an upgrade is.
+func (m *OldProcess) IsInProgress() bool { return m.State != Idle && m.State != Finished }
 
 // Handle takes one event and returns what is to be done.
-func (m *Old) Handle(ev Event) []Action {
+func (m *OldProcess) Handle(ev Event) []Action {
 	switch ev := ev.(type) {
-	case Asked:
+	case UpgradeRequested:
 		if m.State != Idle || m.ending {
 			return nil // the asker is told by the caller, see UnderWay
 		}
 		m.State, m.Failure, m.empty, m.missed = Starting, "", false, false
-		return []Action{Spawn, StartClock}
+		return []Action{Spawn, StartTimer}
 	case SpawnFailed:
 		if m.State == Starting {
-			return m.fail("not started: " + ev.Why)
+			return m.fail("not started: " + ev.Reason)
 		}
-	case Told:
+	case MessageReceived:
 		return m.told(ev)
-	case Garbled:
-		if m.Committed() { // it serves, and what it says does not matter for that
+	case InvalidData:
+		if m.IsCommitted() { // it serves, and what it says does not matter for that
 			return nil
 		}
-		if m.UnderWay() {
-			return m.fail("the new process has sent garbage: " + ev.Why)
+		if m.IsInProgress() {
+			return m.fail("the new process has sent garbage: " + ev.Reason)
 		}
-	case PeerGone:
-		return m.gone(ev.How)
-	case TimeUp:
+	case PeerExited:
+		return m.gone(ev.Detail)
+	case PhaseTimedOut:
 		return m.timeUp()
-	case Copied:
+	case CustomersCopied:
 		if m.State == Copying {
 			m.State = Frozen
-			return []Action{StopClock, Freeze, SendSnapshot, StartClock}
+			return []Action{StopTimer, Freeze, SendSnapshot, StartTimer}
 		}
-	case Emptied:
-		m.empty = m.Committed()
-		if m.State == Emptying {
+	case Drained:
+		m.empty = m.IsCommitted()
+		if m.State == Draining {
 			return m.over()
 		}
-	case EndAsked:
+	case TerminateRequested:
 		return m.end()
-	case ReloadAsked:
-		if m.Committed() {
+	case ReloadRequested:
+		if m.IsCommitted() {
 			return []Action{SendReload}
 		}
-		m.missed = m.UnderWay()
+		m.missed = m.IsInProgress()
 	}
 	return nil
 }
 
-func (m *Old) told(ev Told) []Action {
+func (m *OldProcess) told(ev MessageReceived) []Action {
 	switch {
-	case m.State == Idle || m.State == Over: // of a process that was given up
+	case m.State == Idle || m.State == Finished: // of a process that was given up
 		return nil
-	case ev.Message == Refused && !m.Committed():
+	case ev.Message == Refused && !m.IsCommitted():
 		return m.fail("refused by the new process: " + ev.Text)
 	case ev.Message == Hello && m.State == Starting && ev.Protocol != Protocol:
 		return m.fail(fmt.Sprintf("the new process speaks protocol %d of the hand-over, this one %d", ev.Protocol, Protocol))
 	case ev.Message == Hello && m.State == Starting:
 		m.State = Preparing
-		return []Action{StopClock, SendWelcome, StartClock}
+		return []Action{StopTimer, SendWelcome, StartTimer}
 	case ev.Message == Prepared && m.State == Preparing:
 		m.State = Copying
-		return []Action{StopClock, StartClock, CopyAhead}
+		return []Action{StopTimer, StartTimer, CopyCustomers}
 	case ev.Message == Restored && m.State == Frozen:
 		m.State = Probation
-		actions := []Action{StopClock, SendCommit, StartClock}
+		actions := []Action{StopTimer, SendCommit, StartTimer}
 		if m.missed {
 			m.missed = false
 			actions = append(actions, SendReload)
 		}
 		return actions
-	case ev.Message == Leaving && m.Committed():
+	case ev.Message == Leaving && m.IsCommitted():
 		m.ending = true
 		return nil
-	case m.Committed():
+	case m.IsCommitted():
 		return nil
 	}
 	return m.fail(fmt.Sprintf("the new process has sent %s while %s", ev.Message, m.State))
 }
 
-func (m *Old) gone(how string) []Action {
+func (m *OldProcess) gone(how string) []Action {
 	switch {
-	case m.State == Idle || m.State == Over:
+	case m.State == Idle || m.State == Finished:
 		return nil
-	case !m.Committed():
+	case !m.IsCommitted():
 		return m.fail("the new process has ended while " + m.State.String() + ": " + how)
 	case m.ending: // as it was told to
-		m.State = Emptying
-		actions := []Action{StopClock}
+		m.State = Draining
+		actions := []Action{StopTimer}
 		if m.empty {
 			actions = append(actions, m.over()...)
 		}
 		return actions
 	}
-	reported := m.State == Emptying
+	reported := m.State == Draining
 	m.State = Idle
 	m.Failure = "the new process has ended after it took over: " + how
 	if reported { // as done: who asked has gone
-		return []Action{StopClock, Reclaim}
+		return []Action{StopTimer, ReclaimListeners}
 	}
-	return []Action{StopClock, Reclaim, ReportFailed}
+	return []Action{StopTimer, ReclaimListeners, ReportFailed}
 }
 
-func (m *Old) timeUp() []Action {
+func (m *OldProcess) timeUp() []Action {
 	switch m.State {
 	case Starting, Preparing, Copying, Frozen:
 		return m.fail("the new process has taken too long while " + m.State.String())
 	case Probation:
-		m.State = Emptying
+		m.State = Draining
 		actions := []Action{SendSettled, ReportDone}
 		if m.empty {
 			actions = append(actions, m.over()...)
@@ -155,29 +155,29 @@
 }
 
 // fail ends an upgrade before its commit.
-func (m *Old) fail(why string) []Action {
+func (m *OldProcess) fail(why string) []Action {
 	was := m.State
 	m.State, m.Failure = Idle, why
-	actions := []Action{StopClock, SendAbort, Kill}
+	actions := []Action{StopTimer, SendAbort, Kill}
 	if was == Frozen {
 		actions = append(actions, Unfreeze)
 	}
 	return append(actions, ReportFailed)
 }
 
-func (m *Old) end() []Action {
+func (m *OldProcess) end() []Action {
 	switch {
-	case m.State == Over:
+	case m.State == Finished:
 		return nil
 	case m.State == Idle:
 		m.ending = true
 		return []Action{Drain}
-	case !m.Committed():
+	case !m.IsCommitted():
 		m.ending = true
 		return append(m.fail("the ingress was told to end"), Drain)
 	case m.ending:
 		return nil
-	case m.Beside:
+	case m.HasExternalSuccessor:
 		return m.release()
 	}
 	m.ending = true
@@ -185,12 +185,12 @@
 }
 
 // release ends what this process still has. The new one goes on, and has stood its probation.
-func (m *Old) release() []Action {
+func (m *OldProcess) release() []Action {
 	m.ending = true
-	actions := []Action{EndOwn}
+	actions := []Action{DrainRemaining}
 	if m.State == Probation {
-		m.State = Emptying
-		actions = append(actions, StopClock, SendSettled, ReportDone)
+		m.State = Draining
+		actions = append(actions, StopTimer, SendSettled, ReportDone)
 	}
 	if m.empty {
 		actions = append(actions, m.over()...)
@@ -198,7 +198,7 @@
 	return actions
 }
 
-func (m *Old) over() []Action {
-	m.State = Over
-	return []Action{SayFarewell}
+func (m *OldProcess) over() []Action {
+	m.State = Finished
+	return []Action{SendFarewell}
 }
--- a/internal/handover/phase/phase.go
+++ b/internal/handover/phase/phase.go
@@ -45,103 +45,103 @@
 // Event is something that happened, one of the types below.
 type Event interface{ isEvent() }
 
-// Asked is the event that an upgrade is asked for.
-type Asked struct{}
+// UpgradeRequested is the event that an upgrade is asked for.
+type UpgradeRequested struct{}
 
 // SpawnFailed is the event that the new process could not be started; Why is the cause.
-type SpawnFailed struct{ Why string }
+type SpawnFailed struct{ Reason string }
 
-// Told is the event that the other process has sent a message. Text goes with Refused, Protocol with Hello and Welcome.
-type Told struct {
+// MessageReceived is the event that the other process has sent a message. Text goes with Refused, Protocol with Hello and Welcome.
+type MessageReceived struct {
 	Message  Message
 	Protocol int
 	Text     string
 }
 
-// Garbled is the event that the other process has sent what can't be read or is out of place.
-type Garbled struct{ Why string }
+// InvalidData is the event that the other process has sent what can't be read or is out of place.
+type InvalidData struct{ Reason string }
 
-// PeerGone is the event that the other process has ended, for certain; on the old side How tells its exit.
-type PeerGone struct{ How string }
+// PeerExited is the event that the other process has ended, for certain; on the old side How tells its exit.
+type PeerExited struct{ Detail string }
 
-// TimeUp is the event that the present phase has lasted as long as it may.
-type TimeUp struct{}
+// PhaseTimedOut is the event that the present phase has lasted as long as it may.
+type PhaseTimedOut struct{}
 
-// Copied is the event that all customers have been copied ahead.
-type Copied struct{}
+// CustomersCopied is the event that all customers have been copied ahead.
+type CustomersCopied struct{}
 
-// Emptied is the event that nothing that was taken by this process is open any more.
-type Emptied struct{}
+// Drained is the event that nothing that was taken by this process is open any more.
+type Drained struct{}
 
-// Ready is the event that the new process has what it needs of its own: configuration, parts, discovery.
-type Ready struct{}
+// PrepareDone is the event that the new process has what it needs of its own: configuration, parts, discovery.
+type PrepareDone struct{}
 
-// Unfit is the event that the new process can't take over.
-type Unfit struct{ Why string }
+// TakeoverFailed is the event that the new process can't take over.
+type TakeoverFailed struct{ Reason string }
 
-// RestoredAll is the event that the snapshot is in place.
-type RestoredAll struct{}
+// SnapshotRestored is the event that the snapshot is in place.
+type SnapshotRestored struct{}
 
-// EndAsked is the event that this process has got SIGTERM.
-type EndAsked struct{}
+// TerminateRequested is the event that this process has got SIGTERM.
+type TerminateRequested struct{}
 
-// ReloadAsked is the event that this process has got SIGHUP.
-type ReloadAsked struct{}
+// ReloadRequested is the event that this process has got SIGHUP.
+type ReloadRequested struct{}
 
-func (Asked) isEvent()       {}
-func (SpawnFailed) isEvent() {}
-func (Told) isEvent()        {}
-func (Garbled) isEvent()     {}
-func (PeerGone) isEvent()    {}
-func (TimeUp) isEvent()      {}
-func (Copied) isEvent()      {}
-func (Emptied) isEvent()     {}
-func (Ready) isEvent()       {}
-func (Unfit) isEvent()       {}
-func (RestoredAll) isEvent() {}
-func (EndAsked) isEvent()    {}
-func (ReloadAsked) isEvent() {}
+func (UpgradeRequested) isEvent()   {}
+func (SpawnFailed) isEvent()        {}
+func (MessageReceived) isEvent()    {}
+func (InvalidData) isEvent()        {}
+func (PeerExited) isEvent()         {}
+func (PhaseTimedOut) isEvent()      {}
+func (CustomersCopied) isEvent()    {}
+func (Drained) isEvent()            {}
+func (PrepareDone) isEvent()        {}
+func (TakeoverFailed) isEvent()     {}
+func (SnapshotRestored) isEvent()   {}
+func (TerminateRequested) isEvent() {}
+func (ReloadRequested) isEvent()    {}
 
 // Action is what a machine wants done, in order.
 type Action int
 
 const (
 	// Of the old process.
-	Spawn         Action = iota // start the binary that is on disk now
-	SendWelcome                 // answer its Hello
-	CopyAhead                   // begin to copy customers, while serving
-	Freeze                      // accept and read no more
-	SendSnapshot                // send the state and the listeners; from now on tell what becomes of what is open
-	SendCommit                  // the new process serves; send on each connection as it falls idle
-	Unfreeze                    // accept and read again: nothing was lost
-	SendAbort                   // tell the new process that it is not wanted
-	Kill                        // make sure that it has ended
-	Reclaim                     // accept again after the successor's death, with what it sent unknown
-	SendSettled                 // the probation is over
-	SendTerminate               // pass the end on
-	SendReload                  // pass the reload on
-	Drain                       // end as on SIGTERM
-	EndOwn                      // end what is ours, in the time of a planned end: the new process goes on
-	SayFarewell                 // all is over: tell and exit
-	ReportDone                  // tell who asked: the upgrade has succeeded
-	ReportFailed                // tell who asked: it has not, with Failure
+	Spawn            Action = iota // start the binary that is on disk now
+	SendWelcome                    // answer its Hello
+	CopyCustomers                  // begin to copy customers, while serving
+	Freeze                         // accept and read no more
+	SendSnapshot                   // send the state and the listeners; from now on tell what becomes of what is open
+	SendCommit                     // the new process serves; send on each connection as it falls idle
+	Unfreeze                       // accept and read again: nothing was lost
+	SendAbort                      // tell the new process that it is not wanted
+	Kill                           // make sure that it has ended
+	ReclaimListeners               // accept again after the successor's death, with what it sent unknown
+	SendSettled                    // the probation is over
+	SendTerminate                  // pass the end on
+	SendReload                     // pass the reload on
+	Drain                          // end as on SIGTERM
+	DrainRemaining                 // end what is ours, in the time of a planned end: the new process goes on
+	SendFarewell                   // all is over: tell and exit
+	ReportDone                     // tell who asked: the upgrade has succeeded
+	ReportFailed                   // tell who asked: it has not, with Failure
 
 	// Of the new process.
-	Prepare      // read the configuration, build the parts, reach discovery
-	SendPrepared // ready for the customers
-	Restore      // put the state in place
-	SendRestored // it is in place
-	Serve        // accept and read
-	SendServing  // tell so
-	SendRefused  // with Failure
-	SendLeaving  // we were told to end
-	Forget       // the predecessor is gone: nothing more is told of what it had
-	ReloadOwn    // read the configuration again
-	Exit         // end at once; nothing was taken
+	Prepare           // read the configuration, build the parts, reach discovery
+	SendPrepared      // ready for the customers
+	Restore           // put the state in place
+	SendRestored      // it is in place
+	Serve             // accept and read
+	SendServing       // tell so
+	SendRefused       // with Failure
+	SendLeaving       // we were told to end
+	ForgetPredecessor // the predecessor is gone: nothing more is told of what it had
+	ReloadConfig      // read the configuration again
+	Exit              // end at once; nothing was taken
 
 	// Of both.
-	StartClock // the phase's time runs; the machine's State tells which
-	StopClock
+	StartTimer // the phase's time runs; the machine's State tells which
+	StopTimer
 	actions
 )
 
--- a/internal/handover/phase/phase_test.go
+++ b/internal/handover/phase/phase_test.go
@@ -11,8 +11,8 @@
 // pair is both processes with what is on its way between them; it is a value, so that every order of events
 // can be tried from it.
 type pair struct {
-	old              Old
-	new              New
+	old              OldProcess
+	new              NewProcess
 	oldAlive, newUp  bool
 	doomed           bool // SIGKILL was sent to the new one and has not struck yet
 	oldReads         bool
@@ -40,7 +40,7 @@
 	for _, a := range p.old.Handle(ev) {
 		switch a {
 		case Spawn:
-			p.new, p.newUp, p.toOld, p.toNew, p.newReads, p.doomed = New{}, true, "h", "", false, false
+			p.new, p.newUp, p.toOld, p.toNew, p.newReads, p.doomed = NewProcess{}, true, "h", "", false, false
 		case SendWelcome:
 			p.send(Welcome)
 		case Freeze:
@@ -49,7 +49,7 @@
 			p.send(Snapshot)
 		case SendCommit:
 			p.send(Commit)
-		case Unfreeze, Reclaim:
+		case Unfreeze, ReclaimListeners:
 			p.oldReads = true
 		case SendAbort:
 			p.send(Abort)
@@ -59,7 +59,7 @@
 			p.send(Settled)
 		case Drain:
 			p.oldDrain = true
-		case SayFarewell:
+		case SendFarewell:
 			p.send(Farewell)
 			p.oldAlive, p.listens = false, false
 		case ReportDone, ReportFailed:
@@ -102,36 +102,36 @@
 			next = append(next, q)
 		}
 	}
-	try(p.oldAlive && p.asked < 2 && !p.old.UnderWay() && !p.oldDrain && !p.newUp,
-		func(q *pair) { q.asked++; q.onOld(Asked{}) })
+	try(p.oldAlive && p.asked < 2 && !p.old.IsInProgress() && !p.oldDrain && !p.newUp,
+		func(q *pair) { q.asked++; q.onOld(UpgradeRequested{}) })
 	try(p.newUp && p.toNew != "", func(q *pair) {
 		m := messageOf(q.toNew[0])
 		q.toNew = q.toNew[1:]
-		q.onNew(Told{Message: m, Protocol: Protocol})
+		q.onNew(MessageReceived{Message: m, Protocol: Protocol})
 	})
 	try(p.oldAlive && p.toOld != "", func(q *pair) {
 		m := messageOf(q.toOld[0])
 		q.toOld = q.toOld[1:]
-		q.onOld(Told{Message: m, Protocol: Protocol})
+		q.onOld(MessageReceived{Message: m, Protocol: Protocol})
 	})
-	try(p.newUp && p.new.State == Building, func(q *pair) { q.onNew(Ready{}) })
-	try(p.newUp && p.new.State == Building, func(q *pair) { q.onNew(Unfit{"test"}) })
-	try(p.newUp && p.new.State == Waiting && p.new.restored, func(q *pair) { q.onNew(RestoredAll{}) })
-	try(p.oldAlive && p.old.State == Copying, func(q *pair) { q.onOld(Copied{}) })
-	try(p.oldAlive && p.old.UnderWay(), func(q *pair) { q.onOld(TimeUp{}) })
-	try(p.newUp && !p.new.Serves(), func(q *pair) { q.onNew(TimeUp{}) })
-	try(p.oldAlive && p.old.Committed() && !p.old.empty, func(q *pair) { q.onOld(Emptied{}) })
-	try(p.oldAlive && !p.oldDrain && !p.old.ending, func(q *pair) { q.onOld(EndAsked{}) })
-	try(p.newUp && !p.newEnd, func(q *pair) { q.onNew(EndAsked{}) })
+	try(p.newUp && p.new.State == Building, func(q *pair) { q.onNew(PrepareDone{}) })
+	try(p.newUp && p.new.State == Building, func(q *pair) { q.onNew(TakeoverFailed{"test"}) })
+	try(p.newUp && p.new.State == AwaitingSnapshot && p.new.restored, func(q *pair) { q.onNew(SnapshotRestored{}) })
+	try(p.oldAlive && p.old.State == Copying, func(q *pair) { q.onOld(CustomersCopied{}) })
+	try(p.oldAlive && p.old.IsInProgress(), func(q *pair) { q.onOld(PhaseTimedOut{}) })
+	try(p.newUp && !p.new.IsServing(), func(q *pair) { q.onNew(PhaseTimedOut{}) })
+	try(p.oldAlive && p.old.IsCommitted() && !p.old.empty, func(q *pair) { q.onOld(Drained{}) })
+	try(p.oldAlive && !p.oldDrain && !p.old.ending, func(q *pair) { q.onOld(TerminateRequested{}) })
+	try(p.newUp && !p.newEnd, func(q *pair) { q.onNew(TerminateRequested{}) })
 	try(p.newUp && p.newEnd, func(q *pair) { q.newUp, q.newReads = false, false })
 	try(p.newUp, func(q *pair) { q.newUp, q.newReads = false, false }) // killed, or struck at last
 	// The old one learns of the other's death once it has read what that had sent, and the channel stays open
 	// until then, so that a new one in Holding never takes a SIGKILL on its way for the old one's death.
-	try(!p.newUp && p.oldAlive && p.old.UnderWay() && p.toOld == "", func(q *pair) { q.onOld(PeerGone{"killed"}) })
+	try(!p.newUp && p.oldAlive && p.old.IsInProgress() && p.toOld == "", func(q *pair) { q.onOld(PeerExited{"killed"}) })
 	try(p.oldAlive && p.newUp && !p.doomed, func(q *pair) { // kill -9 of the old one
 		q.oldAlive, q.oldReads, q.listens = false, false, false
 	})
-	try(!p.oldAlive && p.newUp && p.toNew == "" && p.new.State != Independent, func(q *pair) { q.onNew(PeerGone{}) })
+	try(!p.oldAlive && p.newUp && p.toNew == "" && p.new.State != Independent, func(q *pair) { q.onNew(PeerExited{}) })
 	return next
 }
 
@@ -142,7 +142,7 @@
 }
 
 func everyOrder(t *testing.T, beside bool) {
-	first := pair{oldAlive: true, oldReads: true, listens: true, old: Old{Beside: beside}}
+	first := pair{oldAlive: true, oldReads: true, listens: true, old: OldProcess{HasExternalSuccessor: beside}}
 	seen := map[string]bool{}
 	work := []pair{first}
 	states := map[string]bool{}
@@ -159,7 +159,7 @@
 		require.LessOrEqual(t, p.told, p.asked, key)
 		next := p.steps()
 		if p.oldAlive && !p.oldReads && !p.old.ending { // someone reads, or it is still to be decided
-			require.True(t, p.old.UnderWay(), "the old process reads no more for nothing: %s", key)
+			require.True(t, p.old.IsInProgress(), "the old process reads no more for nothing: %s", key)
 		}
 		if len(next) == 0 || slices.Equal(next, []pair{p}) {
 			reads := p.oldAlive && p.oldReads || p.newUp && p.newReads
@@ -179,34 +179,34 @@
 // The old process is told to end once the new one serves, by who has started that: the new one goes on, whether or
 // not the old one still has something, and it is not taken for dead by its own end.
 func TestTheEndOfAnOldProcessIsNotTheNewOnes(t *testing.T) {
-	m := Old{State: Probation, Beside: true}
-	require.Equal(t, []Action{EndOwn, StopClock, SendSettled, ReportDone}, m.Handle(EndAsked{}))
-	require.Equal(t, Emptying, m.State)
-	require.Equal(t, []Action{SayFarewell}, m.Handle(Emptied{}))
-	m = Old{State: Emptying, Beside: true}
-	require.Equal(t, []Action{EndOwn}, m.Handle(EndAsked{}))
-	require.Empty(t, m.Handle(EndAsked{}))
-	require.NotContains(t, m.Handle(PeerGone{"killed"}), Reclaim, "both were told to end, or killed")
+	m := OldProcess{State: Probation, HasExternalSuccessor: true}
+	require.Equal(t, []Action{DrainRemaining, StopTimer, SendSettled, ReportDone}, m.Handle(TerminateRequested{}))
+	require.Equal(t, Draining, m.State)
+	require.Equal(t, []Action{SendFarewell}, m.Handle(Drained{}))
+	m = OldProcess{State: Draining, HasExternalSuccessor: true}
+	require.Equal(t, []Action{DrainRemaining}, m.Handle(TerminateRequested{}))
+	require.Empty(t, m.Handle(TerminateRequested{}))
+	require.NotContains(t, m.Handle(PeerExited{"killed"}), ReclaimListeners, "both were told to end, or killed")
 }
 
 // The death of the old process after all is in place must not leave the listeners to nobody.
 func TestWhoHoldsAllTakesOverFromTheDead(t *testing.T) {
-	m := New{State: Holding}
-	require.Equal(t, []Action{StopClock, Serve, Forget}, m.Handle(PeerGone{}))
-	m = New{State: Waiting}
-	require.Equal(t, []Action{Exit}, m.Handle(PeerGone{}))
+	m := NewProcess{State: AwaitingCommit}
+	require.Equal(t, []Action{StopTimer, Serve, ForgetPredecessor}, m.Handle(PeerExited{}))
+	m = NewProcess{State: AwaitingSnapshot}
+	require.Equal(t, []Action{Exit}, m.Handle(PeerExited{}))
 }
 
 func TestEveryStateMeetsEveryEvent(t *testing.T) {
 	var events []Event
 	for m := range messages {
-		events = append(events, Told{Message: m, Protocol: Protocol}, Told{Message: m, Protocol: 9})
+		events = append(events, MessageReceived{Message: m, Protocol: Protocol}, MessageReceived{Message: m, Protocol: 9})
 	}
-	events = append(events, Asked{}, SpawnFailed{"x"}, Garbled{"x"}, PeerGone{"x"}, TimeUp{}, Copied{}, Emptied{}, Ready{},
-		Unfit{"x"}, RestoredAll{}, EndAsked{}, ReloadAsked{})
+	events = append(events, UpgradeRequested{}, SpawnFailed{"x"}, InvalidData{"x"}, PeerExited{"x"}, PhaseTimedOut{}, CustomersCopied{}, Drained{}, PrepareDone{},
+		TakeoverFailed{"x"}, SnapshotRestored{}, TerminateRequested{}, ReloadRequested{})
 	for _, ev := range events {
 		for s := range oldStates {
-			m := Old{State: s}
+			m := OldProcess{State: s}
 			actions := m.Handle(ev)
 			require.Equal(t, s == Frozen && m.State == Idle, slices.Contains(actions, Unfreeze), "%s %#v", s, ev)
 			if s >= Starting && s <= Frozen && m.State == Idle { // each failure is told, and the other one ended
@@ -214,15 +214,15 @@
 				require.Contains(t, actions, Kill, "%s %#v", s, ev)
 				require.NotEmpty(t, m.Failure)
 			}
-			if s == Over || s == Idle && ev != (Asked{}) && ev != (EndAsked{}) {
+			if s == Finished || s == Idle && ev != (UpgradeRequested{}) && ev != (TerminateRequested{}) {
 				require.Empty(t, actions, "%s %#v", s, ev)
 			}
 		}
 		for s := range newStates {
-			m := New{State: s}
+			m := NewProcess{State: s}
 			actions := m.Handle(ev)
-			served := s >= Trial && s <= Independent
-			require.Equal(t, served, m.Serves() && !slices.Contains(actions, Serve), "%s %#v", s, ev)
+			served := s >= OnProbation && s <= Independent
+			require.Equal(t, served, m.IsServing() && !slices.Contains(actions, Serve), "%s %#v", s, ev)
 			require.Equal(t, s != Ended && m.State == Ended, slices.Contains(actions, Exit), "%s %#v", s, ev)
 		}
 	}
@@ -230,17 +230,17 @@
 
 func TestASignalDuringAnUpgrade(t *testing.T) {
 	for s := Starting; s <= Frozen; s++ {
-		m := Old{State: s}
-		actions := m.Handle(EndAsked{})
+		m := OldProcess{State: s}
+		actions := m.Handle(TerminateRequested{})
 		require.Equal(t, Drain, actions[len(actions)-1])
 		require.Equal(t, Idle, m.State)
-		require.Empty(t, m.Handle(Asked{}), "nothing is started on the way out")
+		require.Empty(t, m.Handle(UpgradeRequested{}), "nothing is started on the way out")
 	}
-	m := Old{State: Probation}
-	require.Equal(t, []Action{SendTerminate}, m.Handle(EndAsked{}))
-	require.NotContains(t, m.Handle(PeerGone{"exit 0"}), Reclaim, "its end was asked for")
-	m = Old{State: Copying}
-	m.Handle(ReloadAsked{})
+	m := OldProcess{State: Probation}
+	require.Equal(t, []Action{SendTerminate}, m.Handle(TerminateRequested{}))
+	require.NotContains(t, m.Handle(PeerExited{"exit 0"}), ReclaimListeners, "its end was asked for")
+	m = OldProcess{State: Copying}
+	m.Handle(ReloadRequested{})
 	m.State = Frozen
-	require.Contains(t, m.Handle(Told{Message: Restored}), SendReload, "it may have read the old configuration")
+	require.Contains(t, m.Handle(MessageReceived{Message: Restored}), SendReload, "it may have read the old configuration")
 }
--- a/internal/lab/misbehave.go
+++ b/internal/lab/misbehave.go
@@ -18,7 +18,7 @@
 // Misbehave is a successor that fails in a stated way. It speaks the messages over the socket that it was
 // started with, one packet each.
 func Misbehave(how string) error {
-	fd, err := strconv.Atoi(os.Getenv(handover.Env))
+	fd, err := strconv.Atoi(os.Getenv(handover.DescriptorEnv))
 	if err != nil {
 		return errors.New("no old process has started this one")
 	}
--- a/internal/own/own.go
+++ b/internal/own/own.go
@@ -60,14 +60,14 @@
 	if err := v.Decode(s); err != nil {
 		return nil, explain(path, err)
 	}
-	if err := s.Limit(&limits.Limits{}); err != nil {
+	if err := s.ApplyLimits(&limits.Limits{}); err != nil {
 		return nil, err
 	}
 	if err := checkReplicas(path, v, s.ControlGroup.Replicas); err != nil {
 		return nil, err
 	}
 	if s.Front != nil {
-		if _, err := s.File(); err != nil {
+		if _, err := s.FrontFile(); err != nil {
 			return nil, err
 		}
 	}
@@ -151,11 +151,11 @@
 	return fmt.Errorf("settings: %s", strings.Join(lines, "\n"))
 }
 
-// File is the second front's part, as a file of its own would say it.
-func (s *Settings) File() (openapi.File, error) { return openapi.ParseFile(s.Front, s.path) }
+// FrontFile is the second front's part, as a file of its own would say it.
+func (s *Settings) FrontFile() (openapi.File, error) { return openapi.ParseFile(s.Front, s.path) }
 
-// Limit puts the file's bounds in place.
-func (s *Settings) Limit(l *limits.Limits) error {
+// ApplyLimits puts the file's bounds in place.
+func (s *Settings) ApplyLimits(l *limits.Limits) error {
 	for _, f := range []struct {
 		name, text string
 		to         *time.Duration
--- a/internal/own/own_test.go
+++ b/internal/own/own_test.go
@@ -26,7 +26,7 @@
 	require.NoError(t, err)
 	require.True(t, s.Membership.Enabled)
 	var l limits.Limits
-	require.NoError(t, s.Limit(&l))
+	require.NoError(t, s.ApplyLimits(&l))
 	require.Equal(t, []any{time.Second, 250 * time.Millisecond, time.Second, 4},
 		[]any{l.MemberProbeInterval, l.MemberAckTimeout, l.MemberSuspicionTimeout, l.MemberIndirectProbes})
 }
@@ -38,7 +38,7 @@
 	want, err := limits.For(limits.Site{Sockets: 1024})
 	require.NoError(t, err)
 	got := want
-	require.NoError(t, s.Limit(&got))
+	require.NoError(t, s.ApplyLimits(&got))
 	require.Equal(t, want, got)
 }
 
@@ -72,6 +72,6 @@
 	require.NoError(t, err)
 	require.Equal(t, []string{"127.0.0.1:7400", "[::1]:7401"}, s.ControlGroup.Replicas)
 	var l limits.Limits
-	require.NoError(t, s.Limit(&l))
+	require.NoError(t, s.ApplyLimits(&l))
 	require.Equal(t, 3*time.Second, l.ControlReadyTimeout)
 }
