--- a/cmd/ferryfront/config.go
+++ b/cmd/ferryfront/config.go
@@ -11,17 +11,17 @@
 	"ferryfront.example/ferryfront/internal/own"
 )
 
-// chosen is what the settings file and the flags come to, beyond the daemon's options.
-type chosen struct {
+// fileSettings is what the settings file and the flags come to, beyond the daemon's options.
+type fileSettings struct {
 	Log struct{ Format, Level string }
-	// Limit changes bounds as the file says; nil without a file.
-	Limit func(*limits.Limits)
+	// ApplyLimits changes bounds as the file says; nil without a file.
+	ApplyLimits func(*limits.Limits)
 }
 
-// own reads the settings file, if one is named, and puts what it says where the flags say nothing. The file is
+// readSettings reads the settings file, if one is named, and puts what it says where the flags say nothing. The file is
 // read only here: who names none pays nothing for its library.
-func (p *program) own(path string, o *daemon.Options, format, level string) (chosen, error) {
-	var c chosen
+func (p *program) readSettings(path string, o *daemon.Options, format, level string) (fileSettings, error) {
+	var c fileSettings
 	c.Log.Format, c.Log.Level = format, level
 	if path == "" {
 		return c, nil
@@ -46,17 +46,17 @@
 		c.Log.Level = s.Log.Level
 	}
 	o.Members, o.ControlReplicas = s.Membership.Enabled, s.ControlGroup.Replicas
-	c.Limit = func(l *limits.Limits) {
+	c.ApplyLimits = func(l *limits.Limits) {
 		// Read has made sure that it can be put in place.
 		_ = s.ApplyLimits(l)
 	}
 	return c, nil
 }
 
-func (p *program) config() *cobra.Command {
+func (p *program) configCommand() *cobra.Command {
 	c := &cobra.Command{Use: "config", Short: "Check or show a file of the program's own settings", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			p.usage = true
+			p.isUsageError = true
 			return errors.New("config: check or show?")
 		}}
 	var path string
@@ -64,7 +64,7 @@
 	check := &cobra.Command{Use: "check", Short: "Read a settings file and name file, line and field of what is wrong",
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			if path == "" {
-				p.usage = true
+				p.isUsageError = true
 				return errors.New("config check: --config names no file")
 			}
 			if _, err := own.Read(path); err != nil {
@@ -76,7 +76,7 @@
 	show := &cobra.Command{Use: "show", Short: "Print a settings file as it is in force, with defaults", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if path == "" {
-				p.usage = true
+				p.isUsageError = true
 				return errors.New("config show: --config names no file")
 			}
 			text, err := own.Show(path)
--- a/cmd/ferryfront/serve.go
+++ b/cmd/ferryfront/serve.go
@@ -21,7 +21,7 @@
 	"ferryfront.example/ferryfront/internal/front/openapi"
 )
 
-func (p *program) serve() *cobra.Command {
+func (p *program) serveCommand() *cobra.Command {
 	var o daemon.Options
 	var front, file, format, level string
 	c := &cobra.Command{Use: "serve", Short: "Run the ingress; its configuration is the file that GW_CONFIG names",
@@ -37,22 +37,22 @@
 		if front != "" {
 			o.ReadFront = func() (openapi.File, error) { return openapi.ReadFile(front) }
 		}
-		own, err := p.own(file, &o, format, level)
+		own, err := p.readSettings(file, &o, format, level)
 		if err != nil {
 			return err
 		}
 		if o.OTLP == "" {
 			o.OTLP = p.getenv("OTEL_EXPORTER_OTLP_ENDPOINT")
 		}
-		if o.Log, err = newLog(p.errs, own.Log.Format, own.Log.Level); err != nil {
-			p.usage = true
+		if o.Log, err = newLogger(p.errOut, own.Log.Format, own.Log.Level); err != nil {
+			p.isUsageError = true
 			return err
 		}
 		o.Version, o.Getenv = version, p.getenv
 		o.Load = func() (config.Config, error) { return config.Load(p.getenv) }
 		o.Reload = func(was config.Config) (config.Config, error) { return config.Reload(p.getenv, was) }
-		o.Limit = own.Limit
-		o.Command = command()
+		o.Limit = own.ApplyLimits
+		o.Command = restartCommand()
 		o.Notify = func(state ...string) {
 			// Without a service manager there is nobody to tell, and one that can't be told goes by the process's end.
 			_, _ = sdnotify.SdNotify(false, strings.Join(state, "\n"))
@@ -65,9 +65,9 @@
 	return c
 }
 
-// command is how this process was started: the path as it was given, so that what lies there at an upgrade is
+// restartCommand is how this process was started: the path as it was given, so that what lies there at an upgrade is
 // started then, and not what this process was read from.
-func command() []string {
+func restartCommand() []string {
 	path, err := exec.LookPath(os.Args[0])
 	if err != nil {
 		return nil
@@ -78,7 +78,7 @@
 	return append([]string{path}, os.Args[1:]...)
 }
 
-func newLog(w io.Writer, format, level string) (*slog.Logger, error) {
+func newLogger(w io.Writer, format, level string) (*slog.Logger, error) {
 	var at slog.Level
 	if err := at.UnmarshalText([]byte(level)); level != "" && err != nil {
 		return nil, fmt.Errorf("log level %q is none of debug, info, warn and error", level)
@@ -93,7 +93,7 @@
 	return nil, fmt.Errorf("log format %q is neither text nor json", format)
 }
 
-func (p *program) checkConfig() *cobra.Command {
+func (p *program) checkConfigCommand() *cobra.Command {
 	return &cobra.Command{Use: "check-config", Short: "Read the file that GW_CONFIG names and say what is wrong with it",
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			cfg, err := config.Load(p.getenv)
@@ -107,8 +107,8 @@
 		}}
 }
 
-// routes compiles a second front's file as serve would and prints its table.
-func (p *program) routes() *cobra.Command {
+// routesCommand compiles a second front's file as serve would and prints its table.
+func (p *program) routesCommand() *cobra.Command {
 	var path string
 	c := &cobra.Command{Use: "routes", Short: "Print the route table of a second front's file", Args: cobra.NoArgs}
 	c.Flags().StringVar(&path, "front", "", "`file` of the second front")
--- a/cmd/ferryfront/upgrade.go
+++ b/cmd/ferryfront/upgrade.go
@@ -12,9 +12,9 @@
 	"ferryfront.example/ferryfront/internal/daemon"
 )
 
-// control adds the flags that tell which daemon is meant, and how long to wait for it. What it returns finds its
+// controlFlags adds the flags that tell which daemon is meant, and how long to wait for it. What it returns finds its
 // socket and asks.
-func (p *program) control(c *cobra.Command) func(ask func(ctx context.Context, socket string) error) error {
+func (p *program) controlFlags(c *cobra.Command) func(ask func(ctx context.Context, socket string) error) error {
 	var socket, file string
 	c.Flags().StringVar(&socket, "control", "", "`path` of the daemon's control socket")
 	c.Flags().StringVar(&file, "config", "", "`file` of the program's own settings, which may name it")
@@ -22,7 +22,7 @@
 	return func(ask func(ctx context.Context, socket string) error) error {
 		var o daemon.Options
 		o.Control = socket
-		if _, err := p.own(file, &o, "", ""); err != nil {
+		if _, err := p.readSettings(file, &o, "", ""); err != nil {
 			return err
 		}
 		if o.Control == "" {
@@ -34,13 +34,13 @@
 	}
 }
 
-func (p *program) upgrade() *cobra.Command {
+func (p *program) upgradeCommand() *cobra.Command {
 	c := &cobra.Command{Use: "upgrade", Args: cobra.NoArgs,
 		Short: "Have the running daemon replaced by the binary that is on disk now, with no request lost",
 		Long: `Asks the running daemon to start the binary that lies at its own path now and to hand everything over to
 it. Prints each phase. Exits with 0 once the new process has stood its probation, else with 1 and the reason
 why the old one carries on.`}
-	with := p.control(c)
+	with := p.controlFlags(c)
 	asJSON := c.Flags().Bool("json", false, "print the result as one line of JSON")
 	run := func(ctx context.Context, socket string) error {
 		end, err := daemon.Upgrade(ctx, socket, func(progress daemon.Progress) {
@@ -66,22 +66,22 @@
 	return c
 }
 
-func (p *program) status() *cobra.Command {
-	return p.ask("status", "Print what the running daemon is doing, as JSON")
+func (p *program) statusCommand() *cobra.Command {
+	return p.queryCommand("status", "Print what the running daemon is doing, as JSON")
 }
 
-func (p *program) members() *cobra.Command {
-	return p.ask("members", "Print which ingresses the running daemon holds to be there, as JSON")
+func (p *program) membersCommand() *cobra.Command {
+	return p.queryCommand("members", "Print which ingresses the running daemon holds to be there, as JSON")
 }
 
-func (p *program) leave() *cobra.Command {
+func (p *program) leaveCommand() *cobra.Command {
 	c := &cobra.Command{Use: "leave", Args: cobra.NoArgs,
 		Short: "End the running daemon for good: the other ingresses share what was its part",
 		Long: `Ends the daemon in the orderly way of SIGTERM, and then has it tell the other ingresses that it left. They
 count it out of ceilings and quotas until it is started again. For an ingress that comes back use SIGTERM: it
 keeps its part. With --member, tells instead that another ingress, which is dead in this one's view, is gone for
 good. Exits with 1 where membership is not enabled, an upgrade is under way, or that ingress is not dead.`}
-	with := p.control(c)
+	with := p.controlFlags(c)
 	member := c.Flags().String("member", "", "`number` of another ingress, which is dead for good")
 	run := func(ctx context.Context, socket string) error {
 		return daemon.Ask(ctx, socket, daemon.Command{Do: "leave", Member: *member}, func(line []byte) error {
@@ -104,10 +104,10 @@
 	return c
 }
 
-// ask is a command that prints what the daemon answers to it.
-func (p *program) ask(do, short string) *cobra.Command {
+// queryCommand is a command that prints what the daemon answers to it.
+func (p *program) queryCommand(do, short string) *cobra.Command {
 	c := &cobra.Command{Use: do, Short: short, Args: cobra.NoArgs}
-	with := p.control(c)
+	with := p.controlFlags(c)
 	run := func(ctx context.Context, socket string) error {
 		return daemon.Ask(ctx, socket, daemon.Command{Do: do}, func(line []byte) error {
 			_, err := fmt.Fprintf(p.out, "%s\n", line)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,7 @@
-// Package config reads what the platform tells an ingress at its start.
+// Package config reads and checks the JSON configuration that the platform gives to an ingress: the file that the
+// environment variable GW_CONFIG names. It reads the file at the start and at each reload, and applies settings that
+// other ingresses or the control group agreed on. It opens no socket and keeps no state; it doesn't read the program's
+// own settings, see package own.
 package config
 
 import (
@@ -18,59 +21,72 @@
 	"ferryfront.example/ferryfront/internal/settings"
 )
 
-// Config is one ingress's configuration.
+// Config is the configuration of one ingress. Addresses are "IP:port"; Parse has checked them.
 type Config struct {
+	// Name of the ingress, address for clients, address of discovery and address of the shared counter. The counter's
+	// is checked only if the settings have a counter.
 	Name, Listen, Discovery, Counter string
-	Mgmt                             string   // where operators ask, empty: nowhere
-	PeerListen                       string   // where messages of other ingresses come, empty: nowhere
-	Peers                            []string // where each ingress takes them, by its number
-	Seed                             uint64
-	Cores                            float64
-	KnownHosts                       discovery.List
-	Settings                         admission.Settings
-	SettingsVersion                  uint64   // of the settings, above 0; 0: they have none
-	DrainedHosts                     []string // hosts that the operators drain, whatever discovery says
-	DrainedVersion                   uint64   // of that list, above 0; 0: there is none
-	SharedSettings                   []byte   // what of them all ingresses have in common; nil without a version
-	Limits                           limits.Limits
+	// Mgmt is the address of the admin endpoint. Empty: no endpoint.
+	Mgmt string
+	// PeerListen is the address at which this ingress receives messages of other ingresses. Empty: it receives none.
+	PeerListen string
+	// Peers holds the address at which each ingress receives such messages, by the index of the ingress.
+	Peers []string
+	Seed  uint64  // of the decision module's random numbers
+	Cores float64 // CPU cores that the process may use
+	// KnownHosts is the cluster as it was known before the start, used until discovery sends a list.
+	KnownHosts discovery.List
+	Settings   admission.Settings
+	// SettingsVersion is the version number of Settings, from 1. 0: they have no version.
+	SettingsVersion uint64
+	// DrainedHosts are the hosts that operators drain, whatever discovery says; sorted, each once.
+	DrainedHosts []string
+	// DrainedVersion is the version number of DrainedHosts, from 1. 0: there is no such list.
+	DrainedVersion uint64
+	// SharedSettings is the part of the settings that all ingresses have in common, as settings.Shared returns it.
+	// nil if the settings have no version.
+	SharedSettings []byte
+	Limits         limits.Limits
 
-	keys   []string // that a file for a reload must have, too
-	raw    []byte   // what was parsed, without the list of hosts
-	getenv func(string) string
+	requiredKeys    []string // paths of keys that the file must have at a reload, too
+	rawWithoutHosts []byte   // the parsed JSON text without knownHostsField
+	getenv          func(string) string
 }
 
-// knownField is the list of hosts known from before the start. It is read once, and by far the longest field.
-const knownField = "known"
+// knownHostsField is the JSON field of Config.KnownHosts. It is by far the longest field and is read only once.
+const knownHostsField = "known"
 
-// Load reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MGMT, where they are set,
-// go before what the file says.
-func Load(getenv func(string) string) (Config, error) { return load(getenv, Parse) }
+// Load reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MGMT, where they are set, override
+// the file. Errors name the file, the line where it is known, and the field. A read error that may be temporary is
+// retried for up to a second, during which Load blocks.
+func Load(getenv func(string) string) (Config, error) { return loadFile(getenv, Parse) }
 
-// FieldsNeedingRestart names the fields in which another configuration differs beyond the addresses and settings that can be
-// followed while running. The list known from before a start is not among them: discovery has told a newer one.
+// FieldsNeedingRestart returns the names of the fields that differ in another configuration and that a running process
+// can't change. KnownHosts never counts: discovery has sent a newer list since.
 func (c Config) FieldsNeedingRestart(to Config) []string {
 	var names []string
 	for _, f := range []struct {
 		name     string
-		was, now any
+		old, new any
 	}{{"name", c.Name, to.Name}, {"listen", c.Listen, to.Listen}, {"mgmt", c.Mgmt, to.Mgmt},
 		{"peer_listen", c.PeerListen, to.PeerListen}, {"peers", c.Peers, to.Peers}, {"seed", c.Seed, to.Seed},
 		{"limits.cores", c.Cores, to.Cores},
-		{"limits", c.Limits, like(to.Limits, c.Limits)}} {
-		if !reflect.DeepEqual(f.was, f.now) {
+		{"limits", c.Limits, withReloadableLimits(to.Limits, c.Limits)}} {
+		if !reflect.DeepEqual(f.old, f.new) {
 			names = append(names, f.name)
 		}
 	}
 	return names
 }
 
-// like returns bounds with those of another's that follow new settings without a restart.
-func like(l, other limits.Limits) limits.Limits {
+// withReloadableLimits returns l with the limits of other that a running process can change.
+func withReloadableLimits(l, other limits.Limits) limits.Limits {
 	l.DrainTimeout = other.DrainTimeout
 	return l
 }
 
-func load(getenv func(string) string, parse func([]byte, func(string) string) (Config, error)) (Config, error) {
+// loadFile reads the file that GW_CONFIG names and parses it. A parse error gets the file's path and the field's line.
+func loadFile(getenv func(string) string, parse func([]byte, func(string) string) (Config, error)) (Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
 		return Config{}, errors.New("GW_CONFIG is not set")
@@ -81,12 +97,13 @@
 	}
 	c, err := parse(raw, getenv)
 	if err != nil {
-		return Config{}, at(path, raw, err)
+		return Config{}, withFileLine(path, raw, err)
 	}
 	return c, nil
 }
 
-// Parse reads a configuration. Its errors name the field.
+// Parse reads a configuration from JSON and checks it. Environment variables override fields as in Load. Errors name the
+// field.
 func Parse(raw []byte, getenv func(string) string) (Config, error) {
 	var none Config
 	doc, err := fastjson.ParseBytes(raw)
@@ -96,14 +113,14 @@
 	r := settings.NewReader(doc, "")
 	r.Need("limits", "settings")
 	c := Config{
-		getenv:     getenv,
-		keys:       keys(doc),
-		Name:       cmp.Or(getenv("GW_NAME"), r.Text("name")),
-		Listen:     cmp.Or(getenv("GW_LISTEN"), r.Text("listen")),
-		Discovery:  cmp.Or(getenv("GW_DISCOVERY"), r.Text("discovery")),
-		Mgmt:       cmp.Or(getenv("GW_MGMT"), r.Text("mgmt")),
-		Counter:    r.Text("counter"),
-		PeerListen: r.Text("peer_listen"), Peers: r.Texts("peers"),
+		getenv:       getenv,
+		requiredKeys: keyPaths(doc),
+		Name:         cmp.Or(getenv("GW_NAME"), r.Text("name")),
+		Listen:       cmp.Or(getenv("GW_LISTEN"), r.Text("listen")),
+		Discovery:    cmp.Or(getenv("GW_DISCOVERY"), r.Text("discovery")),
+		Mgmt:         cmp.Or(getenv("GW_MGMT"), r.Text("mgmt")),
+		Counter:      r.Text("counter"),
+		PeerListen:   r.Text("peer_listen"), Peers: r.Texts("peers"),
 		Cores: r.Object("limits").Float("cores"),
 	}
 	set := r.Object("settings")
@@ -114,7 +131,7 @@
 		return none, err
 	}
 	if r.Has("settings_version") {
-		if c.SettingsVersion, err = number(r, "settings_version"); err != nil {
+		if c.SettingsVersion, err = readVersionNumber(r, "settings_version"); err != nil {
 			return none, err
 		}
 		if c.SharedSettings, err = settings.Shared(doc.Get("settings").MarshalTo(nil)); err != nil {
@@ -122,11 +139,11 @@
 		}
 	}
 	if r.Has("drained") {
-		if c.DrainedHosts, c.DrainedVersion, err = drained(r.Object("drained")); err != nil {
+		if c.DrainedHosts, c.DrainedVersion, err = readDrainedHosts(r.Object("drained")); err != nil {
 			return none, err
 		}
 	}
-	if c.KnownHosts, err = discovery.ReadList(r.Object(knownField)); err != nil {
+	if c.KnownHosts, err = discovery.ReadList(r.Object(knownHostsField)); err != nil {
 		return none, err
 	}
 	if seed := r.Text("seed"); seed != "" {
@@ -150,30 +167,30 @@
 	if c.Limits, err = limits.For(site); err != nil {
 		return none, err
 	}
-	type place struct {
+	type address struct {
 		field, addr string
-		must        bool
+		isRequired  bool
 	}
-	places := []place{{"listen", c.Listen, true}, {"discovery", c.Discovery, true},
+	addresses := []address{{"listen", c.Listen, true}, {"discovery", c.Discovery, true},
 		{"counter", c.Counter, c.Settings.HasCounter}, {"mgmt", c.Mgmt, false}, {"peer_listen", c.PeerListen, false}}
 	for i, addr := range c.Peers {
-		places = append(places, place{fmt.Sprintf("peers[%d]", i), addr, false})
+		addresses = append(addresses, address{fmt.Sprintf("peers[%d]", i), addr, false})
 	}
-	for _, a := range places {
-		if a.addr == "" && !a.must {
+	for _, a := range addresses {
+		if a.addr == "" && !a.isRequired {
 			continue
 		}
 		if _, err := netip.ParseAddrPort(a.addr); err != nil {
 			return none, fmt.Errorf("%s: %w", a.field, err)
 		}
 	}
-	// The module holds the rest to its own standard, before anything is opened.
+	// The decision module checks the rest, before any socket is opened.
 	if _, err := admission.New(c.Settings, c.Seed); err != nil {
 		return none, err
 	}
-	if c.raw = raw; r.Has(knownField) {
-		doc.Del(knownField)
-		c.raw = doc.MarshalTo(nil)
+	if c.rawWithoutHosts = raw; r.Has(knownHostsField) {
+		doc.Del(knownHostsField)
+		c.rawWithoutHosts = doc.MarshalTo(nil)
 	}
 	return c, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -102,7 +102,7 @@
 	require.Equal(t, 1500*time.Millisecond, to.Settings.Classes[0].Deadline)
 	require.Equal(t, 2100*time.Millisecond, to.Limits.DrainTimeout)
 	require.Equal(t, c.KnownHosts, to.KnownHosts)
-	require.ElementsMatch(t, append(slices.Clone(c.keys), "settings.limits.maxAttempts"), to.keys, "a reload needs the same keys")
+	require.ElementsMatch(t, append(slices.Clone(c.requiredKeys), "settings.limits.maxAttempts"), to.requiredKeys, "a reload needs the same keys")
 	for _, bad := range []string{"", "{", `{"balancers":1}`, strings.Replace(shared, `"balancers":3`, `"balancers":1`, 1)} {
 		_, err := c.WithSharedSettings([]byte(bad))
 		require.Error(t, err, bad)
--- a/internal/config/line.go
+++ b/internal/config/error_line.go
@@ -9,14 +9,13 @@
 	"strings"
 )
 
-// Where in its file a wrong field stands. It is read once more for that, and only then.
-
-// at adds to what is wrong with a file its path, and the line where that is known: messages begin with the field's full
-// name. One that is missing is looked for in the object that should hold it.
-func at(path string, raw []byte, err error) error {
+// withFileLine prefixes a parse error with the file's path and, where it is known, the line of the field. It takes the
+// field's full name from the beginning of the error's text and reads the file once more to find it. For a field that is
+// missing it takes the line of the object that should hold it.
+func withFileLine(path string, raw []byte, err error) error {
 	var syntax *json.SyntaxError
 	if bad := json.Unmarshal(raw, new(any)); errors.As(bad, &syntax) {
-		return fmt.Errorf("%s:%d: %w", path, lineOf(raw, syntax.Offset), err)
+		return fmt.Errorf("%s:%d: %w", path, lineAt(raw, syntax.Offset), err)
 	}
 	lines := fieldLines(raw)
 	field, _, _ := strings.Cut(err.Error(), " ")
@@ -28,11 +27,13 @@
 	return fmt.Errorf("%s: %w", path, err)
 }
 
-func lineOf(raw []byte, offset int64) int {
+// lineAt returns the line, from 1, of the byte before an offset.
+func lineAt(raw []byte, offset int64) int {
 	return 1 + bytes.Count(raw[:max(0, min(offset-1, int64(len(raw))))], []byte{'\n'})
 }
 
-// fieldLines are the lines on which the fields of an object begin, by full name.
+// fieldLines returns the line of each field's value, by the field's full name, such as "settings.classes[0].name". It
+// returns nil if raw is no JSON.
 func fieldLines(raw []byte) map[string]int {
 	lines, d := map[string]int{}, json.NewDecoder(bytes.NewReader(raw))
 	var walk func(path string) error
@@ -42,14 +43,14 @@
 			return err
 		}
 		if path != "" {
-			if _, ok := lines[path]; !ok { // of two of one name the first counts, as when it is read
-				lines[path] = lineOf(raw, d.InputOffset())
+			if _, ok := lines[path]; !ok { // of a repeated name the first counts, as it does for Parse
+				lines[path] = lineAt(raw, d.InputOffset())
 			}
 		}
-		open, ok := token.(json.Delim)
-		for i := 0; ok && d.More(); i++ {
+		delim, isContainer := token.(json.Delim)
+		for i := 0; isContainer && d.More(); i++ {
 			name := fmt.Sprintf("%s[%d]", path, i)
-			if open == '{' {
+			if delim == '{' {
 				key, err := d.Token()
 				if err != nil {
 					return err
@@ -63,7 +64,7 @@
 				return err
 			}
 		}
-		if ok {
+		if isContainer {
 			_, err = d.Token()
 		}
 		return err
--- a/internal/config/line_test.go
+++ b/internal/config/error_line_test.go
@@ -45,5 +45,5 @@
 		require.Regexp(t, `^:[0-9]+: not JSON`, got)
 	}
 	require.Contains(t, load(laidOut[:len(laidOut)-1]), ":9: not JSON")
-	require.EqualError(t, at("f", []byte("{}"), errors.New("nothing known")), "f: nothing known")
+	require.EqualError(t, withFileLine("f", []byte("{}"), errors.New("nothing known")), "f: nothing known")
 }
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -7,34 +7,33 @@
 	"time"
 )
 
-// readTries and readEvery are how often and how far apart a file is tried to be read that can't be for a reason which may
-// pass. Nobody asks a second time for a reload that failed.
+// A read that fails with a temporary error is repeated, because nothing else repeats a reload that failed.
 const (
-	readTries = 20
-	readEvery = 50 * time.Millisecond
+	maxReadAttempts   = 20
+	readRetryInterval = 50 * time.Millisecond
 )
 
-// readSystem reads a file; tests put one in its place that fails.
-var readSystem = os.ReadFile
+// readOSFile reads a file. Tests replace it by a function that fails.
+var readOSFile = os.ReadFile
 
-// readFile reads a file. It blocks for readTries times readEvery at the most.
+// readFile reads a file and retries after temporary errors. It blocks for up to maxReadAttempts * readRetryInterval.
 func readFile(path string) (raw []byte, err error) {
-	for try := range readTries {
-		if try > 0 {
-			time.Sleep(readEvery)
+	for attempt := range maxReadAttempts {
+		if attempt > 0 {
+			time.Sleep(readRetryInterval)
 		}
-		if raw, err = readSystem(path); err == nil || !passes(err) {
+		if raw, err = readOSFile(path); err == nil || !isTransient(err) {
 			break
 		}
 	}
 	return raw, err
 }
 
-// passes tells whether an error of the system's may be over soon. That a file is not there, or is not ours to read, is not.
-func passes(err error) bool {
-	for _, passing := range []syscall.Errno{syscall.EIO, syscall.ENFILE, syscall.EMFILE, syscall.ENOMEM, syscall.EINTR,
+// isTransient reports whether a system error may go away soon. A missing file or missing permission is permanent.
+func isTransient(err error) bool {
+	for _, transient := range []syscall.Errno{syscall.EIO, syscall.ENFILE, syscall.EMFILE, syscall.ENOMEM, syscall.EINTR,
 		syscall.EAGAIN} {
-		if errors.Is(err, passing) {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
--- a/internal/config/read_test.go
+++ b/internal/config/read_test.go
@@ -14,8 +14,8 @@
 	path := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(path, []byte("text"), 0o600))
 	errs := []error{}
-	t.Cleanup(func() { readSystem = os.ReadFile })
-	readSystem = func(path string) ([]byte, error) {
+	t.Cleanup(func() { readOSFile = os.ReadFile })
+	readOSFile = func(path string) ([]byte, error) {
 		if len(errs) > 0 {
 			err := errs[0]
 			errs = errs[1:]
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -10,45 +10,46 @@
 	"ferryfront.example/ferryfront/internal/settings"
 )
 
-// Reload reads the file again. A process can't be given another environment, so the address of discovery that the
-// file says now goes before the environment's. A start makes do with what is there; a running process has better
-// settings than ones of which a part is missing. So a file that lacks a key which the last one had, or sets a
-// deadline or a number of attempts that is none, is turned down whole.
-func Reload(getenv func(string) string, was Config) (Config, error) {
-	return load(getenv, func(raw []byte, getenv func(string) string) (Config, error) {
+// Reload reads the file again and checks it more strictly than Load, because a running process already has good settings
+// and loses by incomplete ones. It rejects the whole file if a key is missing that the previous file had, or if a class
+// has no name or no deadline above 0, or if there are no classes or no maximum number of attempts above 0. The address
+// of discovery in the file overrides GW_DISCOVERY: the environment of a running process can't be changed.
+func Reload(getenv func(string) string, previous Config) (Config, error) {
+	return loadFile(getenv, func(raw []byte, getenv func(string) string) (Config, error) {
 		v, err := fastjson.ParseBytes(raw)
 		if err != nil {
 			return Config{}, fmt.Errorf("not JSON: %w", err)
 		}
-		if err := lacks(v, was.keys); err != nil {
+		if err := checkRequiredKeys(v, previous.requiredKeys); err != nil {
 			return Config{}, err
 		}
-		if err := strict(settings.NewReader(v.Get("settings"), "settings")); err != nil {
+		if err := checkStrict(settings.NewReader(v.Get("settings"), "settings")); err != nil {
 			return Config{}, err
 		}
-		told := string(v.GetStringBytes("discovery"))
+		discovery := string(v.GetStringBytes("discovery"))
 		return Parse(raw, func(name string) string {
-			if name == "GW_DISCOVERY" && told != "" {
-				return told
+			if name == "GW_DISCOVERY" && discovery != "" {
+				return discovery
 			}
 			return getenv(name)
 		})
 	})
 }
 
-// lacks tells which key a file has not.
-func lacks(v *fastjson.Value, must []string) error {
-	have := keys(v)
-	for _, key := range append(slices.Clone(must), "settings.limits.maxAttempts") {
-		if !slices.Contains(have, key) {
+// checkRequiredKeys returns an error if one of the required keys, or settings.limits.maxAttempts, is missing.
+func checkRequiredKeys(v *fastjson.Value, required []string) error {
+	present := keyPaths(v)
+	for _, key := range append(slices.Clone(required), "settings.limits.maxAttempts") {
+		if !slices.Contains(present, key) {
 			return fmt.Errorf("%s is missing", key)
 		}
 	}
 	return nil
 }
 
-// strict tells what a file sets to nothing.
-func strict(r settings.Reader) error {
+// checkStrict returns an error for settings that are present but empty or zero: the maximum number of attempts, the
+// classes, and the name and deadline of a class.
+func checkStrict(r settings.Reader) error {
 	limits, classes := r.Object("limits"), r.List("classes")
 	if n := limits.Int("maxAttempts"); r.Err() == nil && n <= 0 {
 		return fmt.Errorf("settings.limits.maxAttempts is %d, need more than 0", n)
@@ -70,11 +71,13 @@
 	return r.Err()
 }
 
-// keys names every key of a configuration that has a value: nested ones with their path, those of lists' objects
-// where each of them has it. The list of hosts is discovery's, and what a host has is for it to say.
-func keys(v *fastjson.Value) []string { return walk(nil, "", v) }
+// keyPaths returns the path of each key that has a value other than null, such as "settings.classes[].deadline". A key in
+// a list's objects counts only if each object of the list has it. The contents of the list of known hosts are left out:
+// discovery decides which fields a host has.
+func keyPaths(v *fastjson.Value) []string { return appendKeyPaths(nil, "", v) }
 
-func walk(names []string, path string, v *fastjson.Value) []string {
+// appendKeyPaths appends the paths of the keys within v, which itself has the given path.
+func appendKeyPaths(names []string, path string, v *fastjson.Value) []string {
 	switch v.Type() {
 	case fastjson.TypeObject:
 		v.GetObject().Visit(func(key []byte, child *fastjson.Value) {
@@ -84,7 +87,7 @@
 			}
 			names = append(names, name)
 			if name != "known" {
-				names = walk(names, name, child)
+				names = appendKeyPaths(names, name, child)
 			}
 		})
 	case fastjson.TypeArray:
@@ -93,11 +96,11 @@
 			if child.Type() != fastjson.TypeObject {
 				return names
 			}
-			its := walk(nil, path+"[]", child)
+			paths := appendKeyPaths(nil, path+"[]", child)
 			if i == 0 {
-				common = its
+				common = paths
 			}
-			common = slices.DeleteFunc(common, func(name string) bool { return !slices.Contains(its, name) })
+			common = slices.DeleteFunc(common, func(name string) bool { return !slices.Contains(paths, name) })
 		}
 		names = append(names, common...)
 	}
--- a/internal/config/shared.go
+++ b/internal/config/shared.go
@@ -10,16 +10,16 @@
 	"ferryfront.example/ferryfront/internal/settings"
 )
 
-// CheckShared checks the shared part of settings, as settings.Shared returns it, as strictly as a file is at a reload,
-// without the file of any ingress. Errors name the field.
+// CheckShared checks the shared part of settings, as settings.Shared returns it, as strictly as Reload checks a file. It
+// needs no ingress's own file. Errors name the field.
 func CheckShared(shared []byte) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(shared, &fields); err != nil {
 		return fmt.Errorf("settings: not JSON: %w", err)
 	}
-	for _, own := range []string{"me", "zone"} {
-		if _, ok := fields[own]; ok {
-			return fmt.Errorf("settings.%s is no shared field", own)
+	for _, name := range []string{"me", "zone"} { // fields of one ingress
+		if _, ok := fields[name]; ok {
+			return fmt.Errorf("settings.%s is no shared field", name)
 		}
 	}
 	whole, err := settings.Localize(shared, []byte(`{"me":0}`))
@@ -31,7 +31,7 @@
 		return fmt.Errorf("settings: not JSON: %w", err)
 	}
 	r := settings.NewReader(v, "settings")
-	if err := strict(r); err != nil {
+	if err := checkStrict(r); err != nil {
 		return err
 	}
 	read, err := settings.Read(r)
--- a/internal/config/versions.go
+++ b/internal/config/versions.go
@@ -10,8 +10,8 @@
 	"ferryfront.example/ferryfront/internal/versions"
 )
 
-// number reads that of a version.
-func number(r settings.Reader, key string) (uint64, error) {
+// readVersionNumber reads the number of a version, a whole number above 0 that isn't over the largest allowed.
+func readVersionNumber(r settings.Reader, key string) (uint64, error) {
 	v := r.Float(key)
 	if err := r.Err(); err != nil {
 		return 0, err
@@ -22,12 +22,12 @@
 	return uint64(v), nil
 }
 
-// drained reads a list of hosts with its version: in order, each once.
-func drained(r settings.Reader) ([]string, uint64, error) {
+// readDrainedHosts reads the list of drained hosts and its version number. It returns the hosts sorted, each once.
+func readDrainedHosts(r settings.Reader) ([]string, uint64, error) {
 	r.Need("version", "hosts")
 	r.Only("version", "hosts")
 	hosts := r.Texts("hosts")
-	n, err := number(r, "version")
+	n, err := readVersionNumber(r, "version")
 	if err != nil {
 		return nil, 0, err
 	}
@@ -35,13 +35,13 @@
 	return slices.Compact(hosts), n, nil
 }
 
-// EncodeDrainedHosts is the list as it goes to other ingresses.
+// EncodeDrainedHosts returns DrainedHosts as a JSON list, the form in which it goes to other ingresses.
 func (c Config) EncodeDrainedHosts() []byte {
-	b, _ := json.Marshal(append([]string{}, c.DrainedHosts...)) // of texts, which can be written
+	b, _ := json.Marshal(append([]string{}, c.DrainedHosts...)) // a list of strings can't fail to encode
 	return b
 }
 
-// DecodeDrainedHosts reads it.
+// DecodeDrainedHosts reads a list that EncodeDrainedHosts returned. Its errors begin with "drained.hosts".
 func DecodeDrainedHosts(text []byte) (hosts []string, err error) {
 	if err := json.Unmarshal(text, &hosts); err != nil {
 		return nil, fmt.Errorf("drained.hosts: %w", err)
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -26,33 +26,33 @@
 const DescriptorEnv = "FERRYFRONT_HANDOVER"
 
 const (
-	packetBytes = 32 << 10 // of a message in one packet; well under what a socket may hold
-	fdsMost     = 64       // descriptors with one message; the kernel takes 253
-	last, more  = 0, 1     // a packet's first byte
+	maxPacketBytes          = 32 << 10 // of a message in one packet; well under what a socket may hold
+	maxMessageFDs           = 64       // descriptors with one message; the kernel takes 253
+	lastPacket, morePackets = 0, 1     // a packet's first byte
 )
 
 // Conn is one end. It belongs to the loop's goroutine.
 type Conn struct {
-	loop  *loop.Loop
-	lim   limits.Limits
-	src   *loop.Source
-	sink  Sink
-	queue []packet
-	bytes int // in the queue
-	dry   func()
-	part  []byte // of a message that is not whole yet
-	fds   []int  // that came with it
-	gone  bool   // told as lost
-	room  []byte
-	oob   []byte
+	loop          *loop.Loop
+	limits        limits.Limits
+	source        *loop.Source
+	sink          Sink
+	queue         []packet
+	queuedBytes   int // in the queue
+	onFlushed     func()
+	partial       []byte // of a message that is not whole yet
+	partialFDs    []int  // that came with it
+	isLost        bool   // told as lost
+	readBuffer    []byte
+	controlBuffer []byte
 
 	// sendMessage is the system call; tests put one in its place that fails.
 	sendMessage func(fd int, b, oob []byte, to unix.Sockaddr, flags int) (int, error)
 }
 
 type packet struct {
-	b   []byte
-	fds []int
+	bytes []byte
+	fds   []int
 }
 
 // Pair opens a connected pair of sockets, closed in programs that are started unless handed to them.
@@ -70,9 +70,9 @@
 		return nil, fmt.Errorf("handover: descriptor %d: %w", fd, err)
 	}
 	unix.CloseOnExec(fd)
-	c := &Conn{loop: l, lim: lim, sink: s, sendMessage: unix.SendmsgN, room: make([]byte, packetBytes+1), oob: make([]byte, unix.CmsgSpace(4*fdsMost))}
+	c := &Conn{loop: l, limits: lim, sink: s, sendMessage: unix.SendmsgN, readBuffer: make([]byte, maxPacketBytes+1), controlBuffer: make([]byte, unix.CmsgSpace(4*maxMessageFDs))}
 	var err error
-	if c.src, err = l.Watch(fd, loop.In|loop.Hangup, c); err != nil {
+	if c.source, err = l.Watch(fd, loop.In|loop.Hangup, c); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	return c, nil
@@ -82,38 +82,38 @@
 // or with it.
 func (c *Conn) Send(e *pb.Envelope, fds ...int) {
 	b, err := proto.Marshal(e)
-	if err != nil || c.src.FD() < 0 || len(fds) > fdsMost {
+	if err != nil || c.source.FD() < 0 || len(fds) > maxMessageFDs {
 		closeAll(fds)
 		return
 	}
 	for first := true; first || len(b) > 0; first = false {
-		n := min(len(b), packetBytes)
-		p := packet{b: append(make([]byte, 0, n+1), more)}
-		p.b = append(p.b, b[:n]...)
+		n := min(len(b), maxPacketBytes)
+		p := packet{bytes: append(make([]byte, 0, n+1), morePackets)}
+		p.bytes = append(p.bytes, b[:n]...)
 		if b = b[n:]; len(b) == 0 {
-			p.b[0] = last
+			p.bytes[0] = lastPacket
 		}
 		if first {
 			p.fds = fds
 		}
 		c.queue = append(c.queue, p)
-		c.bytes += len(p.b)
+		c.queuedBytes += len(p.bytes)
 	}
 	c.flush()
 }
 
 // QueuedBytes tells how many bytes are queued.
-func (c *Conn) QueuedBytes() int { return c.bytes }
+func (c *Conn) QueuedBytes() int { return c.queuedBytes }
 
 // WhenFlushed has a function called, once, as soon as nothing is queued; later in this turn at the earliest.
 func (c *Conn) WhenFlushed(fn func()) {
-	c.dry = fn
-	c.loop.After(0, c.dried)
+	c.onFlushed = fn
+	c.loop.After(0, c.callOnFlushed)
 }
 
-func (c *Conn) dried() {
-	if fn := c.dry; fn != nil && len(c.queue) == 0 {
-		c.dry = nil
+func (c *Conn) callOnFlushed() {
+	if fn := c.onFlushed; fn != nil && len(c.queue) == 0 {
+		c.onFlushed = nil
 		fn()
 	}
 }
@@ -126,9 +126,9 @@
 	for _, p := range c.queue {
 		closeAll(p.fds)
 	}
-	closeAll(c.fds)
-	c.queue, c.bytes, c.fds, c.part, c.dry = nil, 0, nil, nil, nil
-	c.src.Close()
+	closeAll(c.partialFDs)
+	c.queue, c.queuedBytes, c.partialFDs, c.partial, c.onFlushed = nil, 0, nil, nil, nil
+	c.source.Close()
 }
 
 func closeAll(fds []int) {
@@ -154,7 +154,7 @@
 		if len(p.fds) > 0 {
 			oob = unix.UnixRights(p.fds...)
 		}
-		_, err := c.sendMessage(c.src.FD(), p.b, oob, nil, unix.MSG_NOSIGNAL)
+		_, err := c.sendMessage(c.source.FD(), p.bytes, oob, nil, unix.MSG_NOSIGNAL)
 		if errors.Is(err, unix.EINTR) {
 			continue
 		}
@@ -165,21 +165,21 @@
 			for _, p := range c.queue {
 				closeAll(p.fds)
 			}
-			c.queue, c.bytes = nil, 0
+			c.queue, c.queuedBytes = nil, 0
 			break
 		}
 		closeAll(p.fds)
-		c.bytes -= len(p.b)
+		c.queuedBytes -= len(p.bytes)
 		c.queue = c.queue[1:]
 	}
 	if len(c.queue) > 0 {
-		c.src.SetEvents(loop.In | loop.Out | loop.Hangup)
+		c.source.SetEvents(loop.In | loop.Out | loop.Hangup)
 		return
 	}
 	c.queue = nil
-	c.src.SetEvents(loop.In | loop.Hangup)
-	if c.dry != nil {
-		c.loop.After(0, c.dried)
+	c.source.SetEvents(loop.In | loop.Hangup)
+	if c.onFlushed != nil {
+		c.loop.After(0, c.callOnFlushed)
 	}
 }
 
@@ -189,56 +189,56 @@
 	}
 }
 
-// reads bounds the packets of one turn: requests have their turns meanwhile.
-const reads = 64
+// maxPacketsPerTurn bounds the packets of one turn: requests have their turns meanwhile.
+const maxPacketsPerTurn = 64
 
 // read takes what has come and tells whether there may be more.
 func (c *Conn) read() bool {
-	for range reads {
-		if c.src.FD() < 0 || c.gone {
+	for range maxPacketsPerTurn {
+		if c.source.FD() < 0 || c.isLost {
 			return false
 		}
-		n, oobn, flags, _, err := unix.Recvmsg(c.src.FD(), c.room, c.oob, unix.MSG_CMSG_CLOEXEC)
+		n, oobn, flags, _, err := unix.Recvmsg(c.source.FD(), c.readBuffer, c.controlBuffer, unix.MSG_CMSG_CLOEXEC)
 		switch {
 		case errors.Is(err, unix.EINTR):
 			continue
 		case loop.IsOutOfResources(err): // nothing is there, or no memory for it yet
 			return false
 		case errors.Is(err, unix.ECONNRESET): // it has died with something unread: no less an end
-			c.lose(io.EOF)
+			c.reportLoss(io.EOF)
 			return false
 		case err != nil:
-			c.lose(err)
+			c.reportLoss(err)
 			return false
 		}
-		if !c.rights(c.oob[:oobn]) || flags&(unix.MSG_CTRUNC|unix.MSG_TRUNC) != 0 {
-			c.lose(errors.New("descriptors or bytes were cut off"))
+		if !c.takeDescriptors(c.controlBuffer[:oobn]) || flags&(unix.MSG_CTRUNC|unix.MSG_TRUNC) != 0 {
+			c.reportLoss(errors.New("descriptors or bytes were cut off"))
 			return false
 		}
 		if n == 0 {
-			c.lose(io.EOF)
+			c.reportLoss(io.EOF)
 			return false
 		}
-		if c.part = append(c.part, c.room[1:n]...); len(c.part) > c.lim.MaxHandoverMessageBytes {
-			c.lose(fmt.Errorf("a message over %d bytes", c.lim.MaxHandoverMessageBytes))
+		if c.partial = append(c.partial, c.readBuffer[1:n]...); len(c.partial) > c.limits.MaxHandoverMessageBytes {
+			c.reportLoss(fmt.Errorf("a message over %d bytes", c.limits.MaxHandoverMessageBytes))
 			return false
 		}
-		if c.room[0] == more {
+		if c.readBuffer[0] == morePackets {
 			continue
 		}
 		e := &pb.Envelope{}
-		if err := proto.Unmarshal(c.part, e); err != nil || c.room[0] != last {
-			c.lose(fmt.Errorf("a message that can't be read: %w", err))
+		if err := proto.Unmarshal(c.partial, e); err != nil || c.readBuffer[0] != lastPacket {
+			c.reportLoss(fmt.Errorf("a message that can't be read: %w", err))
 			return false
 		}
-		fds := c.fds
-		c.part, c.fds = c.part[:0], nil
+		fds := c.partialFDs
+		c.partial, c.partialFDs = c.partial[:0], nil
 		c.sink.HandleMessage(e, fds)
 	}
 	return true
 }
 
-func (c *Conn) rights(oob []byte) bool {
+func (c *Conn) takeDescriptors(oob []byte) bool {
 	if len(oob) == 0 {
 		return true
 	}
@@ -251,15 +251,15 @@
 		if err != nil {
 			return false
 		}
-		c.fds = append(c.fds, fds...)
+		c.partialFDs = append(c.partialFDs, fds...)
 	}
-	return len(c.fds) <= fdsMost
+	return len(c.partialFDs) <= maxMessageFDs
 }
 
-// lose tells the loss once. The socket stays open: the other side may take its close for our death.
-func (c *Conn) lose(err error) {
-	closeAll(c.fds)
-	c.fds, c.part, c.gone = nil, nil, true
-	c.src.Unwatch()
+// reportLoss tells the loss once. The socket stays open: the other side may take its close for our death.
+func (c *Conn) reportLoss(err error) {
+	closeAll(c.partialFDs)
+	c.partialFDs, c.partial, c.isLost = nil, nil, true
+	c.source.Unwatch()
 	c.sink.ConnectionLost(err)
 }
--- a/internal/handover/conn_test.go
+++ b/internal/handover/conn_test.go
@@ -106,7 +106,7 @@
 // A process that dies with messages unread resets the connection; that is its end, and no garbage.
 func TestTheDeathOfASideThatHasNotReadAll(t *testing.T) {
 	l, a, b, raw := ends(t, 1000)
-	theirs := b.conn.src.Detach() // it reads no more
+	theirs := b.conn.source.Detach() // it reads no more
 	a.Send(&pb.Envelope{Body: &pb.Envelope_Settled{Settled: &pb.Settled{}}})
 	loop.CloseFD(theirs)
 	other := a.sink.(*end)
--- a/internal/handover/convert.go
+++ b/internal/handover/convert.go
@@ -14,23 +14,25 @@
 // Between the parts' own types and the messages. A pair of functions each; convert_test.go holds them to be
 // each other's inverse.
 
-type d = time.Duration
+type duration = time.Duration
 
-func decay(v admission.DecayingCount) *pb.Decay { return &pb.Decay{N: v.Count, At: int64(v.At)} }
+func encodeDecayingCount(v admission.DecayingCount) *pb.Decay {
+	return &pb.Decay{N: v.Count, At: int64(v.At)}
+}
 
-func fromDecay(v *pb.Decay) admission.DecayingCount {
-	return admission.DecayingCount{Count: v.GetN(), At: d(v.GetAt())}
+func decodeDecayingCount(v *pb.Decay) admission.DecayingCount {
+	return admission.DecayingCount{Count: v.GetN(), At: duration(v.GetAt())}
 }
 
-func seen(v admission.DemandState) *pb.Seen {
+func encodeDemand(v admission.DemandState) *pb.Seen {
 	return &pb.Seen{Asked: v.Demand, Span: v.Observed, At: int64(v.At)}
 }
 
-func fromSeen(v *pb.Seen) admission.DemandState {
-	return admission.DemandState{Demand: v.GetAsked(), Observed: v.GetSpan(), At: d(v.GetAt())}
+func decodeDemand(v *pb.Seen) admission.DemandState {
+	return admission.DemandState{Demand: v.GetAsked(), Observed: v.GetSpan(), At: duration(v.GetAt())}
 }
 
-func ledger(v admission.WindowCounterState) *pb.Ledger {
+func encodeWindowCounter(v admission.WindowCounterState) *pb.Ledger {
 	if v == (admission.WindowCounterState{}) {
 		return nil
 	}
@@ -38,34 +40,34 @@
 		Fold: v.Pending}
 }
 
-func fromLedger(v *pb.Ledger) admission.WindowCounterState {
-	return admission.WindowCounterState{Length: d(v.GetSpan()), Phase: d(v.GetPhase()), Window: v.GetWindow(), LastTotal: v.GetSeen(),
-		LastTotalAt: d(v.GetSeenAt()), Pending: v.GetFold()}
+func decodeWindowCounter(v *pb.Ledger) admission.WindowCounterState {
+	return admission.WindowCounterState{Length: duration(v.GetSpan()), Phase: duration(v.GetPhase()), Window: v.GetWindow(), LastTotal: v.GetSeen(),
+		LastTotalAt: duration(v.GetSeenAt()), Pending: v.GetFold()}
 }
 
 // EncodeCustomer makes a message of a customer.
 func EncodeCustomer(c admission.CustomerState) *pb.Customer {
-	return &pb.Customer{Id: c.ID, Plan: c.Plan, Doors: c.Gateways, Rate: ledger(c.QuotaCounter), Gauge: ledger(c.InFlightCounter),
-		Demand: ledger(c.DemandCounter), Press: seen(c.Demand), Level: c.QuotaTokens, Hard: c.CeilingTokens, Take: c.OthersRate, Taken: c.PredictedUsage,
+	return &pb.Customer{Id: c.ID, Plan: c.Plan, Doors: c.Gateways, Rate: encodeWindowCounter(c.QuotaCounter), Gauge: encodeWindowCounter(c.InFlightCounter),
+		Demand: encodeWindowCounter(c.DemandCounter), Press: encodeDemand(c.Demand), Level: c.QuotaTokens, Hard: c.CeilingTokens, Take: c.OthersRate, Taken: c.PredictedUsage,
 		Used: int64(c.LastSeen), LevelAt: int64(c.QuotaTokensAt), HardAt: int64(c.CeilingTokensAt), Out: int64(c.InFlight), Reg: c.InFlightCounted, Fit: c.UnderCapShare}
 }
 
 // DecodeCustomer is its inverse.
 func DecodeCustomer(c *pb.Customer) admission.CustomerState {
-	return admission.CustomerState{ID: c.GetId(), Plan: c.GetPlan(), Gateways: c.GetDoors(), QuotaCounter: fromLedger(c.GetRate()),
-		InFlightCounter: fromLedger(c.GetGauge()), DemandCounter: fromLedger(c.GetDemand()), Demand: fromSeen(c.GetPress()),
-		QuotaTokens: c.GetLevel(), CeilingTokens: c.GetHard(), OthersRate: c.GetTake(), PredictedUsage: c.GetTaken(), LastSeen: d(c.GetUsed()),
-		QuotaTokensAt: d(c.GetLevelAt()), CeilingTokensAt: d(c.GetHardAt()), InFlight: int(c.GetOut()), InFlightCounted: c.GetReg(), UnderCapShare: c.GetFit()}
+	return admission.CustomerState{ID: c.GetId(), Plan: c.GetPlan(), Gateways: c.GetDoors(), QuotaCounter: decodeWindowCounter(c.GetRate()),
+		InFlightCounter: decodeWindowCounter(c.GetGauge()), DemandCounter: decodeWindowCounter(c.GetDemand()), Demand: decodeDemand(c.GetPress()),
+		QuotaTokens: c.GetLevel(), CeilingTokens: c.GetHard(), OthersRate: c.GetTake(), PredictedUsage: c.GetTaken(), LastSeen: duration(c.GetUsed()),
+		QuotaTokensAt: duration(c.GetLevelAt()), CeilingTokensAt: duration(c.GetHardAt()), InFlight: int(c.GetOut()), InFlightCounted: c.GetReg(), UnderCapShare: c.GetFit()}
 }
 
-func host(e admission.ServerEntry, addr string) *pb.Host {
+func encodeHost(e admission.ServerEntry, addr string) *pb.Host {
 	return &pb.Host{Name: e.Name, Address: addr, Zone: e.Zone, Kind: e.Kind, Cell: int64(e.Cell), State: int32(e.State),
 		Size: e.Size, Boot: int64(e.Boot)}
 }
 
-func fromHost(h *pb.Host) admission.ServerEntry {
+func decodeHost(h *pb.Host) admission.ServerEntry {
 	return admission.ServerEntry{Name: h.GetName(), Zone: h.GetZone(), Kind: h.GetKind(), Cell: int(h.GetCell()),
-		State: admission.ServerState(h.GetState()), Size: h.GetSize(), Boot: d(h.GetBoot())}
+		State: admission.ServerState(h.GetState()), Size: h.GetSize(), Boot: duration(h.GetBoot())}
 }
 
 // EncodeGateway makes a message of the module's state.
@@ -73,7 +75,7 @@
 	g := &pb.Gateway{Now: int64(s.Now), Began: int64(s.CeilingStart), Started: s.IsStarted, Random: s.Random, Logs: int64(s.LogLines),
 		Failures: int64(s.CounterFailures), Open: s.IsBreakerOpen, NextProbe: int64(s.NextCounterProbe), AnsweredAt: int64(s.CounterAnsweredAt),
 		Ease: int64(s.CounterBaseline), CallRate: s.CallsPerRequest, AskShare: s.QueryShare, Asked: s.QueryShareAverage, HoldAt: int64(s.RecheckAt),
-		Budget: s.RetryBudget, Served: decay(s.Answers), Unheard: s.TimeoutShare, Usual: s.MeanLatency, OutFor: s.MeanTimeInFlight, Admit: s.AdmitShare,
+		Budget: s.RetryBudget, Served: encodeDecayingCount(s.Answers), Unheard: s.TimeoutShare, Usual: s.MeanLatency, OutFor: s.MeanTimeInFlight, Admit: s.AdmitShare,
 		Held: s.Held, LiveAttempts: s.LiveAttempts, Short: s.TopClassShortage,
 		ShortAt: int64(s.TopClassShortageAt)}
 	for _, c := range s.Classes {
@@ -81,12 +83,12 @@
 			Came: c.Frequency})
 	}
 	for _, p := range s.Plans {
-		g.Plans = append(g.Plans, &pb.Plan{Name: p.Name, Press: seen(p.Demand)})
+		g.Plans = append(g.Plans, &pb.Plan{Name: p.Name, Press: encodeDemand(p.Demand)})
 	}
 	for _, h := range s.Servers {
-		m := &pb.Server{Entry: host(h.Entry, ""), ColdAt: int64(h.StartedAt), Resp: h.RelativeLatency, Heard: int64(h.LastResponseAt),
+		m := &pb.Server{Entry: encodeHost(h.Entry, ""), ColdAt: int64(h.StartedAt), Resp: h.RelativeLatency, Heard: int64(h.LastResponseAt),
 			Ejected: int64(h.EjectedUntil), Bad: int64(h.Failures), Errors: int64(h.Errors), Broken: int64(h.ConnectionFailures), Turned: h.RejectShare,
-			TurnedAt: int64(h.RejectShareAt), TurnTook: h.RejectLatency, Thru: decay(h.Throughput)}
+			TurnedAt: int64(h.RejectShareAt), TurnTook: h.RejectLatency, Thru: encodeDecayingCount(h.Throughput)}
 		for _, at := range h.Outstanding {
 			m.Out = append(m.Out, int64(at))
 		}
@@ -111,38 +113,38 @@
 
 // DecodeGateway is its inverse.
 func DecodeGateway(g *pb.Gateway) admission.State {
-	s := admission.State{Now: d(g.GetNow()), CeilingStart: d(g.GetBegan()), IsStarted: g.GetStarted(), Random: g.GetRandom(),
-		LogLines: int(g.GetLogs()), CounterFailures: int(g.GetFailures()), IsBreakerOpen: g.GetOpen(), NextCounterProbe: d(g.GetNextProbe()),
-		CounterAnsweredAt: d(g.GetAnsweredAt()), CounterBaseline: d(g.GetEase()), CallsPerRequest: g.GetCallRate(), QueryShare: g.GetAskShare(),
-		QueryShareAverage: g.GetAsked(), RecheckAt: d(g.GetHoldAt()), RetryBudget: g.GetBudget(), Answers: fromDecay(g.GetServed()),
+	s := admission.State{Now: duration(g.GetNow()), CeilingStart: duration(g.GetBegan()), IsStarted: g.GetStarted(), Random: g.GetRandom(),
+		LogLines: int(g.GetLogs()), CounterFailures: int(g.GetFailures()), IsBreakerOpen: g.GetOpen(), NextCounterProbe: duration(g.GetNextProbe()),
+		CounterAnsweredAt: duration(g.GetAnsweredAt()), CounterBaseline: duration(g.GetEase()), CallsPerRequest: g.GetCallRate(), QueryShare: g.GetAskShare(),
+		QueryShareAverage: g.GetAsked(), RecheckAt: duration(g.GetHoldAt()), RetryBudget: g.GetBudget(), Answers: decodeDecayingCount(g.GetServed()),
 		TimeoutShare: g.GetUnheard(), MeanLatency: g.GetUsual(), MeanTimeInFlight: g.GetOutFor(), AdmitShare: g.GetAdmit(), Held: g.GetHeld(),
-		LiveAttempts: g.GetLiveAttempts(), TopClassShortage: g.GetShort(), TopClassShortageAt: d(g.GetShortAt())}
+		LiveAttempts: g.GetLiveAttempts(), TopClassShortage: g.GetShort(), TopClassShortageAt: duration(g.GetShortAt())}
 	for _, c := range g.GetClasses() {
 		s.Classes = append(s.Classes, admission.ClassState{Name: c.GetName(), Latency: c.GetTook(), Units: c.GetUnits(),
-			DoubtedAt: d(c.GetDoubted()), Frequency: c.GetCame()})
+			DoubtedAt: duration(c.GetDoubted()), Frequency: c.GetCame()})
 	}
 	for _, p := range g.GetPlans() {
-		s.Plans = append(s.Plans, admission.PlanState{Name: p.GetName(), Demand: fromSeen(p.GetPress())})
+		s.Plans = append(s.Plans, admission.PlanState{Name: p.GetName(), Demand: decodeDemand(p.GetPress())})
 	}
 	for _, m := range g.GetServers() {
-		h := admission.ServerHealth{Entry: fromHost(m.GetEntry()), StartedAt: d(m.GetColdAt()), RelativeLatency: m.GetResp(),
-			LastResponseAt: d(m.GetHeard()), EjectedUntil: d(m.GetEjected()), Failures: int(m.GetBad()), Errors: int(m.GetErrors()),
-			ConnectionFailures: int(m.GetBroken()), RejectShare: m.GetTurned(), RejectShareAt: d(m.GetTurnedAt()), RejectLatency: m.GetTurnTook(),
-			Throughput: fromDecay(m.GetThru())}
+		h := admission.ServerHealth{Entry: decodeHost(m.GetEntry()), StartedAt: duration(m.GetColdAt()), RelativeLatency: m.GetResp(),
+			LastResponseAt: duration(m.GetHeard()), EjectedUntil: duration(m.GetEjected()), Failures: int(m.GetBad()), Errors: int(m.GetErrors()),
+			ConnectionFailures: int(m.GetBroken()), RejectShare: m.GetTurned(), RejectShareAt: duration(m.GetTurnedAt()), RejectLatency: m.GetTurnTook(),
+			Throughput: decodeDecayingCount(m.GetThru())}
 		for _, at := range m.GetOut() {
-			h.Outstanding = append(h.Outstanding, d(at))
+			h.Outstanding = append(h.Outstanding, duration(at))
 		}
 		s.Servers = append(s.Servers, h)
 	}
 	for _, m := range g.GetRequests() {
 		r := admission.RequestState{ID: m.GetId(), Class: m.GetClass(), Customer: m.GetCustomer(),
-			HasCustomer: m.GetHasCustomer(), Units: m.GetUnits(), ArrivedAt: d(m.GetAt()), Deadline: d(m.GetDeadline()),
-			Due: d(m.GetDue()), QuotaCounted: m.GetInRate(), InFlightCounted: m.GetInGauge(), TokensTaken: m.GetDrawn(),
+			HasCustomer: m.GetHasCustomer(), Units: m.GetUnits(), ArrivedAt: duration(m.GetAt()), Deadline: duration(m.GetDeadline()),
+			Due: duration(m.GetDue()), QuotaCounted: m.GetInRate(), InFlightCounted: m.GetInGauge(), TokensTaken: m.GetDrawn(),
 			QuotaWindow: m.GetRateWindow(), SlowStartSample: m.GetLot(), IsOverQuota: m.GetOver(), WasSent: m.GetSent(), IsDone: m.GetDone(),
 			PriorServer: m.GetMaybe(), PriorZone: m.GetMaybeZone(), PriorCell: int(m.GetMaybeCell()), HasPrior: m.GetHasMaybe(),
-			PriorSentAt: d(m.GetMaybeAt()), Plan: m.GetPlan()}
+			PriorSentAt: duration(m.GetMaybeAt()), Plan: m.GetPlan()}
 		for _, t := range m.GetTries() {
-			r.Attempts = append(r.Attempts, admission.AttemptState{Server: t.GetServer(), SentAt: d(t.GetAt()), IsLive: t.GetLive()})
+			r.Attempts = append(r.Attempts, admission.AttemptState{Server: t.GetServer(), SentAt: duration(t.GetAt()), IsLive: t.GetLive()})
 		}
 		s.Requests = append(s.Requests, r)
 	}
@@ -174,7 +176,7 @@
 	}
 	for _, k := range s.GetKeys() {
 		o.Keys = append(o.Keys, core.KeyState{Key: k.GetKey(), Host: k.GetServer(), Zone: k.GetZone(),
-			Cell: int(k.GetCell()), StartedAt: d(k.GetAt()), ExpiresAt: d(k.GetUntil()), StreamID: k.GetStream()})
+			Cell: int(k.GetCell()), StartedAt: duration(k.GetAt()), ExpiresAt: duration(k.GetUntil()), StreamID: k.GetStream()})
 	}
 	return o
 }
@@ -182,7 +184,7 @@
 // EncodeHosts makes messages of the cluster.
 func EncodeHosts(l discovery.List) (hosts []*pb.Host) {
 	for _, e := range l.Entries {
-		hosts = append(hosts, host(e.ServerEntry, e.Addr))
+		hosts = append(hosts, encodeHost(e.ServerEntry, e.Addr))
 	}
 	return hosts
 }
@@ -191,7 +193,7 @@
 func DecodeHosts(s *pb.Snapshot) discovery.List {
 	l := discovery.List{Version: s.GetListVersion(), Full: true}
 	for _, h := range s.GetHosts() {
-		l.Entries = append(l.Entries, discovery.Entry{ServerEntry: fromHost(h), Addr: h.GetAddress()})
+		l.Entries = append(l.Entries, discovery.Entry{ServerEntry: decodeHost(h), Addr: h.GetAddress()})
 	}
 	return l
 }
@@ -212,7 +214,7 @@
 // DecodeClientConn is its inverse.
 func DecodeClientConn(m *pb.ClientConnection) downstream.ConnState {
 	p := m.GetParser()
-	s := downstream.ConnState{ListenerAddress: m.GetListener(), Unsent: m.GetOut(), PhaseSince: d(m.GetSince()), OpenedAt: d(m.GetOpened()),
+	s := downstream.ConnState{ListenerAddress: m.GetListener(), Unsent: m.GetOut(), PhaseSince: duration(m.GetSince()), OpenedAt: duration(m.GetOpened()),
 		WasServed: m.GetServed(), Parser: http1.RequestParserState{Buffered: p.GetBuffered(), InBody: p.GetInBody(),
 			Framing: int(p.GetFraming()), BytesLeft: int(p.GetLeft()), ChunkState: int(p.GetChunk()), Body: p.GetBody(),
 			TrailerBytes: int(p.GetTrail()), Method: p.GetMethod(), Target: p.GetTarget(), Close: p.GetClose(),
@@ -236,5 +238,5 @@
 		o = admission.Cancelled
 	}
 	return admission.AttemptEnded{ID: m.GetStream(), Attempt: int(m.GetAttempt()), Server: m.GetHost(), Outcome: o,
-		Took: d(m.GetTook()), Done: true}, d(m.GetAt())
+		Took: duration(m.GetTook()), Done: true}, duration(m.GetAt())
 }
--- a/internal/handover/phase/new.go
+++ b/internal/handover/phase/new.go
@@ -14,20 +14,20 @@
 	PastProbation                    // serving; the predecessor, if it is still there, only ends what it has
 	Independent                      // the predecessor is gone
 	Ended                            // we end, and had taken nothing
-	newStates
+	newStateCount
 )
 
-var newNames = [newStates]string{"greeting", "building", "waiting", "holding", "trial", "alone", "independent", "ended"}
+var newStateNames = [newStateCount]string{"greeting", "building", "waiting", "holding", "trial", "alone", "independent", "ended"}
 
-func (s NewState) String() string { return newNames[s] }
+func (s NewState) String() string { return newStateNames[s] }
 
 // NewProcess is the machine of the process that takes over.
 type NewProcess struct {
 	State   NewState
 	Failure string // why it ended
 
-	ending   bool
-	restored bool // a snapshot has come
+	isTerminating bool
+	hasSnapshot   bool // a snapshot has come
 }
 
 // IsServing tells whether this process accepts and reads.
@@ -40,7 +40,7 @@
 	}
 	switch ev := ev.(type) {
 	case MessageReceived:
-		return m.told(ev)
+		return m.handleMessage(ev)
 	case InvalidData:
 		if m.IsServing() {
 			return nil // nothing that it still says is worth ending for
@@ -56,12 +56,12 @@
 			return m.refuse(ev.Reason)
 		}
 	case SnapshotRestored:
-		if m.State == AwaitingSnapshot && m.restored {
+		if m.State == AwaitingSnapshot && m.hasSnapshot {
 			m.State = AwaitingCommit
 			return []Action{SendRestored}
 		}
 	case PeerExited:
-		return m.gone()
+		return m.peerExited()
 	case PhaseTimedOut:
 		if !m.IsServing() && m.State != AwaitingCommit { // holding, only the old process's word or death decides
 			return m.refuse("the old process has said nothing while " + m.State.String())
@@ -70,13 +70,13 @@
 		switch {
 		case !m.IsServing():
 			return m.refuse("the new process was told to end")
-		case m.ending:
+		case m.isTerminating:
 			return nil
 		case m.State == Independent:
-			m.ending = true
+			m.isTerminating = true
 			return []Action{Drain}
 		}
-		m.ending = true
+		m.isTerminating = true
 		return []Action{SendLeaving, Drain}
 	case ReloadRequested:
 		if m.IsServing() {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (m *NewProcess) told(ev MessageReceived) []Action {
+func (m *NewProcess) handleMessage(ev MessageReceived) []Action {
 	switch {
 	case ev.Message == Abort && !m.IsServing():
 		m.State, m.Failure = Ended, "the old process carries on: "+ev.Text
@@ -96,8 +96,8 @@
 	case ev.Message == Welcome && m.State == AwaitingWelcome:
 		m.State = Building
 		return []Action{Prepare}
-	case ev.Message == Snapshot && m.State == AwaitingSnapshot && !m.restored:
-		m.restored = true
+	case ev.Message == Snapshot && m.State == AwaitingSnapshot && !m.hasSnapshot:
+		m.hasSnapshot = true
 		return []Action{Restore}
 	case ev.Message == Commit && m.State == AwaitingCommit:
 		m.State = OnProbation
@@ -117,9 +117,9 @@
 	return m.refuse(fmt.Sprintf("the old process has sent %s while %s", ev.Message, m.State))
 }
 
-// gone: an old process that wants to carry on says Abort first. One that is gone without a word has died, and
+// peerExited: an old process that wants to carry on says Abort first. One that is peerExited without a word has died, and
 // nobody serves: who has all its state takes over.
-func (m *NewProcess) gone() []Action {
+func (m *NewProcess) peerExited() []Action {
 	switch m.State {
 	case AwaitingCommit:
 		m.State = Independent
--- a/internal/handover/phase/old.go
+++ b/internal/handover/phase/old.go
@@ -14,12 +14,12 @@
 	Probation                 // the new process serves; its first moments
 	Draining                  // it has stood them; what we have is ending
 	Finished                  // we end
-	oldStates
+	oldStateCount
 )
 
-var oldNames = [oldStates]string{"idle", "starting", "preparing", "copying", "frozen", "probation", "emptying", "over"}
+var oldStateNames = [oldStateCount]string{"idle", "starting", "preparing", "copying", "frozen", "probation", "emptying", "over"}
 
-func (s OldState) String() string { return oldNames[s] }
+func (s OldState) String() string { return oldStateNames[s] }
 
 // OldProcess is the machine of the process that is to be replaced.
 type OldProcess struct {
@@ -27,9 +27,9 @@
 	Failure              string // why the last upgrade failed
 	HasExternalSuccessor bool   // somebody else has started the new process: our end is not its end, nor is it ours to start or kill
 
-	empty  bool // nothing of ours is open
-	ending bool // the ingress is to end: nobody's place is taken back
-	missed bool // SIGHUP came while the successor may have read the configuration already
+	isDrained       bool // nothing of ours is open
+	isTerminating   bool // the ingress is to end: nobody's place is taken back
+	hasMissedReload bool // SIGHUP came while the successor may have read the configuration already
 }
 
 // IsCommitted tells whether a successor serves.
@@ -42,17 +42,17 @@
 func (m *OldProcess) Handle(ev Event) []Action {
 	switch ev := ev.(type) {
 	case UpgradeRequested:
-		if m.State != Idle || m.ending {
+		if m.State != Idle || m.isTerminating {
 			return nil // the asker is told by the caller, see UnderWay
 		}
-		m.State, m.Failure, m.empty, m.missed = Starting, "", false, false
+		m.State, m.Failure, m.isDrained, m.hasMissedReload = Starting, "", false, false
 		return []Action{Spawn, StartTimer}
 	case SpawnFailed:
 		if m.State == Starting {
 			return m.fail("not started: " + ev.Reason)
 		}
 	case MessageReceived:
-		return m.told(ev)
+		return m.handleMessage(ev)
 	case InvalidData:
 		if m.IsCommitted() { // it serves, and what it says does not matter for that
 			return nil
@@ -61,31 +61,31 @@
 			return m.fail("the new process has sent garbage: " + ev.Reason)
 		}
 	case PeerExited:
-		return m.gone(ev.Detail)
+		return m.peerExited(ev.Detail)
 	case PhaseTimedOut:
-		return m.timeUp()
+		return m.phaseTimedOut()
 	case CustomersCopied:
 		if m.State == Copying {
 			m.State = Frozen
 			return []Action{StopTimer, Freeze, SendSnapshot, StartTimer}
 		}
 	case Drained:
-		m.empty = m.IsCommitted()
+		m.isDrained = m.IsCommitted()
 		if m.State == Draining {
-			return m.over()
+			return m.finish()
 		}
 	case TerminateRequested:
-		return m.end()
+		return m.terminate()
 	case ReloadRequested:
 		if m.IsCommitted() {
 			return []Action{SendReload}
 		}
-		m.missed = m.IsInProgress()
+		m.hasMissedReload = m.IsInProgress()
 	}
 	return nil
 }
 
-func (m *OldProcess) told(ev MessageReceived) []Action {
+func (m *OldProcess) handleMessage(ev MessageReceived) []Action {
 	switch {
 	case m.State == Idle || m.State == Finished: // of a process that was given up
 		return nil
@@ -102,13 +102,13 @@
 	case ev.Message == Restored && m.State == Frozen:
 		m.State = Probation
 		actions := []Action{StopTimer, SendCommit, StartTimer}
-		if m.missed {
-			m.missed = false
+		if m.hasMissedReload {
+			m.hasMissedReload = false
 			actions = append(actions, SendReload)
 		}
 		return actions
 	case ev.Message == Leaving && m.IsCommitted():
-		m.ending = true
+		m.isTerminating = true
 		return nil
 	case m.IsCommitted():
 		return nil
@@ -116,17 +116,17 @@
 	return m.fail(fmt.Sprintf("the new process has sent %s while %s", ev.Message, m.State))
 }
 
-func (m *OldProcess) gone(how string) []Action {
+func (m *OldProcess) peerExited(how string) []Action {
 	switch {
 	case m.State == Idle || m.State == Finished:
 		return nil
 	case !m.IsCommitted():
 		return m.fail("the new process has ended while " + m.State.String() + ": " + how)
-	case m.ending: // as it was told to
+	case m.isTerminating: // as it was told to
 		m.State = Draining
 		actions := []Action{StopTimer}
-		if m.empty {
-			actions = append(actions, m.over()...)
+		if m.isDrained {
+			actions = append(actions, m.finish()...)
 		}
 		return actions
 	}
@@ -139,15 +139,15 @@
 	return []Action{StopTimer, ReclaimListeners, ReportFailed}
 }
 
-func (m *OldProcess) timeUp() []Action {
+func (m *OldProcess) phaseTimedOut() []Action {
 	switch m.State {
 	case Starting, Preparing, Copying, Frozen:
 		return m.fail("the new process has taken too long while " + m.State.String())
 	case Probation:
 		m.State = Draining
 		actions := []Action{SendSettled, ReportDone}
-		if m.empty {
-			actions = append(actions, m.over()...)
+		if m.isDrained {
+			actions = append(actions, m.finish()...)
 		}
 		return actions
 	}
@@ -165,40 +165,40 @@
 	return append(actions, ReportFailed)
 }
 
-func (m *OldProcess) end() []Action {
+func (m *OldProcess) terminate() []Action {
 	switch {
 	case m.State == Finished:
 		return nil
 	case m.State == Idle:
-		m.ending = true
+		m.isTerminating = true
 		return []Action{Drain}
 	case !m.IsCommitted():
-		m.ending = true
+		m.isTerminating = true
 		return append(m.fail("the ingress was told to end"), Drain)
-	case m.ending:
+	case m.isTerminating:
 		return nil
 	case m.HasExternalSuccessor:
-		return m.release()
+		return m.drainRemaining()
 	}
-	m.ending = true
+	m.isTerminating = true
 	return []Action{SendTerminate}
 }
 
-// release ends what this process still has. The new one goes on, and has stood its probation.
-func (m *OldProcess) release() []Action {
-	m.ending = true
+// drainRemaining ends what this process still has. The new one goes on, and has stood its probation.
+func (m *OldProcess) drainRemaining() []Action {
+	m.isTerminating = true
 	actions := []Action{DrainRemaining}
 	if m.State == Probation {
 		m.State = Draining
 		actions = append(actions, StopTimer, SendSettled, ReportDone)
 	}
-	if m.empty {
-		actions = append(actions, m.over()...)
+	if m.isDrained {
+		actions = append(actions, m.finish()...)
 	}
 	return actions
 }
 
-func (m *OldProcess) over() []Action {
+func (m *OldProcess) finish() []Action {
 	m.State = Finished
 	return []Action{SendFarewell}
 }
--- a/internal/handover/phase/phase.go
+++ b/internal/handover/phase/phase.go
@@ -29,14 +29,14 @@
 	Abort
 	Settled
 	Farewell
-	messages
+	messageCount
 )
 
-var messageNames = [messages]string{"hello", "prepared", "restored", "serving", "refused", "leaving", "welcome", "snapshot",
+var messageNames = [messageCount]string{"hello", "prepared", "restored", "serving", "refused", "leaving", "welcome", "snapshot",
 	"commit", "abort", "settled", "farewell"}
 
 func (m Message) String() string {
-	if m < 0 || m >= messages {
+	if m < 0 || m >= messageCount {
 		return fmt.Sprintf("message %d", int(m))
 	}
 	return messageNames[m]
@@ -142,16 +142,16 @@
 	// Of both.
 	StartTimer // the phase's time runs; the machine's State tells which
 	StopTimer
-	actions
+	actionCount
 )
 
-var actionNames = [actions]string{"spawn", "send welcome", "copy ahead", "freeze", "send snapshot", "send commit", "unfreeze",
+var actionNames = [actionCount]string{"spawn", "send welcome", "copy ahead", "freeze", "send snapshot", "send commit", "unfreeze",
 	"send abort", "kill", "reclaim", "send settled", "send terminate", "send reload", "drain", "end own", "say farewell", "report done",
 	"report failed", "prepare", "send prepared", "restore", "send restored", "serve", "send serving", "send refused",
 	"send leaving", "forget", "reload", "exit", "start clock", "stop clock"}
 
 func (a Action) String() string {
-	if a < 0 || a >= actions {
+	if a < 0 || a >= actionCount {
 		return fmt.Sprintf("action %d", int(a))
 	}
 	return actionNames[a]
--- a/internal/handover/phase/phase_test.go
+++ b/internal/handover/phase/phase_test.go
@@ -116,12 +116,12 @@
 	})
 	try(p.newUp && p.new.State == Building, func(q *pair) { q.onNew(PrepareDone{}) })
 	try(p.newUp && p.new.State == Building, func(q *pair) { q.onNew(TakeoverFailed{"test"}) })
-	try(p.newUp && p.new.State == AwaitingSnapshot && p.new.restored, func(q *pair) { q.onNew(SnapshotRestored{}) })
+	try(p.newUp && p.new.State == AwaitingSnapshot && p.new.hasSnapshot, func(q *pair) { q.onNew(SnapshotRestored{}) })
 	try(p.oldAlive && p.old.State == Copying, func(q *pair) { q.onOld(CustomersCopied{}) })
 	try(p.oldAlive && p.old.IsInProgress(), func(q *pair) { q.onOld(PhaseTimedOut{}) })
 	try(p.newUp && !p.new.IsServing(), func(q *pair) { q.onNew(PhaseTimedOut{}) })
-	try(p.oldAlive && p.old.IsCommitted() && !p.old.empty, func(q *pair) { q.onOld(Drained{}) })
-	try(p.oldAlive && !p.oldDrain && !p.old.ending, func(q *pair) { q.onOld(TerminateRequested{}) })
+	try(p.oldAlive && p.old.IsCommitted() && !p.old.isDrained, func(q *pair) { q.onOld(Drained{}) })
+	try(p.oldAlive && !p.oldDrain && !p.old.isTerminating, func(q *pair) { q.onOld(TerminateRequested{}) })
 	try(p.newUp && !p.newEnd, func(q *pair) { q.onNew(TerminateRequested{}) })
 	try(p.newUp && p.newEnd, func(q *pair) { q.newUp, q.newReads = false, false })
 	try(p.newUp, func(q *pair) { q.newUp, q.newReads = false, false }) // killed, or struck at last
@@ -158,19 +158,19 @@
 		require.False(t, p.oldReads && p.newReads, "both read: %s", key)
 		require.LessOrEqual(t, p.told, p.asked, key)
 		next := p.steps()
-		if p.oldAlive && !p.oldReads && !p.old.ending { // someone reads, or it is still to be decided
+		if p.oldAlive && !p.oldReads && !p.old.isTerminating { // someone reads, or it is still to be decided
 			require.True(t, p.old.IsInProgress(), "the old process reads no more for nothing: %s", key)
 		}
 		if len(next) == 0 || slices.Equal(next, []pair{p}) {
 			reads := p.oldAlive && p.oldReads || p.newUp && p.newReads
-			require.True(t, reads || !p.oldAlive && !p.newUp || p.oldDrain || p.old.ending, "the service is lost: %s", key)
+			require.True(t, reads || !p.oldAlive && !p.newUp || p.oldDrain || p.old.isTerminating, "the service is lost: %s", key)
 		}
 		work = append(work, next...)
 	}
-	for s := range oldStates {
+	for s := range oldStateCount {
 		require.True(t, states[s.String()], "never reached: %s", s)
 	}
-	for s := range newStates {
+	for s := range newStateCount {
 		require.True(t, states[s.String()], "never reached: %s", s)
 	}
 	t.Logf("%d situations", len(seen))
@@ -199,13 +199,13 @@
 
 func TestEveryStateMeetsEveryEvent(t *testing.T) {
 	var events []Event
-	for m := range messages {
+	for m := range messageCount {
 		events = append(events, MessageReceived{Message: m, Protocol: Protocol}, MessageReceived{Message: m, Protocol: 9})
 	}
 	events = append(events, UpgradeRequested{}, SpawnFailed{"x"}, InvalidData{"x"}, PeerExited{"x"}, PhaseTimedOut{}, CustomersCopied{}, Drained{}, PrepareDone{},
 		TakeoverFailed{"x"}, SnapshotRestored{}, TerminateRequested{}, ReloadRequested{})
 	for _, ev := range events {
-		for s := range oldStates {
+		for s := range oldStateCount {
 			m := OldProcess{State: s}
 			actions := m.Handle(ev)
 			require.Equal(t, s == Frozen && m.State == Idle, slices.Contains(actions, Unfreeze), "%s %#v", s, ev)
@@ -218,7 +218,7 @@
 				require.Empty(t, actions, "%s %#v", s, ev)
 			}
 		}
-		for s := range newStates {
+		for s := range newStateCount {
 			m := NewProcess{State: s}
 			actions := m.Handle(ev)
 			served := s >= OnProbation && s <= Independent
--- a/internal/handover/meet.go
+++ b/internal/handover/rendezvous.go
@@ -17,11 +17,11 @@
 // ErrNoPredecessor tells that there is nobody to meet.
 var ErrNoPredecessor = errors.New("nobody there")
 
-// place is the path of an ingress's socket. One too long for an address goes by way of the folder's descriptor.
-func place(dir, name string) (path, address string, free func(), err error) {
+// socketPath is the path of an ingress's socket. One too long for an address goes by way of the folder's descriptor.
+func socketPath(dir, name string) (path, address string, free func(), err error) {
 	path = filepath.Join(dir, ".ferryfront-"+strconv.Quote(name)[1:])
 	path = path[:len(path)-1]
-	if len(path) < pathMost {
+	if len(path) < maxPathBytes {
 		return path, path, func() {}, nil
 	}
 	fd, err := unix.Open(dir, unix.O_PATH|unix.O_DIRECTORY|unix.O_CLOEXEC, 0)
@@ -31,12 +31,12 @@
 	return path, fmt.Sprintf("/proc/self/fd/%d/%s", fd, filepath.Base(path)), func() { _ = unix.Close(fd) }, nil
 }
 
-// pathMost is well under what an address holds (108), with room for what a new socket's name has more.
-const pathMost = 80
+// maxPathBytes is well under what an address holds (108), with room for what a new socket's name has more.
+const maxPathBytes = 80
 
 // ConnectPredecessor connects to the process that awaits its successor. It returns ErrNobody where none does.
 func ConnectPredecessor(dir, name string) (int, error) {
-	path, address, free, err := place(dir, name)
+	path, address, free, err := socketPath(dir, name)
 	if err != nil {
 		return -1, err
 	}
@@ -53,7 +53,7 @@
 		return -1, fmt.Errorf("handover: %w", err)
 	}
 	if err = unix.Connect(fd, &unix.SockaddrUnix{Name: address}); err == nil {
-		err = ours(fd)
+		err = checkSameUser(fd)
 	} else if errors.Is(err, unix.ECONNREFUSED) || errors.Is(err, unix.ENOENT) { // it was left by one that has ended
 		err = ErrNoPredecessor
 	}
@@ -66,7 +66,7 @@
 
 // ListenForSuccessor opens the socket at which a successor is awaited. It takes the name from whoever had it, in one step.
 func ListenForSuccessor(dir, name string) (int, error) {
-	_, address, free, err := place(dir, name)
+	_, address, free, err := socketPath(dir, name)
 	if err != nil {
 		return -1, err
 	}
@@ -100,15 +100,15 @@
 	if err != nil {
 		return -1, err
 	}
-	if err := ours(c); err != nil {
+	if err := checkSameUser(c); err != nil {
 		_ = unix.Close(c)
 		return -1, err
 	}
 	return c, nil
 }
 
-// ours tells whether the process at the other end has our user.
-func ours(fd int) error {
+// checkSameUser tells whether the process at the other end has our user.
+func checkSameUser(fd int) error {
 	cred, err := unix.GetsockoptUcred(fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
--- a/internal/own/own.go
+++ b/internal/own/own.go
@@ -1,5 +1,6 @@
-// Package own reads the program's own settings: one CUE file, checked against a schema that is part of the
-// program. What the platform tells an ingress is not here but in GW_CONFIG, see package config.
+// Package own reads the program's own settings: one CUE file, checked against the schema in schema.cue, which is built
+// into the program. It reads the file once for each call and keeps no state. The configuration that the platform gives
+// to an ingress comes from GW_CONFIG instead, see package config.
 package own
 
 import (
@@ -26,11 +27,12 @@
 //go:embed schema.cue
 var schema string
 
-// Settings are a file's, with defaults filled in. Bounds go to [limits.Limits], by Limit.
+// Settings holds the settings of one file, with defaults filled in. Fields are decoded by their own names; schema.cue
+// describes them. Durations are text in the form of [time.ParseDuration]; ApplyLimits parses them.
 type Settings struct {
-	Control string
+	Control string // path of the control socket; empty: none
 	Log     struct{ Format, Level string }
-	Front   json.RawMessage // as deploy/front.json says it; nil: none
+	Front   json.RawMessage // the second front, in the form of deploy/front.json; nil: none
 
 	Telemetry struct {
 		Endpoint, Every string
@@ -47,18 +49,19 @@
 	} `json:"control_group"`
 	Handover struct{ Hello, Prepare, Copy, Freeze, Probation string }
 
-	path string
+	path string // of the file, for errors
 }
 
-// Read reads a file. Its errors name file, line and field.
+// Read reads a file and checks all of it, including durations, addresses and the second front. Errors name the file and
+// the field, and the line where it is known.
 func Read(path string) (*Settings, error) {
-	v, err := load(path)
+	v, err := loadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	s := &Settings{path: path}
 	if err := v.Decode(s); err != nil {
-		return nil, explain(path, err)
+		return nil, describeErrors(path, err)
 	}
 	if err := s.ApplyLimits(&limits.Limits{}); err != nil {
 		return nil, err
@@ -74,7 +77,7 @@
 	return s, nil
 }
 
-// checkReplicas tells the first address of the control group that can't be one, or is there twice.
+// checkReplicas returns an error for the first address of the control group that is invalid, has port 0 or is repeated.
 func checkReplicas(path string, v cue.Value, replicas []string) error {
 	for i, addr := range replicas {
 		at, err := netip.ParseAddrPort(addr)
@@ -82,31 +85,33 @@
 		case err == nil && at.Port() == 0:
 			err = errors.New("port 0")
 		case err == nil && slices.Contains(replicas[:i], addr):
-			err = errors.New("it is there twice")
+			err = errors.New("duplicate address")
 		}
 		if err != nil {
 			field := fmt.Sprintf("control_group.replicas[%d]", i)
 			line := v.LookupPath(cue.ParsePath(field)).Pos().Line()
-			return fmt.Errorf("settings: %s:%d: %s: %q is no address of a replica: %w", path, line, field, addr, err)
+			return fmt.Errorf("settings: %s:%d: %s: %q is not a valid replica address: %w", path, line, field, addr, err)
 		}
 	}
 	return nil
 }
 
-// Show returns a file as it is in force: checked, with defaults, in CUE.
+// Show returns the settings of a file in CUE, checked against the schema and with defaults filled in. It doesn't make the
+// further checks of Read.
 func Show(path string) (string, error) {
-	v, err := load(path)
+	v, err := loadFile(path)
 	if err != nil {
 		return "", err
 	}
 	b, err := format.Node(v.Syntax(cue.Final(), cue.Docs(true), cue.Definitions(false), cue.Optional(false)))
 	if err != nil {
-		return "", explain(path, err)
+		return "", describeErrors(path, err)
 	}
 	return string(b) + "\n", nil
 }
 
-func load(path string) (cue.Value, error) {
+// loadFile reads a file and unifies it with the schema.
+func loadFile(path string) (cue.Value, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return cue.Value{}, fmt.Errorf("settings: %w", err)
@@ -116,20 +121,20 @@
 	if err := def.Err(); err != nil {
 		return cue.Value{}, fmt.Errorf("settings: the program's schema: %w", err)
 	}
-	own := ctx.CompileBytes(raw, cue.Filename(path))
-	if err := own.Err(); err != nil {
-		return cue.Value{}, explain(path, err)
+	file := ctx.CompileBytes(raw, cue.Filename(path))
+	if err := file.Err(); err != nil {
+		return cue.Value{}, describeErrors(path, err)
 	}
-	v := def.Unify(own)
+	v := def.Unify(file)
 	if err := v.Validate(cue.Concrete(true), cue.Final()); err != nil {
-		return cue.Value{}, explain(path, err)
+		return cue.Value{}, describeErrors(path, err)
 	}
 	return v, nil
 }
 
-// explain makes one line of each fault: file, line, field, and what is wrong with it. Of the places that
-// clash, the file's own is told.
-func explain(path string, err error) error {
+// describeErrors turns a CUE error into one with a line of text for each fault: file, line, field and message. Where
+// values in the schema and in the file conflict, it names the line in the file.
+func describeErrors(path string, err error) error {
 	var lines []string
 	for _, e := range cueerrors.Errors(err) {
 		at := path
@@ -151,14 +156,15 @@
 	return fmt.Errorf("settings: %s", strings.Join(lines, "\n"))
 }
 
-// FrontFile is the second front's part, as a file of its own would say it.
+// FrontFile returns the settings of the second front, in the form of a front file of its own. Front must not be nil.
 func (s *Settings) FrontFile() (openapi.File, error) { return openapi.ParseFile(s.Front, s.path) }
 
-// ApplyLimits puts the file's bounds in place.
+// ApplyLimits overwrites the fields of l that the file sets: intervals, timeouts and counts. It returns an error if a
+// duration isn't above 0 or the acknowledgement timeout is longer than the probe interval; l may be changed in part then.
 func (s *Settings) ApplyLimits(l *limits.Limits) error {
 	for _, f := range []struct {
 		name, text string
-		to         *time.Duration
+		target     *time.Duration
 	}{{"telemetry.every", s.Telemetry.Every, &l.TelemetryInterval},
 		{"control_group.ready_wait", s.ControlGroup.ReadyWait, &l.ControlReadyTimeout},
 		{"membership.period", s.Membership.Period, &l.MemberProbeInterval}, {"membership.ack", s.Membership.Ack, &l.MemberAckTimeout},
@@ -167,9 +173,9 @@
 		{"handover.freeze", s.Handover.Freeze, &l.FreezeTimeout}, {"handover.probation", s.Handover.Probation, &l.ProbationPeriod}} {
 		d, err := time.ParseDuration(f.text)
 		if err != nil || d <= 0 {
-			return fmt.Errorf("%s: %s: %q is no time above zero", filepath.Clean(s.path), f.name, f.text)
+			return fmt.Errorf("%s: %s: %q is not a duration above 0", filepath.Clean(s.path), f.name, f.text)
 		}
-		*f.to = d
+		*f.target = d
 	}
 	l.TelemetryQueueLength, l.MemberIndirectProbes = s.Telemetry.Queue, s.Membership.Helpers
 	if l.MemberAckTimeout > l.MemberProbeInterval {
--- a/internal/own/own_test.go
+++ b/internal/own/own_test.go
@@ -51,7 +51,7 @@
 		`control_group: on: true`:                                                                ":1: control_group.on",
 		"control_group: {\n\treplicas: [\"10.0.0.1:7400\", \"nowhere\"]\n}":                      ":2: control_group.replicas.1: ",
 		"control_group: replicas: [\n\"10.0.0.1:7400\",\n\"10.0.0.1:99999\",\n]":                 ":3: control_group.replicas[1]: ",
-		"control_group: replicas: [\n\"10.0.0.1:7400\",\n\"10.0.0.2:7400\",\n\"10.0.0.1:7400\"]": `:4: control_group.replicas[2]: "10.0.0.1:7400" is no address of a replica: it is there twice`,
+		"control_group: replicas: [\n\"10.0.0.1:7400\",\n\"10.0.0.2:7400\",\n\"10.0.0.1:7400\"]": `:4: control_group.replicas[2]: "10.0.0.1:7400" is not a valid replica address: duplicate address`,
 		"control_group: replicas: [\"10.0.0.1:0\"]":                                              ":1: control_group.replicas[0]: ",
 		`control_group: ready_wait: "0s"`:                                                        "control_group.ready_wait",
 		`membership: {period: "50ms"}`:                                                           `membership.ack: "100ms" is longer than membership.period`,
