--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -1,5 +1,7 @@
-// Package handover carries a hand-over's messages between two processes of one ingress, descriptors with them,
-// over a pair of Unix sockets. When they are sent and what follows is decided in package phase.
+// Package handover carries the messages of a handover, and file descriptors with them, between two processes of one
+// ingress over a Unix socket. It also connects a new process to the running one if somebody else started it, and
+// converts state between Go types and messages. All of it runs on the goroutine of the event loop. It doesn't decide
+// which message is sent when; package phase does.
 package handover
 
 import (
@@ -15,47 +17,55 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Sink is told what comes. Descriptors that come with a message are the sink's.
+// Sink receives what a Conn reads, on the loop's goroutine.
 type Sink interface {
+	// HandleMessage handles a message. It owns the descriptors that came with the message and closes them.
 	HandleMessage(e *pb.Envelope, fds []int)
-	// ConnectionLost: nothing more comes. The error is io.EOF where the other side has ended.
+	// ConnectionLost is called once, when nothing more can be read. The error is io.EOF if the other process has closed
+	// its end or died, and another one if the data is invalid or a read failed.
 	ConnectionLost(err error)
 }
 
-// DescriptorEnv names the descriptor of its end to the process that is started.
+// DescriptorEnv is the environment variable that gives a started process the number of its socket's descriptor.
 const DescriptorEnv = "FERRYFRONT_HANDOVER"
 
 const (
-	maxPacketBytes          = 32 << 10 // of a message in one packet; well under what a socket may hold
-	maxMessageFDs           = 64       // descriptors with one message; the kernel takes 253
-	lastPacket, morePackets = 0, 1     // a packet's first byte
+	// maxPacketBytes bounds the part of a message in one packet. It is well under the size of a socket's buffer.
+	maxPacketBytes = 32 << 10
+	// maxMessageFDs bounds the descriptors sent with one message. The kernel's own limit is 253.
+	maxMessageFDs = 64
+	// The first byte of a packet tells whether it ends its message or more packets follow.
+	lastPacket, morePackets = 0, 1
 )
 
-// Conn is one end. It belongs to the loop's goroutine.
+// Conn is one end of the connection between the two processes. Only the loop's goroutine may use it. A message longer than
+// maxPacketBytes goes out in several packets.
 type Conn struct {
 	loop          *loop.Loop
 	limits        limits.Limits
 	source        *loop.Source
 	sink          Sink
-	queue         []packet
-	queuedBytes   int // in the queue
-	onFlushed     func()
-	partial       []byte // of a message that is not whole yet
-	partialFDs    []int  // that came with it
-	isLost        bool   // told as lost
-	readBuffer    []byte
-	controlBuffer []byte
+	queue         []packet // not sent yet
+	queuedBytes   int      // total length of the packets in the queue
+	onFlushed     func()   // set by WhenFlushed; nil: none
+	partial       []byte   // what has been read of an incomplete message
+	partialFDs    []int    // descriptors that came with partial
+	isLost        bool     // ConnectionLost has been called
+	readBuffer    []byte   // for one packet
+	controlBuffer []byte   // for the descriptors of one packet
 
-	// sendMessage is the system call; tests put one in its place that fails.
+	// sendMessage is the system call sendmsg. Tests replace it by a function that fails.
 	sendMessage func(fd int, b, oob []byte, to unix.Sockaddr, flags int) (int, error)
 }
 
+// packet is a part of a message that is sent in one call, with the descriptors that go with it.
 type packet struct {
 	bytes []byte
 	fds   []int
 }
 
-// Pair opens a connected pair of sockets, closed in programs that are started unless handed to them.
+// Pair opens a connected pair of nonblocking sockets and returns their descriptors. Both are close-on-exec: the started
+// process gets only the one that it is passed explicitly.
 func Pair() (ours, theirs int, err error) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -64,7 +74,8 @@
 	return fds[0], fds[1], nil
 }
 
-// New watches one end.
+// New makes a connection of fd and reads from it until ConnectionLost or Close. It sets fd nonblocking and
+// close-on-exec. After an error fd remains the caller's.
 func New(l *loop.Loop, lim limits.Limits, fd int, s Sink) (*Conn, error) {
 	if err := unix.SetNonblock(fd, true); err != nil {
 		return nil, fmt.Errorf("handover: descriptor %d: %w", fd, err)
@@ -78,8 +89,9 @@
 	return c, nil
 }
 
-// Send queues a message. The descriptors become the connection's: they are closed once they have been sent,
-// or with it.
+// Send queues a message and sends as much as the socket takes. The connection owns the descriptors: it closes them when
+// they have been sent or can't be sent any more. The message is dropped without an error if the connection is closed,
+// if it can't be encoded or if it has more than maxMessageFDs descriptors.
 func (c *Conn) Send(e *pb.Envelope, fds ...int) {
 	b, err := proto.Marshal(e)
 	if err != nil || c.source.FD() < 0 || len(fds) > maxMessageFDs {
@@ -102,15 +114,17 @@
 	c.flush()
 }
 
-// QueuedBytes tells how many bytes are queued.
+// QueuedBytes returns how many bytes are queued and not yet given to the socket.
 func (c *Conn) QueuedBytes() int { return c.queuedBytes }
 
-// WhenFlushed has a function called, once, as soon as nothing is queued; later in this turn at the earliest.
+// WhenFlushed calls fn once, as soon as nothing is queued, but never before it has returned: at the earliest later in the
+// loop's present turn. It replaces a function that still waits.
 func (c *Conn) WhenFlushed(fn func()) {
 	c.onFlushed = fn
 	c.loop.After(0, c.callOnFlushed)
 }
 
+// callOnFlushed calls the function given to WhenFlushed if the queue is still empty.
 func (c *Conn) callOnFlushed() {
 	if fn := c.onFlushed; fn != nil && len(c.queue) == 0 {
 		c.onFlushed = nil
@@ -118,7 +132,8 @@
 	}
 }
 
-// Close ends the connection. What is queued is not sent any more.
+// Close closes the socket and every descriptor that the connection still owns. Queued messages are not sent. A nil
+// connection may be closed.
 func (c *Conn) Close() {
 	if c == nil {
 		return
@@ -137,7 +152,7 @@
 	}
 }
 
-// Ready goes on with what the connection was about.
+// Ready reads and writes. The event loop calls it when the socket has events.
 func (c *Conn) Ready(events uint32) {
 	if events&loop.Out != 0 {
 		c.flush()
@@ -147,6 +162,7 @@
 	}
 }
 
+// flush sends queued packets until the socket takes no more. After any other error it drops the queue.
 func (c *Conn) flush() {
 	for len(c.queue) > 0 {
 		p := &c.queue[0]
@@ -158,10 +174,11 @@
 		if errors.Is(err, unix.EINTR) {
 			continue
 		}
-		if errors.Is(err, unix.ETOOMANYREFS) || loop.IsOutOfResources(err) { // the other side, or the machine, has yet to make room
+		// The other process has to read first, or the system is short of memory: retry when the socket is writable.
+		if errors.Is(err, unix.ETOOMANYREFS) || loop.IsOutOfResources(err) {
 			break
 		}
-		if err != nil { // the other side has ended; reading tells so, after what it has still said
+		if err != nil { // the other process has ended; read reports that after the last messages
 			for _, p := range c.queue {
 				closeAll(p.fds)
 			}
@@ -183,16 +200,16 @@
 	}
 }
 
-// ReadAll reads all that has come, up to the loss.
+// ReadAll reads messages until there are no more or the connection is lost.
 func (c *Conn) ReadAll() {
 	for c.read() {
 	}
 }
 
-// maxPacketsPerTurn bounds the packets of one turn: requests have their turns meanwhile.
+// maxPacketsPerTurn bounds the packets read in one turn of the loop, so that requests aren't delayed.
 const maxPacketsPerTurn = 64
 
-// read takes what has come and tells whether there may be more.
+// read reads up to maxPacketsPerTurn packets, passes whole messages to the sink and reports whether there may be more.
 func (c *Conn) read() bool {
 	for range maxPacketsPerTurn {
 		if c.source.FD() < 0 || c.isLost {
@@ -202,9 +219,9 @@
 		switch {
 		case errors.Is(err, unix.EINTR):
 			continue
-		case loop.IsOutOfResources(err): // nothing is there, or no memory for it yet
+		case loop.IsOutOfResources(err): // nothing to read, or no memory for it yet
 			return false
-		case errors.Is(err, unix.ECONNRESET): // it has died with something unread: no less an end
+		case errors.Is(err, unix.ECONNRESET): // the other process ended with unread messages, which counts as an ordinary end
 			c.reportLoss(io.EOF)
 			return false
 		case err != nil:
@@ -238,6 +255,8 @@
 	return true
 }
 
+// takeDescriptors adds the descriptors in a control message to those of the incomplete message. It reports false if the
+// control message is invalid or there are too many.
 func (c *Conn) takeDescriptors(oob []byte) bool {
 	if len(oob) == 0 {
 		return true
@@ -256,7 +275,8 @@
 	return len(c.partialFDs) <= maxMessageFDs
 }
 
-// reportLoss tells the loss once. The socket stays open: the other side may take its close for our death.
+// reportLoss stops reading and calls ConnectionLost. The socket stays open until Close, because the other process may take
+// its closing for the death of this process.
 func (c *Conn) reportLoss(err error) {
 	closeAll(c.partialFDs)
 	c.partialFDs, c.partial, c.isLost = nil, nil, true
--- a/internal/handover/convert.go
+++ b/internal/handover/convert.go
@@ -11,8 +11,8 @@
 	"ferryfront.example/ferryfront/internal/net/http1"
 )
 
-// Between the parts' own types and the messages. A pair of functions each; convert_test.go holds them to be
-// each other's inverse.
+// Each Encode function turns state of another package into a message, and the Decode function of the same name is its
+// inverse. convert_test.go checks that no field is lost on the way. Times and durations are nanoseconds in messages.
 
 type duration = time.Duration
 
@@ -45,14 +45,14 @@
 		LastTotalAt: duration(v.GetSeenAt()), Pending: v.GetFold()}
 }
 
-// EncodeCustomer makes a message of a customer.
+// EncodeCustomer makes a message of the decision module's state of one customer.
 func EncodeCustomer(c admission.CustomerState) *pb.Customer {
 	return &pb.Customer{Id: c.ID, Plan: c.Plan, Doors: c.Gateways, Rate: encodeWindowCounter(c.QuotaCounter), Gauge: encodeWindowCounter(c.InFlightCounter),
 		Demand: encodeWindowCounter(c.DemandCounter), Press: encodeDemand(c.Demand), Level: c.QuotaTokens, Hard: c.CeilingTokens, Take: c.OthersRate, Taken: c.PredictedUsage,
 		Used: int64(c.LastSeen), LevelAt: int64(c.QuotaTokensAt), HardAt: int64(c.CeilingTokensAt), Out: int64(c.InFlight), Reg: c.InFlightCounted, Fit: c.UnderCapShare}
 }
 
-// DecodeCustomer is its inverse.
+// DecodeCustomer is the inverse of EncodeCustomer.
 func DecodeCustomer(c *pb.Customer) admission.CustomerState {
 	return admission.CustomerState{ID: c.GetId(), Plan: c.GetPlan(), Gateways: c.GetDoors(), QuotaCounter: decodeWindowCounter(c.GetRate()),
 		InFlightCounter: decodeWindowCounter(c.GetGauge()), DemandCounter: decodeWindowCounter(c.GetDemand()), Demand: decodeDemand(c.GetPress()),
@@ -70,7 +70,7 @@
 		State: admission.ServerState(h.GetState()), Size: h.GetSize(), Boot: duration(h.GetBoot())}
 }
 
-// EncodeGateway makes a message of the module's state.
+// EncodeGateway makes a message of the decision module's state without its customers.
 func EncodeGateway(s admission.State) *pb.Gateway {
 	g := &pb.Gateway{Now: int64(s.Now), Began: int64(s.CeilingStart), Started: s.IsStarted, Random: s.Random, Logs: int64(s.LogLines),
 		Failures: int64(s.CounterFailures), Open: s.IsBreakerOpen, NextProbe: int64(s.NextCounterProbe), AnsweredAt: int64(s.CounterAnsweredAt),
@@ -111,7 +111,7 @@
 	return g
 }
 
-// DecodeGateway is its inverse.
+// DecodeGateway is the inverse of EncodeGateway.
 func DecodeGateway(g *pb.Gateway) admission.State {
 	s := admission.State{Now: duration(g.GetNow()), CeilingStart: duration(g.GetBegan()), IsStarted: g.GetStarted(), Random: g.GetRandom(),
 		LogLines: int(g.GetLogs()), CounterFailures: int(g.GetFailures()), IsBreakerOpen: g.GetOpen(), NextCounterProbe: duration(g.GetNextProbe()),
@@ -156,19 +156,19 @@
 	return s
 }
 
-// EncodeStreams makes messages of a core's open streams and keys.
-func EncodeStreams(o core.Snapshot) (streams []*pb.Stream, keys []*pb.Key) {
-	for _, s := range o.Streams {
+// EncodeStreams makes messages of the core's open streams and idempotency keys. The snapshot's LastID isn't in them.
+func EncodeStreams(snapshot core.Snapshot) (streams []*pb.Stream, keys []*pb.Key) {
+	for _, s := range snapshot.Streams {
 		streams = append(streams, &pb.Stream{Id: s.ID, RequestId: s.RequestID, Key: s.IdempotencyKey})
 	}
-	for _, k := range o.Keys {
+	for _, k := range snapshot.Keys {
 		keys = append(keys, &pb.Key{Key: k.Key, Server: k.Host, Zone: k.Zone, Cell: int64(k.Cell), At: int64(k.StartedAt),
 			Stream: k.StreamID, Until: int64(k.ExpiresAt)})
 	}
 	return streams, keys
 }
 
-// DecodeStreams is its inverse.
+// DecodeStreams is the inverse of EncodeStreams. It also takes LastID from the message.
 func DecodeStreams(s *pb.Snapshot) core.Snapshot {
 	o := core.Snapshot{LastID: s.GetLastStream()}
 	for _, m := range s.GetStreams() {
@@ -181,7 +181,7 @@
 	return o
 }
 
-// EncodeHosts makes messages of the cluster.
+// EncodeHosts makes messages of the cluster's hosts.
 func EncodeHosts(l discovery.List) (hosts []*pb.Host) {
 	for _, e := range l.Entries {
 		hosts = append(hosts, encodeHost(e.ServerEntry, e.Addr))
@@ -189,7 +189,7 @@
 	return hosts
 }
 
-// DecodeHosts is its inverse.
+// DecodeHosts is the inverse of EncodeHosts. It also takes the list's version from the message.
 func DecodeHosts(s *pb.Snapshot) discovery.List {
 	l := discovery.List{Version: s.GetListVersion(), Full: true}
 	for _, h := range s.GetHosts() {
@@ -198,7 +198,7 @@
 	return l
 }
 
-// EncodeClientConn makes a message of a client connection.
+// EncodeClientConn makes a message of the state of a client connection, including its partly read request.
 func EncodeClientConn(s downstream.ConnState) *pb.ClientConnection {
 	p := s.Parser
 	m := &pb.Parser{Buffered: p.Buffered, InBody: p.InBody, Framing: int32(p.Framing), Left: int64(p.BytesLeft),
@@ -211,7 +211,7 @@
 		Served: s.WasServed, Parser: m}
 }
 
-// DecodeClientConn is its inverse.
+// DecodeClientConn is the inverse of EncodeClientConn.
 func DecodeClientConn(m *pb.ClientConnection) downstream.ConnState {
 	p := m.GetParser()
 	s := downstream.ConnState{ListenerAddress: m.GetListener(), Unsent: m.GetOut(), PhaseSince: duration(m.GetSince()), OpenedAt: duration(m.GetOpened()),
@@ -225,13 +225,15 @@
 	return s
 }
 
-// EncodeAttemptEnded makes a message of an attempt's end.
+// EncodeAttemptEnded makes a message of an attempt that ended at the given time of the event loop's clock. The fields Done,
+// Billed, Used, Report and NotReplayable aren't in it.
 func EncodeAttemptEnded(ev admission.AttemptEnded, at time.Duration) *pb.AttemptEnded {
 	return &pb.AttemptEnded{Stream: ev.ID, Attempt: int32(ev.Attempt), Host: ev.Server, Outcome: int32(ev.Outcome),
 		Took: int64(ev.Took), At: int64(at)}
 }
 
-// DecodeAttemptEnded is its inverse. It is for the module's books only, so its request counts as finished.
+// DecodeAttemptEnded is the inverse of EncodeAttemptEnded. The event only updates the decision module's statistics, so Done
+// is always set. An unknown outcome becomes Cancelled.
 func DecodeAttemptEnded(m *pb.AttemptEnded) (ev admission.AttemptEnded, at time.Duration) {
 	o := admission.Outcome(m.GetOutcome())
 	if o < 0 || o >= admission.OutcomeCount {
--- a/internal/handover/phase/new.go
+++ b/internal/handover/phase/new.go
@@ -2,38 +2,41 @@
 
 import "fmt"
 
-// NewState is a phase of the new process.
+// NewState is a phase of the new process. String returns the name in newStateNames.
 type NewState int
 
 const (
-	AwaitingWelcome  NewState = iota // Hello is sent, Welcome is due
-	Building                         // configuration, parts, discovery
-	AwaitingSnapshot                 // prepared: customers come, then the snapshot
-	AwaitingCommit                   // all is in place: Commit is due
-	OnProbation                      // serving, on probation
-	PastProbation                    // serving; the predecessor, if it is still there, only ends what it has
-	Independent                      // the predecessor is gone
-	Ended                            // we end, and had taken nothing
+	AwaitingWelcome  NewState = iota // Hello is sent
+	Building                         // reading the configuration, building the parts, reaching discovery
+	AwaitingSnapshot                 // receiving customers, then the snapshot
+	AwaitingCommit                   // the snapshot is restored
+	OnProbation                      // serving; the old process takes over again should this one die
+	PastProbation                    // serving; the old process, if it still runs, only finishes what it has
+	Independent                      // serving; the old process is gone
+	Ended                            // exiting without having served
 	newStateCount
 )
 
+// newStateNames are parts of texts that operators and the other process read.
 var newStateNames = [newStateCount]string{"greeting", "building", "waiting", "holding", "trial", "alone", "independent", "ended"}
 
+// String returns the state's name.
 func (s NewState) String() string { return newStateNames[s] }
 
-// NewProcess is the machine of the process that takes over.
+// NewProcess is the state machine of the process that takes over. Its zero value has just sent Hello.
 type NewProcess struct {
 	State   NewState
-	Failure string // why it ended
+	Failure string // why this process doesn't take over; set when State becomes Ended
 
 	isTerminating bool
-	hasSnapshot   bool // a snapshot has come
+	hasSnapshot   bool // the snapshot has arrived
 }
 
-// IsServing tells whether this process accepts and reads.
+// IsServing reports whether this process accepts connections and reads requests.
 func (m *NewProcess) IsServing() bool { return m.State >= OnProbation && m.State <= Independent }
 
-// Handle takes one event and returns what is to be done.
+// Handle takes one event and returns the actions that it causes, in order. An event that doesn't fit the state is ignored.
+// Before this process serves, a message out of order ends the takeover.
 func (m *NewProcess) Handle(ev Event) []Action {
 	if m.State == Ended {
 		return nil
@@ -43,7 +46,7 @@
 		return m.handleMessage(ev)
 	case InvalidData:
 		if m.IsServing() {
-			return nil // nothing that it still says is worth ending for
+			return nil // this process serves on whatever the old one sends
 		}
 		return m.refuse("the old process has sent garbage: " + ev.Reason)
 	case PrepareDone:
@@ -63,7 +66,7 @@
 	case PeerExited:
 		return m.peerExited()
 	case PhaseTimedOut:
-		if !m.IsServing() && m.State != AwaitingCommit { // holding, only the old process's word or death decides
+		if !m.IsServing() && m.State != AwaitingCommit { // then only a message or the death of the old process decides
 			return m.refuse("the old process has said nothing while " + m.State.String())
 		}
 	case TerminateRequested:
@@ -86,6 +89,7 @@
 	return nil
 }
 
+// handleMessage takes a message of the old process.
 func (m *NewProcess) handleMessage(ev MessageReceived) []Action {
 	switch {
 	case ev.Message == Abort && !m.IsServing():
@@ -117,8 +121,8 @@
 	return m.refuse(fmt.Sprintf("the old process has sent %s while %s", ev.Message, m.State))
 }
 
-// peerExited: an old process that wants to carry on says Abort first. One that is peerExited without a word has died, and
-// nobody serves: who has all its state takes over.
+// peerExited handles the end of the old process. One that carries on would have sent Abort first, so this one has died and
+// no process serves. The new process takes over if it has restored the snapshot.
 func (m *NewProcess) peerExited() []Action {
 	switch m.State {
 	case AwaitingCommit:
@@ -134,7 +138,8 @@
 	return []Action{Exit}
 }
 
-func (m *NewProcess) refuse(why string) []Action {
-	m.State, m.Failure = Ended, why
+// refuse ends the takeover for a reason that the old process is told.
+func (m *NewProcess) refuse(reason string) []Action {
+	m.State, m.Failure = Ended, reason
 	return []Action{SendRefused, Exit}
 }
--- a/internal/handover/phase/old.go
+++ b/internal/handover/phase/old.go
@@ -2,48 +2,53 @@
 
 import "fmt"
 
-// OldState is a phase of the old process.
+// OldState is a phase of the old process. String returns the name in oldStateNames.
 type OldState int
 
 const (
-	Idle      OldState = iota // no upgrade is under way
-	Starting                  // the new process is started; its Hello is due
-	Preparing                 // it reads its configuration and reaches discovery
-	Copying                   // customers are copied ahead, while serving
-	Frozen                    // nobody reads; the snapshot is on its way
-	Probation                 // the new process serves; its first moments
-	Draining                  // it has stood them; what we have is ending
-	Finished                  // we end
+	Idle      OldState = iota // no upgrade is in progress
+	Starting                  // waiting for Hello of the new process, which is being started
+	Preparing                 // the new process reads its configuration and reaches discovery
+	Copying                   // copying customers to the new process while serving
+	Frozen                    // no process reads requests; the new process restores the snapshot
+	Probation                 // the new process serves; if it dies now, the upgrade is reported as failed
+	Draining                  // the probation is over; this process finishes what it still has
+	Finished                  // nothing is left; this process exits
 	oldStateCount
 )
 
+// oldStateNames are texts that operators read.
 var oldStateNames = [oldStateCount]string{"idle", "starting", "preparing", "copying", "frozen", "probation", "emptying", "over"}
 
+// String returns the state's name.
 func (s OldState) String() string { return oldStateNames[s] }
 
-// OldProcess is the machine of the process that is to be replaced.
+// OldProcess is the state machine of the process that is replaced. Its zero value serves.
 type OldProcess struct {
-	State                OldState
-	Failure              string // why the last upgrade failed
-	HasExternalSuccessor bool   // somebody else has started the new process: our end is not its end, nor is it ours to start or kill
-
-	isDrained       bool // nothing of ours is open
-	isTerminating   bool // the ingress is to end: nobody's place is taken back
-	hasMissedReload bool // SIGHUP came while the successor may have read the configuration already
+	State   OldState
+	Failure string // why the last upgrade failed
+	// HasExternalSuccessor means that somebody else started the new process. This process doesn't start or kill it then,
+	// and a SIGTERM to this process doesn't end it.
+	HasExternalSuccessor bool
+
+	isDrained       bool // this process has no open connection or stream left
+	isTerminating   bool // this process or the whole ingress is ending, so it must not take the listeners back
+	hasMissedReload bool // SIGHUP came when the new process may have read the configuration already
 }
 
-// IsCommitted tells whether a successor serves.
+// IsCommitted reports whether the new process serves.
 func (m *OldProcess) IsCommitted() bool { return m.State == Probation || m.State == Draining }
 
-// IsInProgress tells whether an upgrade is.
+// IsInProgress reports whether an upgrade is in progress, up to the exit of this process.
 func (m *OldProcess) IsInProgress() bool { return m.State != Idle && m.State != Finished }
 
-// Handle takes one event and returns what is to be done.
+// Handle takes one event and returns the actions that it causes, in order. An event that doesn't fit the state is ignored.
+// Before the commit, a message out of order or invalid data fails the upgrade.
 func (m *OldProcess) Handle(ev Event) []Action {
 	switch ev := ev.(type) {
 	case UpgradeRequested:
 		if m.State != Idle || m.isTerminating {
-			return nil // the asker is told by the caller, see UnderWay
+			return nil // the caller tells the requester why
 		}
 		m.State, m.Failure, m.isDrained, m.hasMissedReload = Starting, "", false, false
 		return []Action{Spawn, StartTimer}
@@ -54,7 +59,7 @@
 	case MessageReceived:
 		return m.handleMessage(ev)
 	case InvalidData:
-		if m.IsCommitted() { // it serves, and what it says does not matter for that
+		if m.IsCommitted() { // the new process serves whatever it sends
 			return nil
 		}
 		if m.IsInProgress() {
@@ -85,9 +90,10 @@
 	return nil
 }
 
+// handleMessage takes a message of the new process.
 func (m *OldProcess) handleMessage(ev MessageReceived) []Action {
 	switch {
-	case m.State == Idle || m.State == Finished: // of a process that was given up
+	case m.State == Idle || m.State == Finished: // from a process of a failed upgrade
 		return nil
 	case ev.Message == Refused && !m.IsCommitted():
 		return m.fail("refused by the new process: " + ev.Text)
@@ -116,13 +122,15 @@
 	return m.fail(fmt.Sprintf("the new process has sent %s while %s", ev.Message, m.State))
 }
 
-func (m *OldProcess) peerExited(how string) []Action {
+// peerExited handles the end of the new process. Before the commit the upgrade fails. After it, this process takes the
+// listeners back, unless the whole ingress is ending.
+func (m *OldProcess) peerExited(detail string) []Action {
 	switch {
 	case m.State == Idle || m.State == Finished:
 		return nil
 	case !m.IsCommitted():
-		return m.fail("the new process has ended while " + m.State.String() + ": " + how)
-	case m.isTerminating: // as it was told to
+		return m.fail("the new process has ended while " + m.State.String() + ": " + detail)
+	case m.isTerminating: // it was asked to end
 		m.State = Draining
 		actions := []Action{StopTimer}
 		if m.isDrained {
@@ -132,13 +140,14 @@
 	}
 	reported := m.State == Draining
 	m.State = Idle
-	m.Failure = "the new process has ended after it took over: " + how
-	if reported { // as done: who asked has gone
+	m.Failure = "the new process has ended after it took over: " + detail
+	if reported { // as done, so the requester no longer listens
 		return []Action{StopTimer, ReclaimListeners}
 	}
 	return []Action{StopTimer, ReclaimListeners, ReportFailed}
 }
 
+// phaseTimedOut fails the upgrade if the phase comes before the commit, and ends the probation if that is the phase.
 func (m *OldProcess) phaseTimedOut() []Action {
 	switch m.State {
 	case Starting, Preparing, Copying, Frozen:
@@ -154,17 +163,19 @@
 	return nil
 }
 
-// fail ends an upgrade before its commit.
-func (m *OldProcess) fail(why string) []Action {
-	was := m.State
-	m.State, m.Failure = Idle, why
+// fail ends an upgrade before its commit. This process goes on serving.
+func (m *OldProcess) fail(reason string) []Action {
+	failedIn := m.State
+	m.State, m.Failure = Idle, reason
 	actions := []Action{StopTimer, SendAbort, Kill}
-	if was == Frozen {
+	if failedIn == Frozen {
 		actions = append(actions, Unfreeze)
 	}
 	return append(actions, ReportFailed)
 }
 
+// terminate handles a SIGTERM. Once the new process serves, the signal is passed on to it, unless somebody else started
+// it: then the signal is for this process only.
 func (m *OldProcess) terminate() []Action {
 	switch {
 	case m.State == Finished:
@@ -184,7 +195,7 @@
 	return []Action{SendTerminate}
 }
 
-// drainRemaining ends what this process still has. The new one goes on, and has stood its probation.
+// drainRemaining ends what this process still has and cuts a probation short. The new process serves on.
 func (m *OldProcess) drainRemaining() []Action {
 	m.isTerminating = true
 	actions := []Action{DrainRemaining}
@@ -198,6 +209,7 @@
 	return actions
 }
 
+// finish ends this process, which has nothing left.
 func (m *OldProcess) finish() []Action {
 	m.State = Finished
 	return []Action{SendFarewell}
--- a/internal/handover/phase/phase.go
+++ b/internal/handover/phase/phase.go
@@ -1,37 +1,45 @@
-// Package phase holds the state machines of a hand-over, one for each process. They do no input or output:
-// events go in, and what is to be done comes out. What they hold to, whatever happens:
+// Package phase holds the two state machines of a handover: OldProcess for the running process and NewProcess for its
+// successor. A machine takes events and returns actions; it does no input or output and has no timer of its own. Each
+// belongs to the event loop of its process. They guarantee, in any order of events:
 //
-//   - At most one of the two processes accepts and reads clients' requests.
-//   - Up to Commit the old process can carry on with nothing lost; what makes it do so is told.
-//   - After Commit the old process takes the listeners back if the new one dies, as long as it lives itself.
-//   - Every phase has an end: each is left by an event, by its time, or by the other's death.
+//   - At most one of the two processes accepts connections and reads requests.
+//   - Until it sends Commit, the old process can carry on with nothing lost. It reports why it did.
+//   - After Commit the old process takes the listeners back if the new one dies, as long as it is alive itself.
+//   - Every phase ends: by an event, by its timeout or by the death of the other process.
 package phase
 
 import "fmt"
 
-// Protocol is the version of the messages' meaning. Two processes that differ in it do not hand over; fields
-// may be added without a new version.
+// Protocol is the version of the handover protocol. Processes with different versions refuse to hand over. Adding fields to
+// messages needs no new version.
 const Protocol = 1
 
-// Message is a message of the other process, as far as it moves a machine on.
+// Message is a kind of message from the other process. Messages that change no state, such as those with customers or
+// connections, have no kind.
 type Message int
 
 const (
-	Hello Message = iota
-	Prepared
-	Restored
-	Serving
-	Refused
-	Leaving
-	Welcome
-	Snapshot
-	Commit
-	Abort
-	Settled
-	Farewell
+	// Sent by the new process.
+
+	Hello    Message = iota // first message, with the protocol version
+	Prepared                // it can receive customers and the snapshot
+	Restored                // the snapshot is in place
+	Serving                 // it accepts and reads requests
+	Refused                 // it can't take over; carries the reason
+	Leaving                 // it has begun to end, as on SIGTERM
+
+	// Sent by the old process.
+
+	Welcome  // answer to Hello, with the protocol version
+	Snapshot // the state and the listeners
+	Commit   // the new process is to serve
+	Abort    // the old process carries on; carries the reason
+	Settled  // the probation is over
+	Farewell // the old process has nothing left and exits
 	messageCount
 )
 
+// messageNames are parts of texts that operators and the other process read.
 var messageNames = [messageCount]string{"hello", "prepared", "restored", "serving", "refused", "leaving", "welcome", "snapshot",
 	"commit", "abort", "settled", "farewell"}
 
@@ -42,50 +50,52 @@
 	return messageNames[m]
 }
 
-// Event is something that happened, one of the types below.
+// Event is an input of a machine, one of the types below.
 type Event interface{ isEvent() }
 
-// UpgradeRequested is the event that an upgrade is asked for.
+// UpgradeRequested asks the old process to begin an upgrade. It is ignored while one is in progress or the ingress is
+// ending.
 type UpgradeRequested struct{}
 
-// SpawnFailed is the event that the new process could not be started; Why is the cause.
+// SpawnFailed reports that the new process could not be started.
 type SpawnFailed struct{ Reason string }
 
-// MessageReceived is the event that the other process has sent a message. Text goes with Refused, Protocol with Hello and Welcome.
+// MessageReceived reports a message of the other process.
 type MessageReceived struct {
 	Message  Message
-	Protocol int
-	Text     string
+	Protocol int    // version of the handover protocol; of Hello and Welcome
+	Text     string // reason; of Refused and Abort
 }
 
-// InvalidData is the event that the other process has sent what can't be read or is out of place.
+// InvalidData reports that the other process sent data that can't be decoded.
 type InvalidData struct{ Reason string }
 
-// PeerExited is the event that the other process has ended, for certain; on the old side How tells its exit.
+// PeerExited reports that the other process has certainly ended. In the old process, Detail says how: its exit status, or
+// why it counts as ended.
 type PeerExited struct{ Detail string }
 
-// PhaseTimedOut is the event that the present phase has lasted as long as it may.
+// PhaseTimedOut reports that the time of the present phase is up.
 type PhaseTimedOut struct{}
 
-// CustomersCopied is the event that all customers have been copied ahead.
+// CustomersCopied reports to the old process that all customers have been copied.
 type CustomersCopied struct{}
 
-// Drained is the event that nothing that was taken by this process is open any more.
+// Drained reports to the old process that none of its connections and streams is open any more.
 type Drained struct{}
 
-// PrepareDone is the event that the new process has what it needs of its own: configuration, parts, discovery.
+// PrepareDone reports that the new process has read its configuration, built its parts and reached discovery.
 type PrepareDone struct{}
 
-// TakeoverFailed is the event that the new process can't take over.
+// TakeoverFailed reports that the new process can't take over.
 type TakeoverFailed struct{ Reason string }
 
-// SnapshotRestored is the event that the snapshot is in place.
+// SnapshotRestored reports that the new process has restored the snapshot.
 type SnapshotRestored struct{}
 
-// TerminateRequested is the event that this process has got SIGTERM.
+// TerminateRequested reports a SIGTERM, which the old process may have passed on to the new one.
 type TerminateRequested struct{}
 
-// ReloadRequested is the event that this process has got SIGHUP.
+// ReloadRequested reports a SIGHUP, which the old process may have passed on to the new one.
 type ReloadRequested struct{}
 
 func (UpgradeRequested) isEvent()   {}
@@ -102,53 +112,57 @@
 func (TerminateRequested) isEvent() {}
 func (ReloadRequested) isEvent()    {}
 
-// Action is what a machine wants done, in order.
+// Action is an output of a machine: something that the process has to do. Actions are carried out in order.
 type Action int
 
 const (
-	// Of the old process.
-	Spawn            Action = iota // start the binary that is on disk now
-	SendWelcome                    // answer its Hello
-	CopyCustomers                  // begin to copy customers, while serving
-	Freeze                         // accept and read no more
-	SendSnapshot                   // send the state and the listeners; from now on tell what becomes of what is open
-	SendCommit                     // the new process serves; send on each connection as it falls idle
-	Unfreeze                       // accept and read again: nothing was lost
-	SendAbort                      // tell the new process that it is not wanted
-	Kill                           // make sure that it has ended
-	ReclaimListeners               // accept again after the successor's death, with what it sent unknown
-	SendSettled                    // the probation is over
-	SendTerminate                  // pass the end on
-	SendReload                     // pass the reload on
-	Drain                          // end as on SIGTERM
-	DrainRemaining                 // end what is ours, in the time of a planned end: the new process goes on
-	SendFarewell                   // all is over: tell and exit
-	ReportDone                     // tell who asked: the upgrade has succeeded
-	ReportFailed                   // tell who asked: it has not, with Failure
-
-	// Of the new process.
+	// Actions of the old process.
+
+	Spawn         Action = iota // start the binary that is on disk now
+	SendWelcome                 // answer Hello
+	CopyCustomers               // begin to copy customers while serving
+	Freeze                      // stop accepting and reading
+	// SendSnapshot sends the state and the listeners. From then on the new process is told of each change of an open
+	// stream.
+	SendSnapshot
+	// SendCommit makes the new process serve. Each connection is handed over as soon as it is idle.
+	SendCommit
+	Unfreeze         // accept and read again; nothing was lost
+	SendAbort        // tell the new process that it must not serve
+	Kill             // make sure that the new process ends
+	ReclaimListeners // accept again after the new process died; what it sent upstream is unknown
+	SendSettled      // tell the new process that the probation is over
+	SendTerminate    // pass SIGTERM on to the new process
+	SendReload       // pass SIGHUP on to the new process
+	Drain            // end as on SIGTERM
+	DrainRemaining   // end what this process still has, within the drain timeout; the new process serves on
+	SendFarewell     // tell the new process that nothing is left, and exit
+	ReportDone       // report success to the requester of the upgrade
+	ReportFailed     // report Failure to the requester of the upgrade
+
+	// Actions of the new process.
+
 	Prepare           // read the configuration, build the parts, reach discovery
-	SendPrepared      // ready for the customers
-	Restore           // put the state in place
-	SendRestored      // it is in place
+	SendPrepared      // tell the old process that customers can come
+	Restore           // restore the snapshot
+	SendRestored      // tell the old process that the snapshot is restored
 	Serve             // accept and read
-	SendServing       // tell so
-	SendRefused       // with Failure
-	SendLeaving       // we were told to end
-	ForgetPredecessor // the predecessor is gone: nothing more is told of what it had
+	SendServing       // tell the old process that this one serves
+	SendRefused       // tell the old process Failure
+	SendLeaving       // tell the old process that this one has begun to end
+	ForgetPredecessor // the old process is gone: its open streams get no further news
 	ReloadConfig      // read the configuration again
-	Exit              // end at once; nothing was taken
+	Exit              // end at once; nothing was taken over
 
-	// Of both.
-	StartTimer // the phase's time runs; the machine's State tells which
-	StopTimer
+	StartTimer // old process: time the phase that State names
+	StopTimer  // both
 	actionCount
 )
 
-var actionNames = [actionCount]string{"spawn", "send welcome", "copy ahead", "freeze", "send snapshot", "send commit", "unfreeze",
-	"send abort", "kill", "reclaim", "send settled", "send terminate", "send reload", "drain", "end own", "say farewell", "report done",
+var actionNames = [actionCount]string{"spawn", "send welcome", "copy customers", "freeze", "send snapshot", "send commit", "unfreeze",
+	"send abort", "kill", "reclaim listeners", "send settled", "send terminate", "send reload", "drain", "drain remaining", "send farewell", "report done",
 	"report failed", "prepare", "send prepared", "restore", "send restored", "serve", "send serving", "send refused",
-	"send leaving", "forget", "reload", "exit", "start clock", "stop clock"}
+	"send leaving", "forget predecessor", "reload", "exit", "start timer", "stop timer"}
 
 func (a Action) String() string {
 	if a < 0 || a >= actionCount {
--- a/internal/handover/rendezvous.go
+++ b/internal/handover/rendezvous.go
@@ -10,14 +10,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Where two processes of one ingress meet that somebody else has started: at a socket in a folder that both have and
-// nobody else. Neither takes the other at its word: the name must be a socket, not a link to one, and both ends ask
-// the kernel whose process is at the other.
+// A new process that wasn't started by the running one connects to it at a socket in a directory that only these
+// processes share. Neither end trusts the other unchecked: the name must be a socket and no symbolic link, and both ends
+// ask the kernel for the user of the process at the other end.
 
-// ErrNoPredecessor tells that there is nobody to meet.
-var ErrNoPredecessor = errors.New("nobody there")
+// ErrNoPredecessor is returned by ConnectPredecessor if no process listens for a successor.
+var ErrNoPredecessor = errors.New("no process listens for a successor")
 
-// socketPath is the path of an ingress's socket. One too long for an address goes by way of the folder's descriptor.
+// socketPath returns the path of an ingress's socket and the address to bind or connect to. The address of a path that is
+// too long goes through /proc and a descriptor of the directory, which free closes.
 func socketPath(dir, name string) (path, address string, free func(), err error) {
 	path = filepath.Join(dir, ".ferryfront-"+strconv.Quote(name)[1:])
 	path = path[:len(path)-1]
@@ -31,10 +32,12 @@
 	return path, fmt.Sprintf("/proc/self/fd/%d/%s", fd, filepath.Base(path)), func() { _ = unix.Close(fd) }, nil
 }
 
-// maxPathBytes is well under what an address holds (108), with room for what a new socket's name has more.
+// maxPathBytes bounds a path that is used as an address. An address holds 108 bytes; the rest is for the suffix of a new
+// socket's temporary name.
 const maxPathBytes = 80
 
-// ConnectPredecessor connects to the process that awaits its successor. It returns ErrNobody where none does.
+// ConnectPredecessor connects to the running process of the named ingress and returns the socket's descriptor. It returns
+// ErrNoPredecessor if none listens, and another error if the socket or its process belongs to another user.
 func ConnectPredecessor(dir, name string) (int, error) {
 	path, address, free, err := socketPath(dir, name)
 	if err != nil {
@@ -46,7 +49,7 @@
 		return -1, ErrNoPredecessor
 	}
 	if st.Mode&unix.S_IFMT != unix.S_IFSOCK || int(st.Uid) != os.Getuid() {
-		return -1, fmt.Errorf("handover: %s is no socket of ours", path)
+		return -1, fmt.Errorf("handover: %s is not a socket of this user", path)
 	}
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -54,7 +57,7 @@
 	}
 	if err = unix.Connect(fd, &unix.SockaddrUnix{Name: address}); err == nil {
 		err = checkSameUser(fd)
-	} else if errors.Is(err, unix.ECONNREFUSED) || errors.Is(err, unix.ENOENT) { // it was left by one that has ended
+	} else if errors.Is(err, unix.ECONNREFUSED) || errors.Is(err, unix.ENOENT) { // the process that opened it has ended
 		err = ErrNoPredecessor
 	}
 	if err != nil {
@@ -64,7 +67,8 @@
 	return fd, nil
 }
 
-// ListenForSuccessor opens the socket at which a successor is awaited. It takes the name from whoever had it, in one step.
+// ListenForSuccessor listens at the named ingress's socket and returns its descriptor. The socket atomically replaces one
+// that another process may have there.
 func ListenForSuccessor(dir, name string) (int, error) {
 	_, address, free, err := socketPath(dir, name)
 	if err != nil {
@@ -75,16 +79,16 @@
 	if err != nil {
 		return -1, fmt.Errorf("handover: %w", err)
 	}
-	fresh := address + "." + strconv.Itoa(os.Getpid())
-	_ = unix.Unlink(fresh) // of an earlier process with our number
-	err = unix.Bind(fd, &unix.SockaddrUnix{Name: fresh})
+	temporary := address + "." + strconv.Itoa(os.Getpid())
+	_ = unix.Unlink(temporary) // an earlier process with the same id may have left it
+	err = unix.Bind(fd, &unix.SockaddrUnix{Name: temporary})
 	if err == nil {
-		err = errors.Join(unix.Chmod(fresh, 0o600), unix.Listen(fd, 4))
+		err = errors.Join(unix.Chmod(temporary, 0o600), unix.Listen(fd, 4))
 		if err == nil {
-			err = unix.Rename(fresh, address)
+			err = unix.Rename(temporary, address)
 		}
 		if err != nil {
-			_ = unix.Unlink(fresh)
+			_ = unix.Unlink(temporary)
 		}
 	}
 	if err != nil {
@@ -94,7 +98,8 @@
 	return fd, nil
 }
 
-// AcceptSuccessor takes who has come, if it is a process of ours.
+// AcceptSuccessor accepts a connection at a socket that ListenForSuccessor opened and returns its descriptor. It returns
+// an error if there is no connection or its process belongs to another user.
 func AcceptSuccessor(fd int) (int, error) {
 	c, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
@@ -107,14 +112,14 @@
 	return c, nil
 }
 
-// checkSameUser tells whether the process at the other end has our user.
+// checkSameUser returns an error unless the process at the other end runs as this process's user.
 func checkSameUser(fd int) error {
 	cred, err := unix.GetsockoptUcred(fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	if int(cred.Uid) != os.Getuid() {
-		return fmt.Errorf("handover: process %d is another user's", cred.Pid)
+		return fmt.Errorf("handover: process %d belongs to another user", cred.Pid)
 	}
 	return nil
 }
--- a/internal/own/schema.cue
+++ b/internal/own/schema.cue
@@ -1,7 +1,7 @@
 package ferryfront
 
-// What a file of the program's own settings may say. Everything has a default; a field that is not here is a
-// mistake. Times are Go's: "1.5s", "250ms".
+// Schema of the program's own settings. Each field has a default, and a field that isn't listed here is an error.
+// Durations have Go's form: "1.5s", "250ms". "ferryfront config show" prints the comments within this definition.
 #Settings: {
 	// The control socket, for ferryfront upgrade and status. Empty: none.
 	control: string | *""
@@ -55,17 +55,20 @@
 	}
 }
 
+// A duration.
 #Time: =~"^([0-9]+(\\.[0-9]+)?(h|m|s|ms|us))+$"
 
 // An IP address and a port: "192.0.2.5:7200", "[2001:db8::5]:7200".
 #Address: =~"^(\\[[0-9a-fA-F:.]+\\]|[0-9.]+):[0-9]+$"
 
+// Where a request carries a value, and the default if it carries none.
 #Place: {
 	in?:      "header" | "query" | "path"
 	name?:    string & !=""
 	default?: string
 }
 
+// The second front; deploy/front.json has the same form.
 #Front: {
 	listen:       =~":[0-9]+$"
 	description?: string & !=""
