--- a/cmd/ferryfront/config.go
+++ b/cmd/ferryfront/config.go
@@ -11,15 +11,15 @@
 	"ferryfront.example/ferryfront/internal/own"
 )
 
-// fileSettings is what the settings file and the flags come to, beyond the daemon's options.
+// fileSettings holds the settings from the settings file and the flags that are not daemon options.
 type fileSettings struct {
 	Log struct{ Format, Level string }
-	// ApplyLimits changes bounds as the file says; nil without a file.
+	// ApplyLimits overwrites limits with those of the settings file; nil without a file.
 	ApplyLimits func(*limits.Limits)
 }
 
-// readSettings reads the settings file, if one is named, and puts what it says where the flags say nothing. The file is
-// read only here: who names none pays nothing for its library.
+// readSettings reads the settings file at path, if path isn't empty, and fills in the daemon options that the flags leave
+// empty. Only here is CUE used, so a start without a file does none of its work. Errors name the file and the field.
 func (p *program) readSettings(path string, o *daemon.Options, format, level string) (fileSettings, error) {
 	var c fileSettings
 	c.Log.Format, c.Log.Level = format, level
@@ -47,17 +47,18 @@
 	}
 	o.Members, o.ControlReplicas = s.Membership.Enabled, s.ControlGroup.Replicas
 	c.ApplyLimits = func(l *limits.Limits) {
-		// Read has made sure that it can be put in place.
+		// own.Read has already checked that this succeeds.
 		_ = s.ApplyLimits(l)
 	}
 	return c, nil
 }
 
+// configCommand returns the command group that checks or shows a settings file.
 func (p *program) configCommand() *cobra.Command {
 	c := &cobra.Command{Use: "config", Short: "Check or show a file of the program's own settings", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			p.isUsageError = true
-			return errors.New("config: check or show?")
+			return errors.New("config: no subcommand, use check or show")
 		}}
 	var path string
 	c.PersistentFlags().StringVar(&path, "config", "", "`file` of the program's own settings (CUE)")
--- a/cmd/ferryfront/main.go
+++ b/cmd/ferryfront/main.go
@@ -1,4 +1,5 @@
-// Command ferryfront is the ingress daemon.
+// Command ferryfront is the ingress daemon, and the client of the daemon's control socket. It parses flags, reads the
+// settings file and leaves the work to the internal packages.
 package main
 
 import (
@@ -10,19 +11,19 @@
 	"github.com/spf13/cobra"
 )
 
-// version is the program's own; it goes up with each release.
+// version is the release of the program.
 const version = "1.1.0"
 
 func main() { os.Exit(run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
 
-// program is what the commands share.
+// program holds what all commands share.
 type program struct {
 	getenv       func(string) string
 	out, errOut  io.Writer
-	isUsageError bool // the arguments were wrong
+	isUsageError bool // the command's arguments are wrong, which exits with 2
 }
 
-// run returns the exit code: 0, 1 for what failed, 2 for wrong arguments.
+// run executes a command line and returns the exit code: 0 for success, 1 for a failure, 2 for wrong arguments.
 func run(args []string, getenv func(string) string, out, errs io.Writer) int {
 	p := &program{getenv: getenv, out: out, errOut: errs}
 	root := &cobra.Command{
@@ -44,33 +45,34 @@
 	})
 	root.AddCommand(p.serveCommand(), p.upgradeCommand(), p.statusCommand(), p.membersCommand(), p.leaveCommand(), p.checkConfigCommand(), p.configCommand(), p.routesCommand(), p.versionCommand())
 	root.SetArgs(acceptSingleDashFlags(args))
-	// What cobra itself finds wrong comes before any command has run.
-	ran := false
-	root.PersistentPreRun = func(*cobra.Command, []string) { ran = true }
+	// Without a run, cobra itself rejected the arguments.
+	hasRun := false
+	root.PersistentPreRun = func(*cobra.Command, []string) { hasRun = true }
 	err := root.Execute()
 	if err == nil {
 		return 0
 	}
 	fmt.Fprintf(errs, "ferryfront: %v\n", err)
-	if p.isUsageError || !ran {
+	if p.isUsageError || !hasRun {
 		return 2
 	}
 	return 1
 }
 
-// acceptSingleDashFlags keeps the form in which serve and routes took their flags at first: one dash before a name.
+// acceptSingleDashFlags rewrites -front and -otlp to the form with two dashes, so that older command lines keep working.
 func acceptSingleDashFlags(args []string) []string {
-	kept := make([]string, 0, len(args))
+	rewritten := make([]string, 0, len(args))
 	for _, a := range args {
 		name, _, _ := strings.Cut(a, "=")
 		if name == "-front" || name == "-otlp" {
 			a = "-" + a
 		}
-		kept = append(kept, a)
+		rewritten = append(rewritten, a)
 	}
-	return kept
+	return rewritten
 }
 
+// versionCommand returns the command that prints the version.
 func (p *program) versionCommand() *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
--- a/cmd/ferryfront/serve.go
+++ b/cmd/ferryfront/serve.go
@@ -21,6 +21,7 @@
 	"ferryfront.example/ferryfront/internal/front/openapi"
 )
 
+// serveCommand returns the command that runs the daemon until it ends. Flags override the settings file.
 func (p *program) serveCommand() *cobra.Command {
 	var o daemon.Options
 	var front, file, format, level string
@@ -37,24 +38,24 @@
 		if front != "" {
 			o.ReadFront = func() (openapi.File, error) { return openapi.ReadFile(front) }
 		}
-		own, err := p.readSettings(file, &o, format, level)
+		settings, err := p.readSettings(file, &o, format, level)
 		if err != nil {
 			return err
 		}
 		if o.OTLP == "" {
 			o.OTLP = p.getenv("OTEL_EXPORTER_OTLP_ENDPOINT")
 		}
-		if o.Log, err = newLogger(p.errOut, own.Log.Format, own.Log.Level); err != nil {
+		if o.Log, err = newLogger(p.errOut, settings.Log.Format, settings.Log.Level); err != nil {
 			p.isUsageError = true
 			return err
 		}
 		o.Version, o.Getenv = version, p.getenv
 		o.Load = func() (config.Config, error) { return config.Load(p.getenv) }
-		o.Reload = func(was config.Config) (config.Config, error) { return config.Reload(p.getenv, was) }
-		o.Limit = own.ApplyLimits
+		o.Reload = func(previous config.Config) (config.Config, error) { return config.Reload(p.getenv, previous) }
+		o.Limit = settings.ApplyLimits
 		o.Command = restartCommand()
 		o.Notify = func(state ...string) {
-			// Without a service manager there is nobody to tell, and one that can't be told goes by the process's end.
+			// Without a service manager this does nothing. One that can't be notified notices the end of the process.
 			_, _ = sdnotify.SdNotify(false, strings.Join(state, "\n"))
 		}
 		signals := make(chan os.Signal, 4)
@@ -65,8 +66,9 @@
 	return c
 }
 
-// restartCommand is how this process was started: the path as it was given, so that what lies there at an upgrade is
-// started then, and not what this process was read from.
+// restartCommand returns the path and arguments with which this process was started, for an upgrade. The path is the one
+// that was given: an upgrade starts the binary that is there by then, and not the file of this process. It returns nil if
+// the path can't be found.
 func restartCommand() []string {
 	path, err := exec.LookPath(os.Args[0])
 	if err != nil {
@@ -78,12 +80,13 @@
 	return append([]string{path}, os.Args[1:]...)
 }
 
+// newLogger returns a logger that writes to w. An empty format is text, an empty level is info.
 func newLogger(w io.Writer, format, level string) (*slog.Logger, error) {
-	var at slog.Level
-	if err := at.UnmarshalText([]byte(level)); level != "" && err != nil {
+	var minLevel slog.Level
+	if err := minLevel.UnmarshalText([]byte(level)); level != "" && err != nil {
 		return nil, fmt.Errorf("log level %q is none of debug, info, warn and error", level)
 	}
-	o := &slog.HandlerOptions{Level: at}
+	o := &slog.HandlerOptions{Level: minLevel}
 	switch format {
 	case "", "text":
 		return slog.New(slog.NewTextHandler(w, o)), nil
@@ -93,6 +96,7 @@
 	return nil, fmt.Errorf("log format %q is neither text nor json", format)
 }
 
+// checkConfigCommand returns the command that reads the configuration that GW_CONFIG names and prints a summary.
 func (p *program) checkConfigCommand() *cobra.Command {
 	return &cobra.Command{Use: "check-config", Short: "Read the file that GW_CONFIG names and say what is wrong with it",
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
@@ -107,7 +111,7 @@
 		}}
 }
 
-// routesCommand compiles a second front's file as serve would and prints its table.
+// routesCommand returns the command that compiles the second front's routes as serve does and prints them.
 func (p *program) routesCommand() *cobra.Command {
 	var path string
 	c := &cobra.Command{Use: "routes", Short: "Print the route table of a second front's file", Args: cobra.NoArgs}
--- a/cmd/ferryfront/upgrade.go
+++ b/cmd/ferryfront/upgrade.go
@@ -12,35 +12,36 @@
 	"ferryfront.example/ferryfront/internal/daemon"
 )
 
-// controlFlags adds the flags that tell which daemon is meant, and how long to wait for it. What it returns finds its
-// socket and asks.
-func (p *program) controlFlags(c *cobra.Command) func(ask func(ctx context.Context, socket string) error) error {
+// controlFlags adds the flags that name the daemon's control socket and bound the wait. The returned function finds the
+// socket after the flags have been parsed and calls send with it and a context that ends after the wait.
+func (p *program) controlFlags(c *cobra.Command) func(send func(ctx context.Context, socket string) error) error {
 	var socket, file string
 	c.Flags().StringVar(&socket, "control", "", "`path` of the daemon's control socket")
 	c.Flags().StringVar(&file, "config", "", "`file` of the program's own settings, which may name it")
 	wait := c.Flags().Duration("wait", time.Minute, "how long to wait for the end")
-	return func(ask func(ctx context.Context, socket string) error) error {
+	return func(send func(ctx context.Context, socket string) error) error {
 		var o daemon.Options
 		o.Control = socket
 		if _, err := p.readSettings(file, &o, "", ""); err != nil {
 			return err
 		}
 		if o.Control == "" {
-			return errors.New("which daemon is meant? --control names its socket")
+			return errors.New("no control socket: set --control, or control in the settings file")
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), *wait)
 		defer cancel()
-		return ask(ctx, o.Control)
+		return send(ctx, o.Control)
 	}
 }
 
+// upgradeCommand returns the command that has the daemon replaced by the binary on disk and prints the progress.
 func (p *program) upgradeCommand() *cobra.Command {
 	c := &cobra.Command{Use: "upgrade", Args: cobra.NoArgs,
 		Short: "Have the running daemon replaced by the binary that is on disk now, with no request lost",
 		Long: `Asks the running daemon to start the binary that lies at its own path now and to hand everything over to
 it. Prints each phase. Exits with 0 once the new process has stood its probation, else with 1 and the reason
 why the old one carries on.`}
-	with := p.controlFlags(c)
+	withSocket := p.controlFlags(c)
 	asJSON := c.Flags().Bool("json", false, "print the result as one line of JSON")
 	run := func(ctx context.Context, socket string) error {
 		end, err := daemon.Upgrade(ctx, socket, func(progress daemon.Progress) {
@@ -62,18 +63,21 @@
 		}
 		return nil
 	}
-	c.RunE = func(*cobra.Command, []string) error { return with(run) }
+	c.RunE = func(*cobra.Command, []string) error { return withSocket(run) }
 	return c
 }
 
+// statusCommand returns the command that prints the daemon's status.
 func (p *program) statusCommand() *cobra.Command {
 	return p.queryCommand("status", "Print what the running daemon is doing, as JSON")
 }
 
+// membersCommand returns the command that prints the daemon's view of the membership.
 func (p *program) membersCommand() *cobra.Command {
 	return p.queryCommand("members", "Print which ingresses the running daemon holds to be there, as JSON")
 }
 
+// leaveCommand returns the command that ends the daemon and removes it, or a dead member, from the membership.
 func (p *program) leaveCommand() *cobra.Command {
 	c := &cobra.Command{Use: "leave", Args: cobra.NoArgs,
 		Short: "End the running daemon for good: the other ingresses share what was its part",
@@ -81,7 +85,7 @@
 count it out of ceilings and quotas until it is started again. For an ingress that comes back use SIGTERM: it
 keeps its part. With --member, tells instead that another ingress, which is dead in this one's view, is gone for
 good. Exits with 1 where membership is not enabled, an upgrade is under way, or that ingress is not dead.`}
-	with := p.controlFlags(c)
+	withSocket := p.controlFlags(c)
 	member := c.Flags().String("member", "", "`number` of another ingress, which is dead for good")
 	run := func(ctx context.Context, socket string) error {
 		return daemon.Ask(ctx, socket, daemon.Command{Do: "leave", Member: *member}, func(line []byte) error {
@@ -100,20 +104,20 @@
 			return err
 		})
 	}
-	c.RunE = func(*cobra.Command, []string) error { return with(run) }
+	c.RunE = func(*cobra.Command, []string) error { return withSocket(run) }
 	return c
 }
 
-// queryCommand is a command that prints what the daemon answers to it.
-func (p *program) queryCommand(do, short string) *cobra.Command {
-	c := &cobra.Command{Use: do, Short: short, Args: cobra.NoArgs}
-	with := p.controlFlags(c)
+// queryCommand returns a command that sends its own name to the daemon and prints the answer.
+func (p *program) queryCommand(name, short string) *cobra.Command {
+	c := &cobra.Command{Use: name, Short: short, Args: cobra.NoArgs}
+	withSocket := p.controlFlags(c)
 	run := func(ctx context.Context, socket string) error {
-		return daemon.Ask(ctx, socket, daemon.Command{Do: do}, func(line []byte) error {
+		return daemon.Ask(ctx, socket, daemon.Command{Do: name}, func(line []byte) error {
 			_, err := fmt.Fprintf(p.out, "%s\n", line)
 			return err
 		})
 	}
-	c.RunE = func(*cobra.Command, []string) error { return with(run) }
+	c.RunE = func(*cobra.Command, []string) error { return withSocket(run) }
 	return c
 }
