--- a/cmd/ferryfront/late_test.go
+++ b/cmd/ferryfront/delayed_host_test.go
@@ -11,17 +11,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// lateHost is an address at which connections come up only once serve is called, and who has tried before that a second
+// delayedHost is an address at which connections come up only once serve is called, and who has tried before that a second
 // later: its queue of one is taken, and the kernel drops what else comes.
-type lateHost struct {
+type delayedHost struct {
 	addr string
 	file *os.File
 }
 
-func newLateHost(t *testing.T) *lateHost {
+func newDelayedHost(t *testing.T) *delayedHost {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
-	h := &lateHost{file: os.NewFile(uintptr(fd), "late")}
+	h := &delayedHost{file: os.NewFile(uintptr(fd), "late")}
 	t.Cleanup(func() { h.file.Close() })
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	require.NoError(t, unix.Listen(fd, 0))
@@ -34,7 +34,7 @@
 	return h
 }
 
-func (h *lateHost) serve(t *testing.T, with http.HandlerFunc) {
+func (h *delayedHost) serve(t *testing.T, with http.HandlerFunc) {
 	ln, err := net.FileListener(h.file)
 	require.NoError(t, err)
 	s := &http.Server{Handler: with}
@@ -44,36 +44,36 @@
 
 // An order may have run, and its repeat waits for a connection until the hosts have forgotten the key: it is answered,
 // and not written when the connection comes up.
-func TestARepeatsConnectionComesUpAfterItsWindow(t *testing.T) {
+func TestRetryConnectsAfterRepeatWindow(t *testing.T) {
 	for _, late := range []bool{true, false} {
-		w := newWorld(t)
-		h2 := newLateHost(t)
-		w.change = func(_, settings map[string]any) {
-			settings["limits"].(obj)["dialTimeout"] = 5000
-			for _, c := range settings["classes"].([]obj) {
+		env := newTestEnv(t)
+		h2 := newDelayedHost(t)
+		env.modifyConfig = func(_, settings map[string]any) {
+			settings["limits"].(object)["dialTimeout"] = 5000
+			for _, c := range settings["classes"].([]object) {
 				c["deadline"], c["onTime"], c["dedupScope"], c["repeatWindow"] = 8000, 8000, "all", 30000
 				if late {
 					c["repeatWindow"] = 400
 				}
 			}
 		}
-		w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+		env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
-			w.news <- line(6, false, entry("h1", w.addrs["h1"], "Terminating"), entry("h2", h2.addr, "Ready"))
-			w.turns()
+			env.discoveryUpdates <- discoveryMessage(6, false, hostEntry("h1", env.hostAddrs["h1"], "Terminating"), hostEntry("h2", h2.addr, "Ready"))
+			env.waitForTurns()
 			panic(http.ErrAbortHandler) // it may have run
 		}
-		w.start()
-		answered := make(chan reply, 1)
-		r := w.request("POST", "", "order", http.NoBody, "Request-Timeout", "8000m")
-		go func() { answered <- w.get(r) }()
-		w.until(func() bool { return w.closed("h1") > 0 })
-		w.turns() // the repeat is on its way
-		h2.serve(t, w.echo)
+		env.start()
+		answered := make(chan response, 1)
+		r := env.request("POST", "", "order", http.NoBody, "Request-Timeout", "8000m")
+		go func() { answered <- env.mustDo(r) }()
+		env.eventually(func() bool { return env.closedConnections("h1") > 0 })
+		env.waitForTurns() // the repeat is on its way
+		h2.serve(t, env.echo)
 		got := <-answered
 		if late {
 			require.Equal(t, 503, got.status)
-			require.Empty(t, w.noted())
+			require.Empty(t, env.recorded())
 		} else {
 			require.Equal(t, 200, got.status, "in its window it goes there, however late")
 		}
--- a/cmd/ferryfront/crossing_test.go
+++ b/cmd/ferryfront/disconnect_test.go
@@ -16,8 +16,8 @@
 
 // Events that cross, made to come in the bad order with real connections: a peer holds the one until the other was seen.
 
-// departures are the ways in which a client leaves.
-func departures() map[string]func(*testing.T, net.Conn) {
+// disconnects are the ways in which a client leaves.
+func disconnects() map[string]func(*testing.T, net.Conn) {
 	reset := func(t *testing.T, c net.Conn) {
 		require.NoError(t, c.(*net.TCPConn).SetLinger(0))
 		require.NoError(t, c.Close())
@@ -41,83 +41,83 @@
 	}
 }
 
-func (w *world) got(id string) bool {
-	return strings.Contains(strings.Join(w.noted(), "\n"), "id="+id+" ")
+func (env *testEnv) hasReceived(id string) bool {
+	return strings.Contains(strings.Join(env.recorded(), "\n"), "id="+id+" ")
 }
 
-func ask(id, customer string) string {
+func rawRequest(id, customer string) string {
 	return "GET /api/" + customer + " HTTP/1.1\r\nRequest-Id: " + id + "\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n\r\n"
 }
 
-// turns has the daemon take up and answer what came behind all that came so far.
-func (w *world) turns() {
+// waitForTurns has the daemon take up and answer what came behind all that came so far.
+func (env *testEnv) waitForTurns() {
 	for range 16 { // what is there in one turn may be told in any order, and much is read in as many turns
-		resp, err := http.Get("http://" + w.addr + "/up")
-		require.NoError(w.t, err)
+		resp, err := http.Get("http://" + env.addr + "/up")
+		require.NoError(env.t, err)
 		resp.Body.Close()
 	}
 }
 
 // A client leaves while its request waits for the counter: it is not sent on when the answer comes.
-func TestAClientLeavesWhileTheCounterIsAsked(t *testing.T) {
-	w := newWorld(t)
+func TestClientDisconnectsWhileCounterIsQueried(t *testing.T) {
+	env := newTestEnv(t)
 	release := make(chan struct{})
-	w.holdCounter(release)
-	w.start()
+	env.delayCounter(release)
+	env.start()
 	n := 0
 	var names []string
-	for name, leave := range departures() {
+	for name, leave := range disconnects() {
 		n++
 		names = append(names, name)
-		c := w.raw(ask(fmt.Sprintf("gone%d", n), fmt.Sprintf("%x", 0x100+n)))
-		w.turns() // calls on one connection come to the counter one by one, so it can't tell of each
+		c := env.dialAndWrite(rawRequest(fmt.Sprintf("gone%d", n), fmt.Sprintf("%x", 0x100+n)))
+		env.waitForTurns() // calls on one connection come to the counter one by one, so it can't tell of each
 		leave(t, c)
-		w.turns()
-		require.False(t, w.got(fmt.Sprintf("gone%d", n)), name)
+		env.waitForTurns()
+		require.False(t, env.hasReceived(fmt.Sprintf("gone%d", n)), name)
 	}
-	stays := w.raw(ask("stays", "99"))
-	w.turns()
+	stays := env.dialAndWrite(rawRequest("stays", "99"))
+	env.waitForTurns()
 	close(release)
 	resp, err := http.ReadResponse(bufio.NewReader(stays), nil)
 	require.NoError(t, err)
 	require.Equal(t, 200, resp.StatusCode)
-	w.turns()
+	env.waitForTurns()
 	for i, name := range names {
-		require.False(t, w.got(fmt.Sprintf("gone%d", i+1)), name)
+		require.False(t, env.hasReceived(fmt.Sprintf("gone%d", i+1)), name)
 	}
 }
 
 // A client leaves while its request waits for room at the hosts: it is not sent on when there is some.
-func TestAClientLeavesWhileItWaitsForRoom(t *testing.T) {
-	w := newWorld(t)
+func TestClientDisconnectsWhileRequestIsQueued(t *testing.T) {
+	env := newTestEnv(t)
 	release := make(chan struct{})
 	busy := make(chan struct{}, 64)
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.Header.Get("Request-Id"), "holds") {
 			busy <- struct{}{}
-			w.hold(release)
+			env.waitFor(release)
 		}
-		w.echo(rw, r)
+		env.echo(rw, r)
 	}
-	w.change = func(_, settings map[string]any) {
-		patient(settings, 60000)
+	env.modifyConfig = func(_, settings map[string]any) {
+		setDeadlines(settings, 60000)
 	}
-	w.start()
+	env.start()
 	var holding []net.Conn
 	for i := range 6 { // all that one ingress alone may have out
-		holding = append(holding, w.raw(ask(fmt.Sprintf("holds%d", i), fmt.Sprintf("%x", 0x200+i))))
+		holding = append(holding, env.dialAndWrite(rawRequest(fmt.Sprintf("holds%d", i), fmt.Sprintf("%x", 0x200+i))))
 		<-busy
 	}
 	n := 0
-	for name, leave := range departures() {
+	for name, leave := range disconnects() {
 		n++
-		c := w.raw(ask(fmt.Sprintf("gone%d", n), fmt.Sprintf("%x", 0x100+n)))
-		w.turns()
+		c := env.dialAndWrite(rawRequest(fmt.Sprintf("gone%d", n), fmt.Sprintf("%x", 0x100+n)))
+		env.waitForTurns()
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
 		_, err := c.Read(make([]byte, 1))
 		require.ErrorContains(t, err, "timeout", "%s: it waits", name)
 		leave(t, c)
-		w.turns()
+		env.waitForTurns()
 	}
 	close(release)
 	for _, c := range holding {
@@ -126,52 +126,52 @@
 		require.Equal(t, 200, resp.StatusCode)
 	}
 	for i := range n {
-		require.False(t, w.got(fmt.Sprintf("gone%d", i+1)))
+		require.False(t, env.hasReceived(fmt.Sprintf("gone%d", i+1)))
 	}
 }
 
 // A planned end beside a request half read, one with an attempt out, a kept connection, further signals, and a host that
 // hangs for longer than there is time: each taken request has its answer, and its connection ends with that.
-func TestAPlannedEndBesideAllElse(t *testing.T) {
-	w := newWorld(t)
+func TestDrainWithConcurrentEvents(t *testing.T) {
+	env := newTestEnv(t)
 	release := make(chan struct{})
 	out := make(chan struct{}, 2)
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		switch r.Header.Get("Request-Id") {
 		case "hangs":
 			out <- struct{}{}
-			w.hold(nil)
+			env.waitFor(nil)
 		case "out":
 			out <- struct{}{}
-			w.hold(release)
+			env.waitFor(release)
 		}
-		w.echo(rw, r)
+		env.echo(rw, r)
 	}
-	w.change = func(_, settings map[string]any) { // patient beyond what a planned end has
-		patient(settings, 20000)
+	env.modifyConfig = func(_, settings map[string]any) { // patient beyond what a planned end has
+		setDeadlines(settings, 20000)
 	}
-	w.start()
+	env.start()
 	reader := func(c net.Conn) *bufio.Reader { return bufio.NewReader(c) }
-	whole := ask("half", "1")
-	half := w.raw(whole[:len(whole)/2])
-	attempt := w.raw(ask("out", "2"))
+	whole := rawRequest("half", "1")
+	half := env.dialAndWrite(whole[:len(whole)/2])
+	attempt := env.dialAndWrite(rawRequest("out", "2"))
 	<-out
-	hangs := w.raw(ask("hangs", "3"))
+	hangs := env.dialAndWrite(rawRequest("hangs", "3"))
 	<-out
-	idle := w.raw("GET /up HTTP/1.1\r\n\r\n")
+	idle := env.dialAndWrite("GET /up HTTP/1.1\r\n\r\n")
 	idles := reader(idle)
 	_, err := http.ReadResponse(idles, nil)
 	require.NoError(t, err)
-	kept := w.raw("GET /up HTTP/1.1\r\n\r\n")
+	kept := env.dialAndWrite("GET /up HTTP/1.1\r\n\r\n")
 	keeps := reader(kept)
 	_, err = http.ReadResponse(keeps, nil)
 	require.NoError(t, err)
 	began := time.Now()
-	w.signal(syscall.SIGTERM)
-	w.until(func() bool { return strings.Contains(w.log.String(), "draining") })
-	w.signal(syscall.SIGTERM)
-	w.signal(syscall.SIGHUP)
-	w.until(func() bool { return strings.Contains(w.log.String(), "configuration reloaded") })
+	env.signal(syscall.SIGTERM)
+	env.eventually(func() bool { return strings.Contains(env.log.String(), "draining") })
+	env.signal(syscall.SIGTERM)
+	env.signal(syscall.SIGHUP)
+	env.eventually(func() bool { return strings.Contains(env.log.String(), "configuration reloaded") })
 	answer := func(r *bufio.Reader) {
 		t.Helper()
 		resp, err := http.ReadResponse(r, nil)
@@ -183,7 +183,7 @@
 		_, err = r.ReadByte()
 		require.ErrorIs(t, err, io.EOF)
 	}
-	_, err = io.WriteString(kept, ask("kept", "4"))
+	_, err = io.WriteString(kept, rawRequest("kept", "4"))
 	require.NoError(t, err)
 	answer(keeps)
 	_, err = idles.ReadByte()
@@ -198,6 +198,6 @@
 	require.Equal(t, 504, resp.StatusCode)
 	took := time.Since(began)
 	require.Greater(t, took, 3*time.Second, "its deadline counts as 3 s")
-	require.Zero(t, w.ends())
-	require.Equal(t, 1, strings.Count(w.log.String(), "msg=draining"))
+	require.Zero(t, env.waitForExit())
+	require.Equal(t, 1, strings.Count(env.log.String(), "msg=draining"))
 }
--- a/cmd/ferryfront/sizes_test.go
+++ b/cmd/ferryfront/long_bodies_test.go
@@ -22,17 +22,19 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// long is a body of its own for each seed; it is never held whole by the test either.
-func long(seed int64, n int64) io.Reader { return io.LimitReader(rand.New(rand.NewSource(seed)), n) }
+// longBody is a body of its own for each seed; it is never held whole by the test either.
+func longBody(seed int64, n int64) io.Reader {
+	return io.LimitReader(rand.New(rand.NewSource(seed)), n)
+}
 
-func sum(r io.Reader) string {
+func digest(r io.Reader) string {
 	h := sha256.New()
 	n, err := io.Copy(h, r)
 	return fmt.Sprintf("%d %x %v", n, h.Sum(nil), err)
 }
 
-// resident is how much memory a process holds, in bytes.
-func resident(t *testing.T, pid int) int64 {
+// peakResidentBytes is how much memory a process holds, in bytes.
+func peakResidentBytes(t *testing.T, pid int) int64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	require.NoError(t, err)
 	for line := range strings.Lines(string(b)) {
@@ -51,43 +53,43 @@
 // body arrives as it was sent. The readers are slow at first, so that nothing can simply pass through.
 func TestLongBodiesPassThrough(t *testing.T) {
 	const each, streams, limit = 8 * mib, 12, 64
-	w := newWorld(t)
-	w.change = func(config, settings map[string]any) {
-		config["limits"] = obj{"cores": 1, "memory_mb": limit, "sockets": 1024}
-		for _, c := range settings["classes"].([]obj) {
+	env := newTestEnv(t)
+	env.modifyConfig = func(config, settings map[string]any) {
+		config["limits"] = object{"cores": 1, "memory_mb": limit, "sockets": 1024}
+		for _, c := range settings["classes"].([]object) {
 			c["deadline"] = 20000
 		}
 	}
 	var gate sync.WaitGroup
 	gate.Add(streams)
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		if r.Method == "POST" {
 			gate.Done()
 			gate.Wait() // all are under way before the first is read
-			fmt.Fprint(rw, sum(r.Body))
+			fmt.Fprint(rw, digest(r.Body))
 			return
 		}
 		seed, _ := strconv.ParseInt(r.URL.RawQuery, 10, 64)
 		if seed%2 == 0 {
 			rw.Header().Set("Content-Length", strconv.Itoa(each))
 		}
-		_, _ = io.Copy(rw, long(seed, each))
+		_, _ = io.Copy(rw, longBody(seed, each))
 	}
-	w.start()
+	env.start()
 	var all sync.WaitGroup
 	for i := range int64(streams) {
 		all.Go(func() {
-			body := long(i, each)
+			body := longBody(i, each)
 			if i%2 == 0 {
 				body = struct{ io.Reader }{body} // in chunks
 			}
-			r := w.request("POST", "/api/31", "order", body, "Request-Id", fmt.Sprint("u", i), "Idempotency-Key", fmt.Sprint("k", i),
+			r := env.request("POST", "/api/31", "order", body, "Request-Id", fmt.Sprint("u", i), "Idempotency-Key", fmt.Sprint("k", i),
 				"Request-Timeout", "15000m")
 			if i%2 == 1 {
 				r.ContentLength = each
 			}
-			got, err := w.do(r)
-			if err != nil || got.body != sum(long(i, each)) {
+			got, err := env.do(r)
+			if err != nil || got.body != digest(longBody(i, each)) {
 				t.Errorf("upload %d: %d %v %.80q", i, got.status, err, got.body)
 			}
 		})
@@ -95,7 +97,7 @@
 	all.Wait()
 	gate.Add(streams)
 	for i := range int64(streams) {
-		r := w.request("GET", "/api/32?"+strconv.FormatInt(i, 10), "stock", nil, "Request-Id", fmt.Sprint("d", i))
+		r := env.request("GET", "/api/32?"+strconv.FormatInt(i, 10), "stock", nil, "Request-Id", fmt.Sprint("d", i))
 		all.Go(func() {
 			resp, err := http.DefaultClient.Do(r)
 			for err == nil && resp.StatusCode != 200 { // one host takes only so many at a time
@@ -110,13 +112,13 @@
 			}
 			defer resp.Body.Close()
 			gate.Wait()
-			if got := sum(resp.Body); got != sum(long(i, each)) {
+			if got := digest(resp.Body); got != digest(longBody(i, each)) {
 				t.Errorf("download %d: %s", i, got)
 			}
 		})
 	}
 	all.Wait()
-	require.Less(t, resident(t, w.cmd.Process.Pid), int64(limit*mib))
+	require.Less(t, peakResidentBytes(t, env.cmd.Process.Pid), int64(limit*mib))
 	require.Greater(t, each*streams, limit*mib)
 }
 
@@ -124,36 +126,36 @@
 // within the memory, however many they are.
 func TestManyLongBodiesAtOnce(t *testing.T) {
 	const each, streams, limit = 8 * mib, 60, 64 // more than the kernel takes ahead
-	w := newWorld(t)
-	w.change = func(config, settings map[string]any) {
-		config["limits"] = obj{"cores": 1, "memory_mb": limit, "sockets": 1024}
-		patient(settings, 20000)
+	env := newTestEnv(t)
+	env.modifyConfig = func(config, settings map[string]any) {
+		config["limits"] = object{"cores": 1, "memory_mb": limit, "sockets": 1024}
+		setDeadlines(settings, 20000)
 	}
 	gate := make(chan struct{})
 	var under atomic.Int32
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		under.Add(1)
-		w.hold(gate)
-		fmt.Fprint(rw, sum(r.Body))
+		env.waitFor(gate)
+		fmt.Fprint(rw, digest(r.Body))
 	}
-	w.start()
+	env.start()
 	var all sync.WaitGroup
 	for i := range int64(streams) {
 		var tries []*http.Request // one that is refused comes again, as a client's would
 		for n := range 50 {
-			r := w.request("POST", fmt.Sprintf("/api/%x", 5000+i), "order", long(i, each), "Request-Id", fmt.Sprint("m", i, ".", n),
+			r := env.request("POST", fmt.Sprintf("/api/%x", 5000+i), "order", longBody(i, each), "Request-Id", fmt.Sprint("m", i, ".", n),
 				"Idempotency-Key", fmt.Sprint("k", i), "Request-Timeout", "19000m")
 			r.ContentLength = each
 			tries = append(tries, r)
 		}
 		all.Go(func() {
 			for _, r := range tries {
-				got, err := w.do(r)
+				got, err := env.do(r)
 				if err == nil && (got.status == 429 || got.status == 503) {
 					time.Sleep(100 * time.Millisecond)
 					continue
 				}
-				if err != nil || got.body != sum(long(i, each)) {
+				if err != nil || got.body != digest(longBody(i, each)) {
 					t.Errorf("%d: %d %v %.80q", i, got.status, err, got.body)
 				}
 				return
@@ -161,19 +163,19 @@
 			t.Errorf("%d: refused again and again", i)
 		})
 	}
-	w.until(func() bool { return under.Load() == streams })
+	env.eventually(func() bool { return under.Load() == streams })
 	close(gate)
 	all.Wait()
-	held := resident(t, w.cmd.Process.Pid)
+	held := peakResidentBytes(t, env.cmd.Process.Pid)
 	t.Logf("%d MB resident at the most", held/mib)
 	require.Less(t, held, int64(limit*mib*5/8))
 }
 
 // A client that sends slowly but within its rate is served; its time runs from the last byte.
-func TestATimeRunsFromTheLastByte(t *testing.T) {
-	w := newWorld(t).start()
+func TestTimeoutRunsFromLastByte(t *testing.T) {
+	env := newTestEnv(t).start()
 	const n = 200 << 10
-	c := w.raw(fmt.Sprintf("POST /api/33 HTTP/1.1\r\nRequest-Id: slow\r\nRequest-Class: order\r\nX-Plan: boutique\r\n"+
+	c := env.dialAndWrite(fmt.Sprintf("POST /api/33 HTTP/1.1\r\nRequest-Id: slow\r\nRequest-Class: order\r\nX-Plan: boutique\r\n"+
 		"Idempotency-Key: k\r\nRequest-Timeout: 900m\r\nContent-Length: %d\r\n\r\n", n))
 	piece := bytes.Repeat([]byte("x"), n/20)
 	for range 20 {
@@ -184,13 +186,13 @@
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	require.Equal(t, 200, resp.StatusCode)
-	require.Contains(t, w.noted()[0], fmt.Sprint("body=", n))
+	require.Contains(t, env.recorded()[0], fmt.Sprint("body=", n))
 }
 
 // An answer that breaks off after it has begun is seen as broken off, whatever its framing and the client's.
-func TestAnAnswerThatBreaksOff(t *testing.T) {
-	w := newWorld(t).withDoor()
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+func TestTruncatedResponse(t *testing.T) {
+	env := newTestEnv(t).withAdmin()
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "sized" {
 			rw.Header().Set("Content-Length", strconv.Itoa(mib))
 		}
@@ -198,10 +200,10 @@
 		rw.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	w.start()
+	env.start()
 	for _, how := range []string{"sized", "chunked"} {
 		for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
-			c := w.raw("GET /api/34?" + how + " " + proto + "\r\nRequest-Id: " + how + proto[7:] + "\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n\r\n")
+			c := env.dialAndWrite("GET /api/34?" + how + " " + proto + "\r\nRequest-Id: " + how + proto[7:] + "\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n\r\n")
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			require.NoError(t, err)
 			require.Equal(t, 200, resp.StatusCode)
@@ -209,15 +211,15 @@
 			require.Error(t, err, "%s to %s", how, proto)
 		}
 	}
-	now := w.figures()
-	require.Equal(t, 4, now[ended("stock", "failure")], "what the client could not have whole was not served")
-	require.Zero(t, now[ended("stock", "success")])
+	now := env.metrics()
+	require.Equal(t, 4, now[callsMetric("stock", "failure")], "what the client could not have whole was not served")
+	require.Zero(t, now[callsMetric("stock", "success")])
 }
 
 // Every form: in chunks with extensions and trailers and in any pieces, with the head alone first, to a client of
 // HTTP/1.0, ended by the connection, with requests sent ahead behind a long one.
-func TestFormsOfLongMessages(t *testing.T) {
-	w := newWorld(t)
+func TestFramingsOfLongMessages(t *testing.T) {
+	env := newTestEnv(t)
 	const n = 150 << 10
 	answer := strings.Repeat("0123456789", n/10)
 	plain := func(text string) string { // a host of its own, that writes this and closes
@@ -235,28 +237,28 @@
 			fmt.Sprintf("%x;a=\"b\"\r\n%s\r\n1\r\n!\r\n0\r\nTrailer: t\r\n\r\n", n, answer),
 	}
 	for id, text := range forms {
-		w.hosts = map[string]http.HandlerFunc{id: nil}
-		x := newWorld(t)
-		x.hosts, x.at = map[string]http.HandlerFunc{id: nil}, map[string]string{id: plain(text)}
+		env.hosts = map[string]http.HandlerFunc{id: nil}
+		x := newTestEnv(t)
+		x.hosts, x.externalHostAddrs = map[string]http.HandlerFunc{id: nil}, map[string]string{id: plain(text)}
 		x.start()
 		want := answer
 		if id == "h3" {
 			want += "!"
 		}
-		got := x.get(x.request("GET", "/api/35", "stock", nil))
+		got := x.mustDo(x.request("GET", "/api/35", "stock", nil))
 		require.Equal(t, 200, got.status, id)
 		require.Equal(t, len(want), len(got.body), id)
 		require.True(t, want == got.body, id)
-		c := x.raw("GET /api/35 HTTP/1.0\r\nRequest-Id: old\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n\r\n")
+		c := x.dialAndWrite("GET /api/35 HTTP/1.0\r\nRequest-Id: old\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n\r\n")
 		old, err := io.ReadAll(c)
 		require.NoError(t, err, id)
 		require.True(t, strings.HasSuffix(string(old), "\r\n\r\n"+want), "%s: %.300q", id, old)
 	}
-	w = newWorld(t).start()
+	env = newTestEnv(t).start()
 	// In pieces of one byte around the borders, with what is sent ahead behind it.
 	text := "POST /api/36 HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: order\r\nX-Plan: boutique\r\nIdempotency-Key: k\r\n" +
 		"Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n"
-	c := w.raw(text)
+	c := env.dialAndWrite(text)
 	r := bufio.NewReader(c)
 	for _, want := range []string{"HTTP/1.1 100 Continue\r\n", "\r\n"} {
 		got, err := r.ReadString('\n')
@@ -280,32 +282,32 @@
 		require.NoError(t, err)
 		require.Contains(t, string(body), "id="+id)
 	}
-	require.Contains(t, w.noted()[0], fmt.Sprint("body=", n))
+	require.Contains(t, env.recorded()[0], fmt.Sprint("body=", n))
 }
 
 // A request that is answered before its body has come has its answer at once, though its client reads it last.
-func TestAnAnswerBeforeTheBodyHasEnded(t *testing.T) {
-	w := newWorld(t).start()
+func TestResponseBeforeEndOfBody(t *testing.T) {
+	env := newTestEnv(t).start()
 	for _, c := range []struct {
 		class, plan string
 		status      int
 	}{{"none", "boutique", 400}, {"order", "none", 400}} {
-		r := w.request("POST", "/api/37", c.class, io.LimitReader(rand.New(rand.NewSource(1)), 5*mib), "X-Plan", c.plan, "Idempotency-Key", "k")
+		r := env.request("POST", "/api/37", c.class, io.LimitReader(rand.New(rand.NewSource(1)), 5*mib), "X-Plan", c.plan, "Idempotency-Key", "k")
 		r.ContentLength = 5 * mib
-		conn, err := net.Dial("tcp", w.addr)
+		conn, err := net.Dial("tcp", env.addr)
 		require.NoError(t, err)
 		defer conn.Close()
-		require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+		require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 		require.NoError(t, r.Write(conn)) // all of it, before anything is read
 		resp, err := http.ReadResponse(bufio.NewReader(conn), r)
 		require.NoError(t, err)
 		require.Equal(t, c.status, resp.StatusCode)
 	}
-	require.Empty(t, w.noted())
+	require.Empty(t, env.recorded())
 }
 
-func TestBodiesThatAreNone(t *testing.T) {
-	w := newWorld(t).start()
+func TestInvalidBodies(t *testing.T) {
+	env := newTestEnv(t).start()
 	head := "POST /api/38 HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: order\r\nX-Plan: boutique\r\nIdempotency-Key: k\r\n"
 	big := strings.Repeat("x", 100<<10)
 	for text, status := range map[string]int{
@@ -316,27 +318,27 @@
 		head + "Transfer-Encoding: chunked\r\n\r\n19000\r\n" + big + "\r\nffffffffffffffff\r\n": 400,
 		head + "Transfer-Encoding: chunked\r\n\r\n19000\r\n" + big + "\r\n1ffffff\r\n":          413,
 	} {
-		resp, err := http.ReadResponse(bufio.NewReader(w.raw(text)), nil)
+		resp, err := http.ReadResponse(bufio.NewReader(env.dialAndWrite(text)), nil)
 		require.NoError(t, err, "%.200q", text)
 		require.Equal(t, status, resp.StatusCode, "%.200q", text)
 	}
 	// One that ends short is no request: nothing of it is taken to have come.
-	c := w.raw(head + "Content-Length: 204800\r\n\r\n" + big)
+	c := env.dialAndWrite(head + "Content-Length: 204800\r\n\r\n" + big)
 	require.NoError(t, c.(*net.TCPConn).CloseWrite())
 	_, err := io.ReadAll(c)
 	require.NoError(t, err)
-	require.Equal(t, 200, w.get(w.request("GET", "/api/38", "stock", nil)).status)
-	for _, got := range w.noted() {
+	require.Equal(t, 200, env.mustDo(env.request("GET", "/api/38", "stock", nil)).status)
+	for _, got := range env.recorded() {
 		require.NotContains(t, got, "body=204800")
 	}
 }
 
 // Places are few and thousands connect that never finish a request, while others ask once and stay: who writes its
 // request for 2 s, a piece at a time, still gets its answer.
-func TestASlowWriterIsKeptInACrowd(t *testing.T) {
-	w := newWorld(t)
-	w.change = func(config, _ map[string]any) { config["limits"].(obj)["sockets"] = 192 }
-	w.start()
+func TestSlowWriterIsKeptUnderConnectionLoad(t *testing.T) {
+	env := newTestEnv(t)
+	env.modifyConfig = func(config, _ map[string]any) { config["limits"].(object)["sockets"] = 192 }
+	env.start()
 	stop := make(chan struct{})
 	var crowd sync.WaitGroup
 	for i := range 4 {
@@ -347,7 +349,7 @@
 					return
 				case <-time.After(10 * time.Millisecond): // 400 a second in all
 				}
-				c, err := net.Dial("tcp", w.addr)
+				c, err := net.Dial("tcp", env.addr)
 				if err != nil {
 					t.Error(err)
 					return
@@ -358,10 +360,10 @@
 		})
 	}
 	text := "GET /api/39 HTTP/1.1\r\nRequest-Id: slow\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n\r\n"
-	c, err := net.Dial("tcp", w.addr)
+	c, err := net.Dial("tcp", env.addr)
 	require.NoError(t, err)
 	defer c.Close()
-	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	for len(text) > 0 {
 		n := min(3, len(text))
 		_, err := io.WriteString(c, text[:n])
--- a/cmd/ferryfront/openapi_test.go
+++ b/cmd/ferryfront/openapi_test.go
@@ -18,7 +18,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const described = `openapi: 3.0.3
+const openAPIDescription = `openapi: 3.0.3
 info: {title: shops, version: '1'}
 paths:
   /prices/{part}:
@@ -40,19 +40,19 @@
       responses: {"200": {description: ok}}
 `
 
-var byHand = []obj{
+var handWrittenRoutes = []object{
 	{"method": "GET", "path": "/prices/{part}", "class": "catalogue", "cost": 1},
-	{"method": "GET", "path": "/stock", "class": "stock", "cost": 2, "required": []obj{{"in": "query", "name": "part"}}},
-	{"method": "POST", "path": "/orders", "class": "order", "cost": 1, "body": true, "required": []obj{
+	{"method": "GET", "path": "/stock", "class": "stock", "cost": 2, "required": []object{{"in": "query", "name": "part"}}},
+	{"method": "POST", "path": "/orders", "class": "order", "cost": 1, "body": true, "required": []object{
 		{"in": "header", "name": "Idempotency-Key"}, {"in": "body", "name": "part"}, {"in": "body", "name": "count"}}},
 }
 
-// shops is a world whose daemon has a second front; calls go there.
-func shops(t *testing.T, description string, routes []obj) (w *world, platform, path string) {
-	w = newWorld(t)
+// newFrontEnv is a world whose daemon has a second front; calls go there.
+func newFrontEnv(t *testing.T, description string, routes []object) (env *testEnv, platform, path string) {
+	env = newTestEnv(t)
 	path = filepath.Join(t.TempDir(), "shops.yaml")
-	front := obj{"listen": free(t), "customer": obj{"in": "header", "name": "X-Dealer"},
-		"plan": obj{"in": "header", "name": "X-Plan", "default": "boutique"}, "deadline": obj{"in": "header", "name": "Request-Timeout"}}
+	front := object{"listen": freeAddr(t), "customer": object{"in": "header", "name": "X-Dealer"},
+		"plan": object{"in": "header", "name": "X-Plan", "default": "boutique"}, "deadline": object{"in": "header", "name": "Request-Timeout"}}
 	if routes != nil {
 		front["routes"] = routes
 	} else {
@@ -63,13 +63,13 @@
 	require.NoError(t, err)
 	file := filepath.Join(filepath.Dir(path), "front.json")
 	require.NoError(t, os.WriteFile(file, raw, 0o600))
-	w.args = []string{"-front", file}
-	w.change = func(_, settings map[string]any) { // a class is seen at the host by its deadline
-		for i, c := range settings["classes"].([]obj) {
+	env.args = []string{"-front", file}
+	env.modifyConfig = func(_, settings map[string]any) { // a class is seen at the host by its deadline
+		for i, c := range settings["classes"].([]object) {
 			c["deadline"] = 1000 * (i + 1)
 		}
 	}
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		var wait int
 		_, err := fmt.Sscanf(r.Header.Get("Request-Timeout"), "%dm", &wait)
 		require.NoError(t, err)
@@ -77,29 +77,29 @@
 		case "broken":
 			rw.WriteHeader(500)
 		case "slow":
-			w.note("slow")
+			env.record("slow")
 			_, _ = io.ReadAll(r.Body) // only then is the end of the connection seen
 			select {
 			case <-r.Context().Done():
-			case <-w.over:
+			case <-env.testDone:
 			}
 		default:
-			w.note(fmt.Sprintf("class of %d s", (wait+500)/1000))
+			env.record(fmt.Sprintf("class of %d s", (wait+500)/1000))
 			rw.Header().Set("Content-Type", "text/x-echo")
-			w.echo(rw, r)
+			env.echo(rw, r)
 		}
 	}
-	w.start()
-	platform, w.addr = w.addr, front["listen"].(string)
-	return w, platform, path
+	env.start()
+	platform, env.addr = env.addr, front["listen"].(string)
+	return env, platform, path
 }
 
-// shop builds a call of a dealer's ordering program.
-func (w *world) shop(method, path, body string, header ...string) *http.Request {
-	customers++
-	r, err := http.NewRequest(method, "http://"+w.addr+path, strings.NewReader(body))
-	require.NoError(w.t, err)
-	r.Header.Set("X-Dealer", fmt.Sprintf("%x", customers))
+// frontRequest builds a call of a dealer's ordering program.
+func (env *testEnv) frontRequest(method, path, body string, header ...string) *http.Request {
+	lastCustomer++
+	r, err := http.NewRequest(method, "http://"+env.addr+path, strings.NewReader(body))
+	require.NoError(env.t, err)
+	r.Header.Set("X-Dealer", fmt.Sprintf("%x", lastCustomer))
 	r.Header.Set("Request-Id", "r1")
 	r.Header.Set("Idempotency-Key", "k1")
 	for i := 0; i < len(header); i += 2 {
@@ -138,14 +138,14 @@
 		{502, "POST", "/orders", order, []string{"Request-Id", "broken"}},
 		{504, "POST", "/orders", order, []string{"Request-Id", "slow", "Request-Timeout", "200m"}},
 	}
-	transcript := func(description string, routes []obj) (lines []string) {
-		w, _, _ := shops(t, description, routes)
+	transcript := func(description string, routes []object) (lines []string) {
+		env, _, _ := newFrontEnv(t, description, routes)
 		for _, c := range calls {
-			got := w.get(w.shop(c.method, c.path, c.body, c.header...))
+			got := env.mustDo(env.frontRequest(c.method, c.path, c.body, c.header...))
 			require.Equal(t, c.status, got.status, "%s %s: %s", c.method, c.path, got.body)
 			if c.status != 200 {
 				require.Equal(t, problem, got.header.Get("Content-Type"))
-				var p obj
+				var p object
 				require.NoError(t, json.Unmarshal([]byte(got.body), &p))
 				require.Equal(t, float64(c.status), p["status"])
 			}
@@ -157,9 +157,9 @@
 			}
 			lines = append(lines, fmt.Sprintf("%d %s %s", got.status, got.header.Get("Content-Type"), got.body))
 		}
-		lines = append(lines, w.noted()...)
+		lines = append(lines, env.recorded()...)
 		total := 0.0
-		for name, sum := range w.numbers.Numbers() {
+		for name, sum := range env.counter.Numbers() {
 			if !strings.HasPrefix(name, "/counters/q"+strconv.FormatInt(0x7fffff, 36)+".") { // that dealer's second call is counted or known to be over
 				total += sum
 			}
@@ -168,57 +168,57 @@
 		require.Equal(t, 6.0, total)
 		return append(lines, fmt.Sprint(total))
 	}
-	require.Equal(t, transcript("", byHand), transcript(described, nil))
+	require.Equal(t, transcript("", handWrittenRoutes), transcript(openAPIDescription, nil))
 }
 
 // The two fronts share one core: what a customer uses by one counts for the other.
 func TestQuotaHoldsOverBothFronts(t *testing.T) {
-	w, platform, _ := shops(t, described, nil)
-	require.Equal(t, 200, w.get(w.shop("GET", "/stock?part=1", "", "X-Dealer", "77", "X-Plan", "small")).status)
-	w.addr = platform
-	require.Equal(t, 200, w.get(w.request("GET", "/api/77", "stock", nil, "X-Plan", "small")).status)
-	require.Equal(t, 429, w.get(w.request("GET", "/api/77", "stock", nil, "X-Plan", "small")).status)
+	env, platform, _ := newFrontEnv(t, openAPIDescription, nil)
+	require.Equal(t, 200, env.mustDo(env.frontRequest("GET", "/stock?part=1", "", "X-Dealer", "77", "X-Plan", "small")).status)
+	env.addr = platform
+	require.Equal(t, 200, env.mustDo(env.request("GET", "/api/77", "stock", nil, "X-Plan", "small")).status)
+	require.Equal(t, 429, env.mustDo(env.request("GET", "/api/77", "stock", nil, "X-Plan", "small")).status)
 }
 
 // A description that changes while a request is out: that one is served as it began, the next ones by the
 // new routes; a description that is refused changes nothing.
 func TestDescriptionChangesWithRequestsInFlight(t *testing.T) {
-	w, _, path := shops(t, described, nil)
-	slow := make(chan reply, 1)
-	r := w.shop("GET", "/prices/1", "", "Request-Id", "slow", "Request-Timeout", "1900m")
+	env, _, path := newFrontEnv(t, openAPIDescription, nil)
+	slow := make(chan response, 1)
+	r := env.frontRequest("GET", "/prices/1", "", "Request-Id", "slow", "Request-Timeout", "1900m")
 	go func() {
-		got, _ := w.do(r)
+		got, _ := env.do(r)
 		slow <- got
 	}()
-	w.until(func() bool { return len(w.noted()) > 0 })
+	env.eventually(func() bool { return len(env.recorded()) > 0 })
 	write := func(text string) { // whole or not at all, as a careful editor does
 		require.NoError(t, os.WriteFile(path+".new", []byte(text), 0o600))
 		require.NoError(t, os.Rename(path+".new", path))
-		w.signal(syscall.SIGHUP)
+		env.signal(syscall.SIGHUP)
 	}
-	write(strings.ReplaceAll(described, "/prices/", "/costs/"))
-	w.until(func() bool { return w.get(w.shop("GET", "/costs/1", "")).status == 200 })
-	require.Equal(t, 404, w.get(w.shop("GET", "/prices/1", "")).status)
-	write(strings.Replace(described, "{class: catalogue, repeat: safe}", "{class: order}", 1))
-	w.until(func() bool {
-		return strings.Contains(w.log.String(), `GET /prices/{part}: a lookup must not be marked \"order\"`)
+	write(strings.ReplaceAll(openAPIDescription, "/prices/", "/costs/"))
+	env.eventually(func() bool { return env.mustDo(env.frontRequest("GET", "/costs/1", "")).status == 200 })
+	require.Equal(t, 404, env.mustDo(env.frontRequest("GET", "/prices/1", "")).status)
+	write(strings.Replace(openAPIDescription, "{class: catalogue, repeat: safe}", "{class: order}", 1))
+	env.eventually(func() bool {
+		return strings.Contains(env.log.String(), `GET /prices/{part}: a lookup must not be marked \"order\"`)
 	})
-	require.Equal(t, 200, w.get(w.shop("GET", "/costs/1", "")).status, "the old table stays")
+	require.Equal(t, 200, env.mustDo(env.frontRequest("GET", "/costs/1", "")).status, "the old table stays")
 	// Its host never answers: it gets the answer that its class allows, at the time it began with.
 	require.Contains(t, []int{429, 503, 504}, (<-slow).status)
 }
 
 func TestRefusedDescriptionEndsTheStart(t *testing.T) {
 	dir := t.TempDir()
-	text := strings.Replace(described, "cost: 2", "cost: 3", 1)
+	text := strings.Replace(openAPIDescription, "cost: 2", "cost: 3", 1)
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "d.yaml"), []byte(text), 0o600))
 	file := filepath.Join(dir, "front.json")
 	require.NoError(t, os.WriteFile(file, []byte(`{"listen":"127.0.0.1:1","description":"d.yaml",
 "customer":{"in":"header","name":"C"},"plan":{"default":"boutique"}}`), 0o600))
-	w := newWorld(t).start()
+	env := newTestEnv(t).start()
 	getenv := func(key string) string {
-		value, _ := strings.CutPrefix(w.cmd.Env[0], key+"=")
-		if value == w.cmd.Env[0] {
+		value, _ := strings.CutPrefix(env.cmd.Env[0], key+"=")
+		if value == env.cmd.Env[0] {
 			return ""
 		}
 		return value
@@ -226,38 +226,38 @@
 	var out, errs strings.Builder
 	require.Equal(t, 1, run([]string{"serve", "-front", file}, getenv, &out, &errs))
 	require.Contains(t, errs.String(), "d.yaml: GET /stock: cost 3 is outside 1 to 2")
-	require.NoError(t, os.WriteFile(filepath.Join(dir, "d.yaml"), []byte(described), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "d.yaml"), []byte(openAPIDescription), 0o600))
 	require.Zero(t, run([]string{"routes", "-front", file}, getenv, &out, &errs), errs.String())
 	require.Regexp(t, `GET +/stock +stock +2\n`, out.String())
 	require.Zero(t, run([]string{"check-config"}, getenv, &out, &errs))
 }
 
-// collect stands in for an OTLP endpoint.
-func (w *world) collect(rw http.ResponseWriter, r *http.Request) {
+// collectTelemetry stands in for an OTLP endpoint.
+func (env *testEnv) collectTelemetry(rw http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
-	require.NoError(w.t, err)
+	require.NoError(env.t, err)
 	switch r.URL.Path {
 	case "/v1/traces":
 		var req coltrace.ExportTraceServiceRequest
-		require.NoError(w.t, proto.Unmarshal(body, &req))
+		require.NoError(env.t, proto.Unmarshal(body, &req))
 		for _, rs := range req.ResourceSpans {
 			for _, ss := range rs.ScopeSpans {
 				for _, s := range ss.Spans {
-					w.note(fmt.Sprintf("span %s %v", s.Name, s.EndTimeUnixNano >= s.StartTimeUnixNano))
-					w.mu.Lock()
-					w.spans = append(w.spans, s)
-					w.mu.Unlock()
+					env.record(fmt.Sprintf("span %s %v", s.Name, s.EndTimeUnixNano >= s.StartTimeUnixNano))
+					env.mu.Lock()
+					env.spans = append(env.spans, s)
+					env.mu.Unlock()
 				}
 			}
 		}
 	case "/v1/metrics":
 		var req colmetrics.ExportMetricsServiceRequest
-		require.NoError(w.t, proto.Unmarshal(body, &req))
+		require.NoError(env.t, proto.Unmarshal(body, &req))
 		for _, rm := range req.ResourceMetrics {
 			for _, sm := range rm.ScopeMetrics {
 				for _, m := range sm.Metrics {
 					if h := m.GetHistogram(); h != nil {
-						w.note(fmt.Sprintf("metric %s %d", m.Name, h.DataPoints[0].Count))
+						env.record(fmt.Sprintf("metric %s %d", m.Name, h.DataPoints[0].Count))
 					}
 				}
 			}
@@ -267,13 +267,13 @@
 }
 
 func TestTelemetryReachesAnEndpoint(t *testing.T) {
-	w := newWorld(t)
-	w.args = []string{"-otlp", "http://" + w.serve(w.collect)}
-	w.start()
-	require.Equal(t, 200, w.get(w.request("GET", "", "stock", nil)).status)
-	w.signal(syscall.SIGTERM)
-	require.Zero(t, w.ends())
-	seen := strings.Join(w.noted(), "\n")
+	env := newTestEnv(t)
+	env.args = []string{"-otlp", "http://" + env.serve(env.collectTelemetry)}
+	env.start()
+	require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
+	env.signal(syscall.SIGTERM)
+	require.Zero(t, env.waitForExit())
+	seen := strings.Join(env.recorded(), "\n")
 	for _, want := range []string{"span stream true", "span upstream request true", "metric ferryfront.stream.duration 1",
 		"metric ferryfront.upstream_request.duration 1", "metric ferryfront.counter_call.duration 1"} {
 		require.Contains(t, seen, want)
@@ -281,14 +281,14 @@
 }
 
 // An endpoint that never answers holds nothing up, neither requests nor the end.
-func TestTelemetryThatIsSilent(t *testing.T) {
-	w := newWorld(t)
-	w.args = []string{"-otlp", "http://" + w.serve(func(http.ResponseWriter, *http.Request) { <-w.over })}
-	w.start()
+func TestSilentTelemetryEndpoint(t *testing.T) {
+	env := newTestEnv(t)
+	env.args = []string{"-otlp", "http://" + env.serve(func(http.ResponseWriter, *http.Request) { <-env.testDone })}
+	env.start()
 	for range 20 {
-		require.Equal(t, 200, w.get(w.request("GET", "", "stock", nil)).status)
+		require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 	}
-	w.signal(syscall.SIGTERM)
-	require.Zero(t, w.ends())
-	require.Contains(t, w.log.String(), "telemetry not flushed")
+	env.signal(syscall.SIGTERM)
+	require.Zero(t, env.waitForExit())
+	require.Contains(t, env.log.String(), "telemetry not flushed")
 }
--- a/cmd/ferryfront/process_test.go
+++ b/cmd/ferryfront/process_test.go
@@ -18,28 +18,28 @@
 )
 
 func TestRequestsAndAnswersPassVerbatim(t *testing.T) {
-	w := newWorld(t)
+	env := newTestEnv(t)
 	big := strings.Repeat("x", 64<<10)
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
-		w.echo(rw, r)
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+		env.echo(rw, r)
 		rw.(http.Flusher).Flush() // so the answer is chunked
 		fmt.Fprint(rw, big[:60<<10])
 	}
-	w.start()
-	got := w.get(w.request("POST", "/api/x%2Fy/00000000b4d65521?a=%20&&b", "order", strings.NewReader(big)))
+	env.start()
+	got := env.mustDo(env.request("POST", "/api/x%2Fy/00000000b4d65521?a=%20&&b", "order", strings.NewReader(big)))
 	want := "POST /api/x%2Fy/00000000b4d65521?a=%20&&b id=r1 key=k1 body=65536"
 	require.Equal(t, 200, got.status)
 	require.Equal(t, want+big[:60<<10], got.body)
-	require.Equal(t, []string{want}, w.noted())
+	require.Equal(t, []string{want}, env.recorded())
 }
 
-func TestBytesInAnySplitAndRequestsAhead(t *testing.T) {
-	w := newWorld(t).start()
+func TestSplitAndPipelinedRequests(t *testing.T) {
+	env := newTestEnv(t).start()
 	text := ""
 	for _, id := range []string{"a", "b", "c"} {
 		text += "GET /api/1?" + id + " HTTP/1.1\r\nRequest-Id: " + id + "\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n\r\n"
 	}
-	c := w.raw("")
+	c := env.dialAndWrite("")
 	for i := range text {
 		_, err := c.Write([]byte{text[i]})
 		require.NoError(t, err)
@@ -54,97 +54,97 @@
 	}
 }
 
-func TestLocalRepliesAreNoRefusals(t *testing.T) {
-	w := newWorld(t).start()
+func TestInvalidRequestsGetClientErrors(t *testing.T) {
+	env := newTestEnv(t).start()
 	for _, c := range []struct {
 		status  int
 		request *http.Request
 	}{
-		{404, w.request("GET", "/else", "stock", nil)},
-		{405, w.request("DELETE", "", "stock", nil)},
-		{405, w.request("POST", "", "stock", strings.NewReader("x"))}, // a write must not pass for safe to repeat
-		{405, w.request("GET", "", "order", nil)},
-		{400, w.request("GET", "", "none", nil)},
-		{400, w.request("GET", "", "stock", nil, "X-Plan", "none")},
-		{400, w.request("GET", "", "stock", nil, "Request-Id", "")},
-		{400, w.request("GET", "", "stock", nil, "Request-Timeout", "soon")},
-		{400, w.request("GET", "", "stock", nil, "X-Quota", "units=many")},
-		{400, w.request("GET", "/api/nobody", "stock", nil)},
-		{400, w.request("GET", "/api/0000000200000000", "stock", nil)}, // customers are below 2^33
-		{400, w.request("GET", "", "stock", nil, "Request-Timeout", "NaNm")},
-		{400, w.request("GET", "", "stock", nil, "Request-Timeout", "0m")},
-		{400, w.request("GET", "", "stock", nil, "Request-Timeout", "0x1p9m")},
-		{400, w.request("GET", "", "stock", nil, "X-Quota", "units=0,spread=1,first=0")},
-		{400, w.request("GET", "", "stock", nil, "X-Quota", "units=3,spread=1,first=0")}, // maxUnits is 2
-		{400, w.request("GET", "", "stock", nil, "X-Quota", "units=1,spread=2,first=0")}, // of one ingress
-		{400, w.request("GET", "", "stock", nil, "X-Quota", "units=1,spread=1,first=1")},
-		{400, w.request("GET", "", "stock", nil, "X-Quota", "units=1,units=2")},
-		{400, w.request("GET", "", "stock", nil, "Request-Id", "a b")},
-		{400, w.request("GET", "", "stock", nil, "Request-Id", strings.Repeat("x", 300))},
-		{400, w.request("GET", "", "stock", strings.NewReader("x"))},
-		{400, w.request("POST", "", "order", nil, "Idempotency-Key", "")},
-		{413, w.request("POST", "", "order", strings.NewReader(strings.Repeat("x", 32<<20+1)))},
-		{431, w.request("GET", "", "stock", nil, "X-Long", strings.Repeat("x", 20<<10))},
+		{404, env.request("GET", "/else", "stock", nil)},
+		{405, env.request("DELETE", "", "stock", nil)},
+		{405, env.request("POST", "", "stock", strings.NewReader("x"))}, // a write must not pass for safe to repeat
+		{405, env.request("GET", "", "order", nil)},
+		{400, env.request("GET", "", "none", nil)},
+		{400, env.request("GET", "", "stock", nil, "X-Plan", "none")},
+		{400, env.request("GET", "", "stock", nil, "Request-Id", "")},
+		{400, env.request("GET", "", "stock", nil, "Request-Timeout", "soon")},
+		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=many")},
+		{400, env.request("GET", "/api/nobody", "stock", nil)},
+		{400, env.request("GET", "/api/0000000200000000", "stock", nil)}, // customers are below 2^33
+		{400, env.request("GET", "", "stock", nil, "Request-Timeout", "NaNm")},
+		{400, env.request("GET", "", "stock", nil, "Request-Timeout", "0m")},
+		{400, env.request("GET", "", "stock", nil, "Request-Timeout", "0x1p9m")},
+		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=0,spread=1,first=0")},
+		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=3,spread=1,first=0")}, // maxUnits is 2
+		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=1,spread=2,first=0")}, // of one ingress
+		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=1,spread=1,first=1")},
+		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=1,units=2")},
+		{400, env.request("GET", "", "stock", nil, "Request-Id", "a b")},
+		{400, env.request("GET", "", "stock", nil, "Request-Id", strings.Repeat("x", 300))},
+		{400, env.request("GET", "", "stock", strings.NewReader("x"))},
+		{400, env.request("POST", "", "order", nil, "Idempotency-Key", "")},
+		{413, env.request("POST", "", "order", strings.NewReader(strings.Repeat("x", 32<<20+1)))},
+		{431, env.request("GET", "", "stock", nil, "X-Long", strings.Repeat("x", 20<<10))},
 	} {
-		require.Equal(t, c.status, w.get(c.request).status, c.request)
+		require.Equal(t, c.status, env.mustDo(c.request).status, c.request)
 	}
-	require.Empty(t, w.noted())
+	require.Empty(t, env.recorded())
 }
 
 // Of a field that is there twice, each reader may take another.
-func TestAFieldThatIsThereTwice(t *testing.T) {
-	w := newWorld(t).start()
+func TestRepeatedHeaderIsRejected(t *testing.T) {
+	env := newTestEnv(t).start()
 	for _, name := range []string{"Request-Id", "Request-Class", "X-Plan", "X-Quota", "Request-Timeout"} {
-		r := w.request("GET", "", "stock", nil)
+		r := env.request("GET", "", "stock", nil)
 		r.Header.Add(name, r.Header.Get(name))
-		require.Equal(t, 400, w.get(r).status, name)
+		require.Equal(t, 400, env.mustDo(r).status, name)
 	}
-	require.Empty(t, w.noted())
+	require.Empty(t, env.recorded())
 }
 
 // Upstream hosts know requests by their ids: one with the id of a request that is open would be a second
 // copy of it. Once that has ended, the id is free.
-func TestAnIdThatIsOpen(t *testing.T) {
-	w := newWorld(t)
+func TestRequestIDInUseIsRejected(t *testing.T) {
+	env := newTestEnv(t)
 	release := make(chan struct{})
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
-		w.echo(rw, r)
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+		env.echo(rw, r)
 		<-release
 	}
-	w.start()
-	first := make(chan reply, 1)
-	r := w.request("GET", "", "stock", nil)
-	go func() { got, _ := w.do(r); first <- got }()
-	w.until(func() bool { return len(w.noted()) == 1 })
-	require.Equal(t, 409, w.get(w.request("GET", "", "stock", nil)).status)
-	require.Len(t, w.noted(), 1)
+	env.start()
+	first := make(chan response, 1)
+	r := env.request("GET", "", "stock", nil)
+	go func() { got, _ := env.do(r); first <- got }()
+	env.eventually(func() bool { return len(env.recorded()) == 1 })
+	require.Equal(t, 409, env.mustDo(env.request("GET", "", "stock", nil)).status)
+	require.Len(t, env.recorded(), 1)
 	close(release)
 	require.Equal(t, 200, (<-first).status)
-	require.Equal(t, 200, w.get(w.request("GET", "", "stock", nil)).status)
+	require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 }
 
 // Connections that say nothing, or half a request, get an error or a close soon, and do not take the place of
 // others, nor that of a usual client's which stands idle: that one is the last to be closed.
-func TestConnectionsThatNeverAskMakeRoom(t *testing.T) {
-	w := newWorld(t)
-	w.change = func(config, _ map[string]any) { config["limits"].(obj)["sockets"] = 56 + 24 + 32 } // 16 for clients
-	w.start()
-	w.until(func() bool { // the connections that asked whether it is ready are still closing
-		usual := w.raw("GET /up HTTP/1.1\r\n\r\n")
+func TestIncompleteConnectionsAreClosedFirst(t *testing.T) {
+	env := newTestEnv(t)
+	env.modifyConfig = func(config, _ map[string]any) { config["limits"].(object)["sockets"] = 56 + 24 + 32 } // 16 for clients
+	env.start()
+	env.eventually(func() bool { // the connections that asked whether it is ready are still closing
+		usual := env.dialAndWrite("GET /up HTTP/1.1\r\n\r\n")
 		defer usual.Close()
 		answers := bufio.NewReader(usual)
 		_, err := http.ReadResponse(answers, nil)
 		return err == nil
 	})
-	usual := w.raw("GET /up HTTP/1.1\r\n\r\n")
+	usual := env.dialAndWrite("GET /up HTTP/1.1\r\n\r\n")
 	answers := bufio.NewReader(usual)
 	_, err := http.ReadResponse(answers, nil)
 	require.NoError(t, err)
 	var idle []net.Conn
 	for i := range 60 {
-		idle = append(idle, w.raw("GET /api/1 HTTP/1.1\r\n"[:i%2*10]))
+		idle = append(idle, env.dialAndWrite("GET /api/1 HTTP/1.1\r\n"[:i%2*10]))
 	}
-	require.Equal(t, 200, w.get(w.request("GET", "", "stock", nil)).status)
+	require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 	_, err = io.WriteString(usual, "GET /up HTTP/1.1\r\n\r\n")
 	require.NoError(t, err)
 	_, err = http.ReadResponse(answers, nil)
@@ -156,23 +156,23 @@
 }
 
 // A client that sends on and on after its error is not read for ever, nor at the cost of others.
-func TestAnEndlessBodyIsCutOff(t *testing.T) {
-	w := newWorld(t).start()
-	c := w.raw("POST /api/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n")
-	sent, err := io.Copy(c, io.LimitReader(zeroes{}, 1<<30))
+func TestEndlessBodyIsCutOff(t *testing.T) {
+	env := newTestEnv(t).start()
+	c := env.dialAndWrite("POST /api/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n")
+	sent, err := io.Copy(c, io.LimitReader(zeroReader{}, 1<<30))
 	require.Error(t, err)
 	require.Less(t, sent, int64(64<<20))
-	require.Equal(t, 200, w.get(w.request("GET", "", "stock", nil)).status)
+	require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 }
 
-type zeroes struct{}
+type zeroReader struct{}
 
-func (zeroes) Read(b []byte) (int, error) { return len(b), nil }
+func (zeroReader) Read(b []byte) (int, error) { return len(b), nil }
 
 // Hundreds of requests at once are all answered, a few in a turn.
-func TestHundredsOfRequestsSentAhead(t *testing.T) {
-	w := newWorld(t).start()
-	r := bufio.NewReader(w.raw(strings.Repeat("GET /else HTTP/1.1\r\n\r\n", 500)))
+func TestHundredsOfPipelinedRequests(t *testing.T) {
+	env := newTestEnv(t).start()
+	r := bufio.NewReader(env.dialAndWrite(strings.Repeat("GET /else HTTP/1.1\r\n\r\n", 500)))
 	for range 500 {
 		resp, err := http.ReadResponse(r, nil)
 		require.NoError(t, err)
@@ -184,9 +184,9 @@
 // Beyond its quota a customer is refused at once and told when to come back, whatever the settings say
 // of retry-after; others go on.
 func TestQuota(t *testing.T) {
-	w := newWorld(t).start()
+	env := newTestEnv(t).start()
 	for i := range 6 {
-		got := w.get(w.request("GET", "/api/7", "stock", nil, "X-Plan", "small"))
+		got := env.mustDo(env.request("GET", "/api/7", "stock", nil, "X-Plan", "small"))
 		if i < 3 {
 			require.Equal(t, 200, got.status, "request %d", i)
 			continue
@@ -194,12 +194,12 @@
 		require.Equal(t, 429, got.status, "request %d", i)
 		require.Regexp(t, `^\d+(\.\d+)?$`, got.header.Get("Retry-After"))
 	}
-	require.Equal(t, 200, w.get(w.request("GET", "/api/8", "stock", nil, "X-Plan", "small")).status)
-	require.Len(t, w.noted(), 4)
+	require.Equal(t, 200, env.mustDo(env.request("GET", "/api/8", "stock", nil, "X-Plan", "small")).status)
+	require.Len(t, env.recorded(), 4)
 }
 
 // Whatever the counter does, requests are decided: by the daemon's own part of the quota.
-func TestCounterInTrouble(t *testing.T) {
+func TestCounterFailures(t *testing.T) {
 	for name, counter := range map[string]http.HandlerFunc{
 		"silent":  nil,
 		"refuses": func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(503) },
@@ -207,14 +207,14 @@
 		"breaks":  func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
-			w.counter = counter
+			env := newTestEnv(t)
+			env.counterHandler = counter
 			if counter == nil { // the request's own context does not end while another is written behind it
-				w.counter = func(http.ResponseWriter, *http.Request) { <-w.over }
+				env.counterHandler = func(http.ResponseWriter, *http.Request) { <-env.testDone }
 			}
-			w.start()
+			env.start()
 			for range 20 {
-				require.Equal(t, 200, w.get(w.request("GET", "", "stock", nil)).status)
+				require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 			}
 		})
 	}
@@ -222,7 +222,7 @@
 
 // What may have run is repeated only as its class permits, and never refused; what can't have run is
 // tried elsewhere.
-func TestUpstreamHostInTrouble(t *testing.T) {
+func TestUpstreamHostFailures(t *testing.T) {
 	hang := func(rw http.ResponseWriter) net.Conn {
 		c, _, err := rw.(http.Hijacker).Hijack()
 		require.NoError(t, err)
@@ -252,50 +252,50 @@
 		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
-			w.hosts["h1"] = c.bad
-			w.start()
+			env := newTestEnv(t)
+			env.hosts["h1"] = c.bad
+			env.start()
 			for range 5 {
-				got := w.get(w.request("POST", "", "order", strings.NewReader("{}")))
+				got := env.mustDo(env.request("POST", "", "order", strings.NewReader("{}")))
 				if c.elsewhere {
 					require.Contains(t, []int{429, 503}, got.status)
 				} else {
 					require.Contains(t, []int{502, 504}, got.status, "it may have run, and is not refused")
 				}
 			}
-			require.NotEqual(t, 200, w.get(w.request("GET", "", "stock", nil)).status)
+			require.NotEqual(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 		})
 	}
 }
 
 // No connection: the request can't have run, so another host may have it whatever its class. And a host
 // that is gone from its address must not take the daemon along.
-func TestAHostThatRefusesConnections(t *testing.T) {
-	w := newWorld(t)
-	w.hosts["h0"] = nil
-	w.start()
+func TestHostRefusesConnections(t *testing.T) {
+	env := newTestEnv(t)
+	env.hosts["h0"] = nil
+	env.start()
 	for range 10 {
-		require.Equal(t, 200, w.get(w.request("POST", "", "order", strings.NewReader("{}"))).status)
+		require.Equal(t, 200, env.mustDo(env.request("POST", "", "order", strings.NewReader("{}"))).status)
 	}
-	require.Contains(t, w.log.String(), "server h0 ejected")
+	require.Contains(t, env.log.String(), "server h0 ejected")
 }
 
 // An upstream request that is out when its client has had enough, or has gone, ends by closing its connection.
-func TestNoAnswerInTimeAndClientThatLeaves(t *testing.T) {
-	w := newWorld(t)
+func TestTimeoutAndDisconnectCloseUpstreamRequest(t *testing.T) {
+	env := newTestEnv(t)
 	gone := make(chan string, 8)
-	w.hosts["h1"] = func(_ http.ResponseWriter, r *http.Request) {
+	env.hosts["h1"] = func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
-		w.note(r.Header.Get("Request-Id"))
+		env.record(r.Header.Get("Request-Id"))
 		<-r.Context().Done()
 		gone <- r.Header.Get("Request-Id")
 	}
-	w.start()
-	got := w.get(w.request("POST", "", "order", strings.NewReader("{}"), "Request-Timeout", "300000u"))
+	env.start()
+	got := env.mustDo(env.request("POST", "", "order", strings.NewReader("{}"), "Request-Timeout", "300000u"))
 	require.Contains(t, []int{502, 504}, got.status)
 	require.Equal(t, "r1", <-gone)
-	c := w.raw("GET /api/5 HTTP/1.1\r\nRequest-Id: r2\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n\r\n")
-	w.until(func() bool { return strings.Contains(strings.Join(w.noted(), " "), "r2") })
+	c := env.dialAndWrite("GET /api/5 HTTP/1.1\r\nRequest-Id: r2\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n\r\n")
+	env.eventually(func() bool { return strings.Contains(strings.Join(env.recorded(), " "), "r2") })
 	require.NoError(t, c.Close())
 	require.Equal(t, "r2", <-gone)
 }
@@ -303,113 +303,113 @@
 // An idle upstream connection is dropped before the other side closes it: what is written to it from then
 // on may have run, or may not.
 func TestIdleUpstreamConnectionsAreDropped(t *testing.T) {
-	w := newWorld(t)
-	w.change = func(_, settings map[string]any) { settings["limits"].(obj)["idleClose"] = 800 }
-	w.start()
-	require.Equal(t, 200, w.get(w.request("GET", "", "stock", nil)).status)
-	w.until(func() bool { return w.closed("h1") == 1 })
+	env := newTestEnv(t)
+	env.modifyConfig = func(_, settings map[string]any) { settings["limits"].(object)["idleClose"] = 800 }
+	env.start()
+	require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
+	env.eventually(func() bool { return env.closedConnections("h1") == 1 })
 }
 
 func TestDiscovery(t *testing.T) {
-	w := newWorld(t)
-	other := w.serve(func(rw http.ResponseWriter, r *http.Request) { fmt.Fprint(rw, "h2") })
-	w.unknown = true
-	w.start()
-	ask := func() string { return w.get(w.request("GET", "", "stock", nil)).body }
+	env := newTestEnv(t)
+	other := env.serve(func(rw http.ResponseWriter, r *http.Request) { fmt.Fprint(rw, "h2") })
+	env.hasNoKnownHosts = true
+	env.start()
+	ask := func() string { return env.mustDo(env.request("GET", "", "stock", nil)).body }
 	require.Contains(t, ask(), "GET")
-	w.news <- line(6, false, entry("h1", "127.0.0.1:9", "Terminating"), entry("h2", other, "Ready"))
-	w.until(func() bool { return ask() == "h2" })
+	env.discoveryUpdates <- discoveryMessage(6, false, hostEntry("h1", "127.0.0.1:9", "Terminating"), hostEntry("h2", other, "Ready"))
+	env.eventually(func() bool { return ask() == "h2" })
 	require.Equal(t, "h2", ask(), "nothing new to a host that drains")
-	w.news <- "\n{\"version\":\"what\n" // what can't be read must not end the daemon; the whole list is asked for again
-	w.until(func() bool { return strings.HasPrefix(ask(), "GET") })
-	w.news <- line(9, true, entry("h2", other, "Ready"))
-	w.until(func() bool { return ask() == "h2" })
-	require.Contains(t, w.log.String(), "discovery message not read")
+	env.discoveryUpdates <- "\n{\"version\":\"what\n" // what can't be read must not end the daemon; the whole list is asked for again
+	env.eventually(func() bool { return strings.HasPrefix(ask(), "GET") })
+	env.discoveryUpdates <- discoveryMessage(9, true, hostEntry("h2", other, "Ready"))
+	env.eventually(func() bool { return ask() == "h2" })
+	require.Contains(t, env.log.String(), "discovery message not read")
 }
 
 // A list of thousands, with ids repeated and addresses that can't be read, keeps what is good of it, and is
 // complained of once.
-func TestAHugeListWithAddressesThatCantBeRead(t *testing.T) {
-	w := newWorld(t)
-	many := w.serve(func(rw http.ResponseWriter, r *http.Request) { fmt.Fprint(rw, "many") })
-	w.start()
+func TestHugeListWithInvalidAddresses(t *testing.T) {
+	env := newTestEnv(t)
+	many := env.serve(func(rw http.ResponseWriter, r *http.Request) { fmt.Fprint(rw, "many") })
+	env.start()
 	list := func(version int, addr string) string {
-		var entries []obj
+		var entries []object
 		for i := range 3000 {
-			entries = append(entries, entry(fmt.Sprintf("s%d-%d", i%10, i), addr, "Ready"))
+			entries = append(entries, hostEntry(fmt.Sprintf("s%d-%d", i%10, i), addr, "Ready"))
 		}
-		return line(version, true, append(entries, entries[:200]...)...)
+		return discoveryMessage(version, true, append(entries, entries[:200]...)...)
 	}
-	w.news <- list(6, "nowhere")
+	env.discoveryUpdates <- list(6, "nowhere")
 	for range 2 { // what is told of once is met again and again
-		w.until(func() bool { return w.get(w.request("GET", "", "stock", nil)).status == 503 })
+		env.eventually(func() bool { return env.mustDo(env.request("GET", "", "stock", nil)).status == 503 })
 	}
-	require.Equal(t, 1, strings.Count(w.log.String(), "upstream connection not opened"))
-	w.news <- list(7, many)
-	w.until(func() bool { return w.get(w.request("GET", "", "stock", nil)).body == "many" })
+	require.Equal(t, 1, strings.Count(env.log.String(), "upstream connection not opened"))
+	env.discoveryUpdates <- list(7, many)
+	env.eventually(func() bool { return env.mustDo(env.request("GET", "", "stock", nil)).body == "many" })
 	for range 100 {
-		require.Equal(t, 200, w.get(w.request("GET", "", "stock", nil)).status)
+		require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 	}
 }
 
 // SIGHUP: discovery and counter have moved, and where they were nothing is heard any more. The new list
 // counts once it is told, no request fails meanwhile, and what can't be used changes nothing.
 func TestReload(t *testing.T) {
-	w := newWorld(t).start()
+	env := newTestEnv(t).start()
 	ask := func() string {
-		got := w.get(w.request("GET", "", "stock", nil))
+		got := env.mustDo(env.request("GET", "", "stock", nil))
 		require.Equal(t, 200, got.status)
 		return got.body
 	}
 	require.Contains(t, ask(), "GET")
-	h2 := w.serve(func(rw http.ResponseWriter, r *http.Request) { fmt.Fprint(rw, "h2") })
+	h2 := env.serve(func(rw http.ResponseWriter, r *http.Request) { fmt.Fprint(rw, "h2") })
 	var moved atomic.Int64
-	counter := w.told["counter"]
-	w.told["counter"] = "nowhere"
-	w.configure()
-	w.signal(syscall.SIGHUP)
-	w.until(func() bool { return strings.Contains(w.log.String(), "configuration not reloaded") })
-	require.Contains(t, w.log.String(), "counter: ", "the field is named")
+	counter := env.config["counter"]
+	env.config["counter"] = "nowhere"
+	env.writeConfig()
+	env.signal(syscall.SIGHUP)
+	env.eventually(func() bool { return strings.Contains(env.log.String(), "configuration not reloaded") })
+	require.Contains(t, env.log.String(), "counter: ", "the field is named")
 	require.Contains(t, ask(), "GET")
 
-	w.told["counter"] = w.serve(func(rw http.ResponseWriter, r *http.Request) { moved.Add(1); w.count(rw, r) })
+	env.config["counter"] = env.serve(func(rw http.ResponseWriter, r *http.Request) { moved.Add(1); env.defaultCounterHandler(rw, r) })
 	news := make(chan string)
-	w.told["discovery"] = w.serve(func(rw http.ResponseWriter, r *http.Request) {
+	env.config["discovery"] = env.serve(func(rw http.ResponseWriter, r *http.Request) {
 		select { // it keeps silent at first
 		case <-news:
-			w.watch(news, entry("h2", h2, "Ready"))(rw, r)
+			env.discoveryHandler(news, hostEntry("h2", h2, "Ready"))(rw, r)
 		case <-r.Context().Done():
 		}
 	})
-	w.told["seed"] = "2f"
-	w.configure()
-	w.signal(syscall.SIGHUP)
-	w.until(func() bool { ask(); return moved.Load() > 0 })
-	require.NotEqual(t, counter, w.told["counter"])
-	require.Contains(t, w.log.String(), "fields=seed", "what needs a restart is told")
-	w.news <- line(7, false, entry("h3", h2, "Ready"), entry("h1", w.addrs["h1"], "Terminating")) // the old watch is kept until then
-	w.until(func() bool { return ask() == "h2" })
+	env.config["seed"] = "2f"
+	env.writeConfig()
+	env.signal(syscall.SIGHUP)
+	env.eventually(func() bool { ask(); return moved.Load() > 0 })
+	require.NotEqual(t, counter, env.config["counter"])
+	require.Contains(t, env.log.String(), "fields=seed", "what needs a restart is told")
+	env.discoveryUpdates <- discoveryMessage(7, false, hostEntry("h3", h2, "Ready"), hostEntry("h1", env.hostAddrs["h1"], "Terminating")) // the old watch is kept until then
+	env.eventually(func() bool { return ask() == "h2" })
 	news <- ""
-	w.until(func() bool { return w.closed("discovery") == 1 })
+	env.eventually(func() bool { return env.closedConnections("discovery") == 1 })
 	require.Equal(t, "h2", ask())
-	w.signal(syscall.SIGHUP)
-	w.signal(syscall.SIGTERM)
-	require.Zero(t, w.ends())
+	env.signal(syscall.SIGHUP)
+	env.signal(syscall.SIGTERM)
+	require.Zero(t, env.waitForExit())
 }
 
 func TestReadyThoughDiscoveryIsSilent(t *testing.T) {
-	w := newWorld(t)
-	w.mute = true
-	w.start()
-	require.Equal(t, 200, w.get(w.request("GET", "", "stock", nil)).status)
+	env := newTestEnv(t)
+	env.isDiscoveryDown = true
+	env.start()
+	require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 }
 
 // The platform refuses further processes: serve, as deploy/balancer.toml names it, is one.
 func TestServeStartsNoFurtherProcess(t *testing.T) {
-	w := newWorld(t)
-	w.start()
-	require.Equal(t, 200, w.get(w.request("GET", "", "stock", nil)).status)
-	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", w.cmd.Process.Pid))
+	env := newTestEnv(t)
+	env.start()
+	require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
+	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", env.cmd.Process.Pid))
 	require.NoError(t, err)
 	require.NotEmpty(t, threads)
 	for _, name := range threads {
@@ -425,34 +425,34 @@
 // At a planned end whatever was taken is answered, what still comes for a while, too, and nobody is
 // invited to stay.
 func TestDrain(t *testing.T) {
-	w := newWorld(t)
+	env := newTestEnv(t)
 	release := make(chan struct{})
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/api/1" {
-			w.note("waits")
+			env.record("waits")
 			<-release
 		}
-		w.echo(rw, r)
+		env.echo(rw, r)
 	}
-	w.start()
-	idle := w.raw("GET /up HTTP/1.1\r\n\r\n")
+	env.start()
+	idle := env.dialAndWrite("GET /up HTTP/1.1\r\n\r\n")
 	kept := bufio.NewReader(idle)
 	resp, err := http.ReadResponse(kept, nil)
 	require.NoError(t, err)
 	require.False(t, resp.Close)
-	answers := make(chan reply, 1)
-	r := w.request("GET", "/api/1", "stock", nil)
+	answers := make(chan response, 1)
+	r := env.request("GET", "/api/1", "stock", nil)
 	go func() {
-		got, err := w.do(r)
+		got, err := env.do(r)
 		if err != nil {
 			got.body = err.Error()
 		}
 		answers <- got
 	}()
-	w.until(func() bool { return len(w.noted()) > 0 })
-	w.signal(syscall.SIGTERM)
-	w.until(func() bool { return strings.Contains(w.log.String(), "draining") })
-	late := w.raw("GET /api/2 HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n\r\n")
+	env.eventually(func() bool { return len(env.recorded()) > 0 })
+	env.signal(syscall.SIGTERM)
+	env.eventually(func() bool { return strings.Contains(env.log.String(), "draining") })
+	late := env.dialAndWrite("GET /api/2 HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n\r\n")
 	resp, err = http.ReadResponse(bufio.NewReader(late), nil)
 	require.NoError(t, err)
 	require.Equal(t, 200, resp.StatusCode)
@@ -461,8 +461,8 @@
 	require.ErrorIs(t, err, io.EOF, "an idle connection is ended, not reset")
 	close(release)
 	require.Equal(t, 200, (<-answers).status)
-	require.Zero(t, w.ends())
-	require.Contains(t, w.log.String(), "drained")
+	require.Zero(t, env.waitForExit())
+	require.Contains(t, env.log.String(), "drained")
 }
 
 func TestCommands(t *testing.T) {
--- a/cmd/ferryfront/replace_crossing_test.go
+++ b/cmd/ferryfront/replace_overlap_test.go
@@ -14,28 +14,28 @@
 // While the old process and the new one both live, since answers are owed by the old: what comes again with an id or a key
 // that is out there is turned away by the new one, a request half read is read on there, clients leave either, an answer
 // half passed on is passed on, and each request reaches a host once.
-func TestBothProcessesOfAReplacementLive(t *testing.T) {
-	w := newWorld(t).replaceable()
+func TestOldAndNewProcessServeTogether(t *testing.T) {
+	env := newTestEnv(t).withHandoverDir()
 	release := make(chan struct{})
-	halves := w.halves(release)
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+	halves := env.halfResponseHandler(release)
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		switch id := r.Header.Get("Request-Id"); {
 		case id == "a1":
 			halves(rw, r)
 			return
 		case strings.HasPrefix(id, "out"):
 			_, _ = io.Copy(io.Discard, r.Body)
-			w.note("holds id=" + id + " ")
-			w.hold(release)
+			env.record("holds id=" + id + " ")
+			env.waitFor(release)
 		}
-		w.echo(rw, r)
+		env.echo(rw, r)
 	}
-	w.change = func(_, settings map[string]any) {
-		for _, c := range settings["classes"].([]obj) {
+	env.modifyConfig = func(_, settings map[string]any) {
+		for _, c := range settings["classes"].([]object) {
 			c["deadline"], c["onTime"], c["repeatWindow"] = 60000, 60000, 60000
 		}
 	}
-	w.start()
+	env.start()
 	order := func(id, key string) string {
 		return "POST /api/8 HTTP/1.1\r\nRequest-Id: " + id + "\r\nRequest-Class: order\r\nX-Plan: boutique\r\nIdempotency-Key: " + key +
 			"\r\nContent-Length: 0\r\n\r\n"
@@ -48,24 +48,24 @@
 		require.NoError(t, err)
 		return resp.StatusCode
 	}
-	whole := ask("half", "1")
-	half := w.raw(whole[:len(whole)/2])
-	out := w.raw(order("out1", "k1"))
-	leaves := w.raw(ask("out2", "2"))
-	_, long := w.halfway("a1", "sized", "HTTP/1.1", "")
-	w.until(func() bool { return w.got("out1") && w.got("out2") })
-	old := w.first()
-	next := w.beside()
-	w.until(next.ready)
-	w.until(func() bool { return strings.Contains(w.log.String(), `msg="taken over"`) })
-	require.Equal(t, 409, status(w.raw(order("again", "k1"))), "its key is out at the old one")
-	require.Equal(t, 409, status(w.raw(ask("out1", "8"))), "its id is")
+	whole := rawRequest("half", "1")
+	half := env.dialAndWrite(whole[:len(whole)/2])
+	out := env.dialAndWrite(order("out1", "k1"))
+	leaves := env.dialAndWrite(rawRequest("out2", "2"))
+	_, long := env.readHalfResponse("a1", "sized", "HTTP/1.1", "")
+	env.eventually(func() bool { return env.hasReceived("out1") && env.hasReceived("out2") })
+	old := env.firstProcess()
+	next := env.startReplacement()
+	env.eventually(next.isReady)
+	env.eventually(func() bool { return strings.Contains(env.log.String(), `msg="taken over"`) })
+	require.Equal(t, 409, status(env.dialAndWrite(order("again", "k1"))), "its key is out at the old one")
+	require.Equal(t, 409, status(env.dialAndWrite(rawRequest("out1", "8"))), "its id is")
 	_, err := io.WriteString(half, whole[len(whole)/2:])
 	require.NoError(t, err)
 	require.Equal(t, 200, status(half))
-	for name, leave := range departures() {
-		c := w.raw(ask("out-"+strings.ReplaceAll(name, " ", "-"), "3")) // at the new one
-		w.until(func() bool { return w.got("out-" + strings.ReplaceAll(name, " ", "-")) })
+	for name, leave := range disconnects() {
+		c := env.dialAndWrite(rawRequest("out-"+strings.ReplaceAll(name, " ", "-"), "3")) // at the new one
+		env.eventually(func() bool { return env.hasReceived("out-" + strings.ReplaceAll(name, " ", "-")) })
 		leave(t, c)
 	}
 	require.NoError(t, leaves.(*net.TCPConn).SetLinger(0))
@@ -80,10 +80,10 @@
 	n, err := io.Copy(io.Discard, long.Body)
 	require.NoError(t, err)
 	require.Equal(t, int64(192<<10), n)
-	w.gone(old)
-	require.Equal(t, 200, status(w.raw(order("later", "k2"))))
+	env.requireExit(old)
+	require.Equal(t, 200, status(env.dialAndWrite(order("later", "k2"))))
 	begun := map[string]int{}
-	for _, line := range w.noted() {
+	for _, line := range env.recorded() {
 		for _, field := range strings.Fields(line) {
 			if id, ok := strings.CutPrefix(field, "id="); ok && (strings.HasPrefix(line, "holds") || !strings.HasPrefix(id, "out")) {
 				begun[id]++
--- a/cmd/ferryfront/replace_test.go
+++ b/cmd/ferryfront/replace_test.go
@@ -22,34 +22,34 @@
 
 // process is one that the platform has started.
 type process struct {
-	cmd  *exec.Cmd
-	door string
-	done chan struct{}
+	cmd       *exec.Cmd
+	adminAddr string
+	done      chan struct{}
 }
 
-// replaceable gives a world's daemon a folder in which it meets its successor.
-func (w *world) replaceable() *world {
-	w.env = append(w.env, "TMPDIR="+w.t.TempDir())
-	return w.withDoor()
+// withHandoverDir gives a world's daemon a folder in which it meets its successor.
+func (env *testEnv) withHandoverDir() *testEnv {
+	env.extraEnv = append(env.extraEnv, "TMPDIR="+env.t.TempDir())
+	return env.withAdmin()
 }
 
-// beside starts the program once more, as the platform does: same addresses, another door, same folder.
-func (w *world) beside() *process {
-	w.t.Helper()
-	p := &process{cmd: exec.Command(binary, "serve"), door: free(w.t), done: make(chan struct{})}
-	p.cmd.Env, p.cmd.Stderr = append([]string{"GW_CONFIG=" + w.path, "GW_MGMT=" + p.door}, w.env...), w.log.File
-	require.NoError(w.t, p.cmd.Start())
+// startReplacement starts the program once more, as the platform does: same addresses, another door, same folder.
+func (env *testEnv) startReplacement() *process {
+	env.t.Helper()
+	p := &process{cmd: exec.Command(binaryPath, "serve"), adminAddr: freeAddr(env.t), done: make(chan struct{})}
+	p.cmd.Env, p.cmd.Stderr = append([]string{"GW_CONFIG=" + env.configPath, "GW_MGMT=" + p.adminAddr}, env.extraEnv...), env.log.File
+	require.NoError(env.t, p.cmd.Start())
 	go func() { _ = p.cmd.Wait(); close(p.done) }()
-	w.t.Cleanup(func() {
+	env.t.Cleanup(func() {
 		_ = p.cmd.Process.Kill()
 		<-p.done
 	})
 	return p
 }
 
-// ready tells whether it says so at its door.
-func (p *process) ready() bool {
-	c, err := net.DialTimeout("tcp", p.door, time.Second)
+// isReady tells whether it says so at its door.
+func (p *process) isReady() bool {
+	c, err := net.DialTimeout("tcp", p.adminAddr, time.Second)
 	if err != nil {
 		return false
 	}
@@ -60,32 +60,32 @@
 	return strings.HasPrefix(string(answer), "200")
 }
 
-// first is the process that the world has started.
-func (w *world) first() *process {
-	p := &process{cmd: w.cmd, door: w.door, done: make(chan struct{})}
+// firstProcess is the process that the world has started.
+func (env *testEnv) firstProcess() *process {
+	p := &process{cmd: env.cmd, adminAddr: env.adminAddr, done: make(chan struct{})}
 	go func() { _ = p.cmd.Wait(); close(p.done) }()
 	return p
 }
 
 // ends waits until a process has ended by itself, before the platform would kill it.
-func (w *world) gone(p *process) {
-	w.t.Helper()
+func (env *testEnv) requireExit(p *process) {
+	env.t.Helper()
 	select {
 	case <-p.done:
-		require.Zero(w.t, p.cmd.ProcessState.ExitCode())
+		require.Zero(env.t, p.cmd.ProcessState.ExitCode())
 	case <-time.After(3700 * time.Millisecond):
-		require.Fail(w.t, "the old process goes on")
+		require.Fail(env.t, "the old process goes on")
 	}
 }
 
-// load sends requests until it is stopped, and returns how many were answered otherwise than once and well.
-func (w *world) load(rate int) (stop func() (asked int, faults []string)) {
+// startLoad sends requests until it is stopped, and returns how many were answered otherwise than once and well.
+func (env *testEnv) startLoad(rate int) (stop func() (asked int, faults []string)) {
 	var all sync.WaitGroup
 	var asked atomic.Int32
 	var mu sync.Mutex
 	var faults []string
 	end := make(chan struct{})
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 	all.Go(func() {
 		tick := time.NewTicker(time.Second / time.Duration(rate))
 		defer tick.Stop()
@@ -104,7 +104,7 @@
 			if method == "POST" {
 				body = strings.NewReader("{}")
 			}
-			r := w.request(method, path, class, body, "Request-Id", fmt.Sprint("l", i), "Idempotency-Key", fmt.Sprint("lk", i))
+			r := env.request(method, path, class, body, "Request-Id", fmt.Sprint("l", i), "Idempotency-Key", fmt.Sprint("lk", i))
 			asked.Add(1)
 			all.Go(func() {
 				resp, err := client.Do(r)
@@ -135,42 +135,42 @@
 // Twenty replacements at 200 requests a second: every request has its one answer, none reaches a host twice, no
 // connection is reset, the quota's state goes over, and each process ends by itself or when it is told to.
 func TestReplacementsUnderLoad(t *testing.T) {
-	w := newWorld(t).replaceable()
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+	env := newTestEnv(t).withHandoverDir()
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		time.Sleep(5 * time.Millisecond) // an order server's work
-		w.echo(rw, r)
+		env.echo(rw, r)
 	}
-	w.hosts["h2"] = w.hosts["h1"]
-	w.start()
-	stop := w.load(200)
-	old := w.first()
+	env.hosts["h2"] = env.hosts["h1"]
+	env.start()
+	stop := env.startLoad(200)
+	old := env.firstProcess()
 	for i := range 20 {
 		began := time.Now()
-		next := w.beside()
-		w.until(next.ready)
+		next := env.startReplacement()
+		env.eventually(next.isReady)
 		require.Less(t, time.Since(began), 6*time.Second)
 		if i%2 == 0 {
 			require.NoError(t, old.cmd.Process.Signal(syscall.SIGTERM))
 		}
-		w.gone(old)
+		env.requireExit(old)
 		old = next
-		w.door = next.door
+		env.adminAddr = next.adminAddr
 	}
 	asked, faults := stop()
 	require.Empty(t, faults)
-	require.Equal(t, 20, strings.Count(w.log.String(), `msg="taken over"`), "each handed over")
-	require.Len(t, w.noted(), asked)
+	require.Equal(t, 20, strings.Count(env.log.String(), `msg="taken over"`), "each handed over")
+	require.Len(t, env.recorded(), asked)
 	seen := map[string]bool{}
-	for _, got := range w.noted() {
+	for _, got := range env.recorded() {
 		require.False(t, seen[got], "twice at a host: %s", got)
 		seen[got] = true
 	}
-	now := w.figures()
+	now := env.metrics()
 	require.Less(t, now["app_backend_calls"], asked, "its figures are its own")
 }
 
 // Whatever lies where the old process should be met, the new one begins beside it in time, and no request is lost.
-func TestWhatLiesInTheSocketsPlace(t *testing.T) {
+func TestUnusableHandoverSocket(t *testing.T) {
 	for name, lay := range map[string]func(t *testing.T, path string){
 		"stale": func(t *testing.T, path string) {
 			fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET, 0)
@@ -191,107 +191,107 @@
 		"nothing": func(*testing.T, string) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t).replaceable().start()
-			path := filepath.Join(strings.TrimPrefix(w.env[0], "TMPDIR="), ".ferryfront-n0")
+			env := newTestEnv(t).withHandoverDir().start()
+			path := filepath.Join(strings.TrimPrefix(env.extraEnv[0], "TMPDIR="), ".ferryfront-n0")
 			require.NoError(t, os.Remove(path))
 			lay(t, path)
-			old := w.first()
-			stop := w.load(100)
+			old := env.firstProcess()
+			stop := env.startLoad(100)
 			began := time.Now()
-			next := w.beside()
-			w.until(next.ready)
+			next := env.startReplacement()
+			env.eventually(next.isReady)
 			require.Less(t, time.Since(began), 6*time.Second)
 			require.NoError(t, old.cmd.Process.Signal(syscall.SIGTERM))
-			w.gone(old)
+			env.requireExit(old)
 			_, faults := stop()
 			require.Empty(t, faults)
-			require.NotContains(t, w.log.String(), "taken over\"")
+			require.NotContains(t, env.log.String(), "taken over\"")
 		})
 	}
 }
 
 // A successor that is killed, before it is ready or after, costs the old one nothing; the old one hands over to the next.
-func TestASuccessorThatDies(t *testing.T) {
-	w := newWorld(t).replaceable().start()
-	old := w.first()
+func TestSuccessorDies(t *testing.T) {
+	env := newTestEnv(t).withHandoverDir().start()
+	old := env.firstProcess()
 	for i := range 12 {
-		dead := w.beside()
+		dead := env.startReplacement()
 		if i%3 == 0 {
-			w.until(dead.ready)
+			env.eventually(dead.isReady)
 		} else {
 			time.Sleep(time.Duration(i) * 3 * time.Millisecond) // at one instant or another of its start
 		}
 		require.NoError(t, dead.cmd.Process.Kill())
 		<-dead.done
-		w.until(func() bool {
-			got, err := w.do(w.request("GET", "/api/41", "stock", nil, "Request-Id", fmt.Sprint("d", i)))
+		env.eventually(func() bool {
+			got, err := env.do(env.request("GET", "/api/41", "stock", nil, "Request-Id", fmt.Sprint("d", i)))
 			return err == nil && got.status == 200
 		})
-		w.until(old.ready)
+		env.eventually(old.isReady)
 	}
-	next := w.beside()
-	w.until(next.ready)
-	w.gone(old)
-	require.Equal(t, 200, w.get(w.request("GET", "/api/41", "stock", nil)).status)
+	next := env.startReplacement()
+	env.eventually(next.isReady)
+	env.requireExit(old)
+	require.Equal(t, 200, env.mustDo(env.request("GET", "/api/41", "stock", nil)).status)
 }
 
 // SIGTERM to the old process at any instant of a replacement, and SIGHUP: the new one serves, by itself if need be.
 func TestSignalsDuringAReplacement(t *testing.T) {
 	for i := range 10 {
-		w := newWorld(t).replaceable().start()
-		old := w.first()
-		stop := w.load(50)
-		next := w.beside()
+		env := newTestEnv(t).withHandoverDir().start()
+		old := env.firstProcess()
+		stop := env.startLoad(50)
+		next := env.startReplacement()
 		time.Sleep(time.Duration(i) * 4 * time.Millisecond) // at one instant or another of its start
 		require.NoError(t, old.cmd.Process.Signal(syscall.SIGHUP))
 		require.NoError(t, old.cmd.Process.Signal(syscall.SIGTERM))
-		w.until(next.ready)
-		w.gone(old)
+		env.eventually(next.isReady)
+		env.requireExit(old)
 		_, faults := stop()
 		require.Empty(t, faults)
-		require.Equal(t, 200, w.get(w.request("GET", "/api/42", "stock", nil)).status)
+		require.Equal(t, 200, env.mustDo(env.request("GET", "/api/42", "stock", nil)).status)
 	}
 }
 
 // Without a folder that can be written to, the two listen beside each other.
-func TestAReplacementWithoutAFolder(t *testing.T) {
+func TestReplacementWithoutDirectory(t *testing.T) {
 	for _, dir := range []string{"", "/proc", "/no/such/folder"} {
-		w := newWorld(t).withDoor()
-		w.env = []string{"TMPDIR=" + dir}
-		w.start()
-		old := w.first()
-		next := w.beside()
-		w.until(next.ready)
+		env := newTestEnv(t).withAdmin()
+		env.extraEnv = []string{"TMPDIR=" + dir}
+		env.start()
+		old := env.firstProcess()
+		next := env.startReplacement()
+		env.eventually(next.isReady)
 		require.NoError(t, old.cmd.Process.Signal(syscall.SIGTERM))
-		w.gone(old)
-		require.Equal(t, 200, w.get(w.request("GET", "/api/43", "stock", nil)).status)
+		env.requireExit(old)
+		require.Equal(t, 200, env.mustDo(env.request("GET", "/api/43", "stock", nil)).status)
 	}
 }
 
 // A replacement while hundreds of connections stand idle or half-way through a request: all of them go over as they
 // are, none is closed, and the descriptors of both together stay within what one may hold.
-func TestAReplacementInACrowd(t *testing.T) {
+func TestReplacementWithManyConnections(t *testing.T) {
 	const sockets = 384
-	w := newWorld(t).replaceable()
-	change := w.change
-	w.change = func(config, settings map[string]any) {
+	env := newTestEnv(t).withHandoverDir()
+	change := env.modifyConfig
+	env.modifyConfig = func(config, settings map[string]any) {
 		change(config, settings)
-		config["limits"].(obj)["sockets"] = sockets
+		config["limits"].(object)["sockets"] = sockets
 	}
-	w.start()
-	old := w.first()
+	env.start()
+	old := env.firstProcess()
 	head := "GET /api/44 HTTP/1.1\r\nRequest-Class: stock\r\nX-Plan: boutique\r\nRequest-Id: "
 	var idle, half []net.Conn
 	for i := range 40 {
-		c := w.raw("GET /up HTTP/1.1\r\n\r\n")
+		c := env.dialAndWrite("GET /up HTTP/1.1\r\n\r\n")
 		_, err := http.ReadResponse(bufio.NewReader(c), nil)
 		require.NoError(t, err)
 		idle = append(idle, c)
-		half = append(half, w.raw(head+fmt.Sprint("c", i)))
+		half = append(half, env.dialAndWrite(head+fmt.Sprint("c", i)))
 	}
-	next := w.beside()
-	w.until(next.ready)
-	held := descriptors(t, old) + descriptors(t, next)
+	next := env.startReplacement()
+	env.eventually(next.isReady)
+	held := processDescriptors(t, old) + processDescriptors(t, next)
 	require.LessOrEqual(t, held, sockets)
 	for i := range idle {
 		for c, text := range map[net.Conn]string{idle[i]: head + fmt.Sprint("d", i) + "\r\n\r\n", half[i]: "\r\n\r\n"} {
@@ -302,11 +302,11 @@
 			require.Equal(t, 200, resp.StatusCode)
 		}
 	}
-	w.gone(old)
+	env.requireExit(old)
 }
 
-// descriptors is how many a process holds; none of one that has ended.
-func descriptors(t *testing.T, p *process) int {
+// processDescriptors is how many a process holds; none of one that has ended.
+func processDescriptors(t *testing.T, p *process) int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
 		require.ErrorIs(t, err, os.ErrNotExist)
@@ -316,29 +316,29 @@
 
 // Two replacements at once: the third process finds the second not done with the first, and begins beside them. Each of
 // the others ends when it is told to, and no request is lost.
-func TestTwoReplacementsInARow(t *testing.T) {
-	w := newWorld(t).replaceable().start()
-	stop := w.load(100)
-	first := w.first()
-	second := w.beside()
-	w.until(second.ready)
-	third := w.beside()
-	w.until(third.ready)
+func TestTwoConcurrentReplacements(t *testing.T) {
+	env := newTestEnv(t).withHandoverDir().start()
+	stop := env.startLoad(100)
+	first := env.firstProcess()
+	second := env.startReplacement()
+	env.eventually(second.isReady)
+	third := env.startReplacement()
+	env.eventually(third.isReady)
 	for _, p := range []*process{first, second} {
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-		w.gone(p)
+		env.requireExit(p)
 	}
 	_, faults := stop()
 	require.Empty(t, faults)
-	require.True(t, third.ready())
+	require.True(t, third.isReady())
 }
 
 // Who comes to the socket and is no successor, by silence or by what it says, costs the process nothing; the next one
 // that is takes over.
-func TestWhoComesAndIsNoSuccessor(t *testing.T) {
-	w := newWorld(t).replaceable().start()
-	old := w.first()
-	path := filepath.Join(strings.TrimPrefix(w.env[0], "TMPDIR="), ".ferryfront-n0")
+func TestInvalidSuccessorIsRejected(t *testing.T) {
+	env := newTestEnv(t).withHandoverDir().start()
+	old := env.firstProcess()
+	path := filepath.Join(strings.TrimPrefix(env.extraEnv[0], "TMPDIR="), ".ferryfront-n0")
 	come := func() int {
 		fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET, 0)
 		require.NoError(t, err)
@@ -348,19 +348,19 @@
 	for _, text := range []string{"garbage", "\x00", "\x00\x0a\x02\x08\x63", strings.Repeat("x", 30000)} {
 		fd := come()
 		require.NoError(t, unix.Sendto(fd, []byte(text), 0, nil))
-		w.until(func() bool { // it is turned away
+		env.eventually(func() bool { // it is turned away
 			n, err := unix.Read(fd, make([]byte, 100))
 			return n == 0 || err != nil
 		})
 		require.NoError(t, unix.Close(fd))
-		require.True(t, old.ready())
+		require.True(t, old.isReady())
 	}
 	silent := come()
-	require.Equal(t, 200, w.get(w.request("GET", "/api/45", "stock", nil)).status)
+	require.Equal(t, 200, env.mustDo(env.request("GET", "/api/45", "stock", nil)).status)
 	require.NoError(t, unix.Close(silent))
-	w.until(func() bool { return strings.Count(w.log.String(), "this process carries on") >= 5 })
-	next := w.beside()
-	w.until(next.ready)
-	require.Contains(t, w.log.String(), "taken over")
-	w.gone(old)
+	env.eventually(func() bool { return strings.Count(env.log.String(), "this process carries on") >= 5 })
+	next := env.startReplacement()
+	env.eventually(next.isReady)
+	require.Contains(t, env.log.String(), "taken over")
+	env.requireExit(old)
 }
--- a/cmd/ferryfront/restart_test.go
+++ b/cmd/ferryfront/restart_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readyMost is how soon after their start nine in ten of the ingresses that are restarted at once have to be ready.
-const readyMost = 10 * time.Second
+// maxReadyTime is how soon after their start nine in ten of the ingresses that are restarted at once have to be ready.
+const maxReadyTime = 10 * time.Second
 
 // discoveryState is how the one discovery of a fleet meets its calls.
 type discoveryState string
@@ -28,25 +28,25 @@
 
 // A sharedDiscovery is asked by several ingresses, at an address that stays.
 type sharedDiscovery struct {
-	t     *testing.T
-	addr  string
-	list  string
-	queue sync.Mutex
-	s     *http.Server
+	t      *testing.T
+	addr   string
+	list   string
+	queue  sync.Mutex
+	server *http.Server
 }
 
-// become ends what is open and meets further calls in this way.
-func (d *sharedDiscovery) become(state discoveryState) {
-	if d.s != nil {
-		_ = d.s.Close()
+// setState ends what is open and meets further calls in this way.
+func (d *sharedDiscovery) setState(state discoveryState) {
+	if d.server != nil {
+		_ = d.server.Close()
 	}
-	if d.s = nil; state == refusing {
+	if d.server = nil; state == refusing {
 		return
 	}
 	ln, err := net.Listen("tcp", d.addr)
 	require.NoError(d.t, err)
 	d.addr = ln.Addr().String()
-	d.s = &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	d.server = &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		switch state {
 		case queueing:
 			d.queue.Lock()
@@ -63,7 +63,7 @@
 		rw.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})}
-	s := d.s
+	s := d.server
 	go func() { _ = s.Serve(ln) }()
 }
 
@@ -74,39 +74,39 @@
 	const fleet, restarted, crashed = 300, 10, 30 * time.Second
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
-			all := make([]*world, restarted)
+			all := make([]*testEnv, restarted)
 			for i := range all {
-				all[i] = newWorld(t)
+				all[i] = newTestEnv(t)
 			}
 			host := all[0].serve(all[0].echo)
-			d := &sharedDiscovery{t: t, addr: "127.0.0.1:0", list: line(5, true, entry("h1", host, "Ready"))}
-			d.become(answering)
-			t.Cleanup(func() { d.become(refusing) })
-			for i, w := range all {
-				w.unknown = i%3 == 2 // a few know no hosts from before, and are ready all the same
-				w.lists, w.hosts, w.at = d.addr, map[string]http.HandlerFunc{"h1": nil}, map[string]string{"h1": host}
-				w.change = func(_, settings map[string]any) {
+			d := &sharedDiscovery{t: t, addr: "127.0.0.1:0", list: discoveryMessage(5, true, hostEntry("h1", host, "Ready"))}
+			d.setState(answering)
+			t.Cleanup(func() { d.setState(refusing) })
+			for i, env := range all {
+				env.hasNoKnownHosts = i%3 == 2 // a few know no hosts from before, and are ready all the same
+				env.discoveryAddr, env.hosts, env.externalHostAddrs = d.addr, map[string]http.HandlerFunc{"h1": nil}, map[string]string{"h1": host}
+				env.modifyConfig = func(_, settings map[string]any) {
 					settings["balancers"], settings["me"], settings["discovery"] = fleet, i, mode
 				}
-				w.start()
+				env.start()
 			}
 			for _, state := range []discoveryState{refusing, holding, queueing} {
-				d.become(state)
+				d.setState(state)
 				var down sync.WaitGroup
-				for _, w := range all {
-					require.NoError(t, w.cmd.Process.Kill())
-					down.Go(func() { _ = w.cmd.Wait() })
+				for _, env := range all {
+					require.NoError(t, env.cmd.Process.Kill())
+					down.Go(func() { _ = env.cmd.Wait() })
 				}
 				down.Wait()
 				began := time.Now()
-				for _, w := range all {
-					w.launch()
+				for _, env := range all {
+					env.launch()
 				}
 				took := make([]time.Duration, restarted)
 				var up sync.WaitGroup
-				for i, w := range all {
+				for i, env := range all {
 					up.Go(func() {
-						for !w.ready() && time.Since(began) < crashed {
+						for !env.isReady() && time.Since(began) < crashed {
 							time.Sleep(5 * time.Millisecond)
 						}
 						took[i] = time.Since(began)
@@ -114,15 +114,15 @@
 				}
 				up.Wait()
 				slices.Sort(took)
-				require.Less(t, took[restarted*9/10-1], readyMost, "discovery %s", state)
+				require.Less(t, took[restarted*9/10-1], maxReadyTime, "discovery %s", state)
 				require.Less(t, took[restarted-1], crashed, "discovery %s", state)
 				t.Logf("discovery %s: nine in ten ready after %v, all after %v", state, took[restarted*9/10-1], took[restarted-1])
-				for i, w := range all {
-					if w.unknown {
+				for i, env := range all {
+					if env.hasNoKnownHosts {
 						continue
 					}
-					r := w.request("GET", fmt.Sprintf("/api/%x", 0x100+i), "stock", nil, "X-Quota", "units=1,spread=300,first=0")
-					require.Equal(t, 200, w.get(r).status, "discovery %s", state)
+					r := env.request("GET", fmt.Sprintf("/api/%x", 0x100+i), "stock", nil, "X-Quota", "units=1,spread=300,first=0")
+					require.Equal(t, 200, env.mustDo(r).status, "discovery %s", state)
 				}
 			}
 		})
--- a/cmd/ferryfront/trace_test.go
+++ b/cmd/ferryfront/trace_test.go
@@ -13,11 +13,11 @@
 	tracev1 "go.opentelemetry.io/proto/otlp/trace/v1"
 )
 
-// span returns the one that a traceparent names.
-func (w *world) span(parent string) *tracev1.Span {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, span := range w.spans {
+// findSpan returns the one that a traceparent names.
+func (env *testEnv) findSpan(parent string) *tracev1.Span {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, span := range env.spans {
 		if fmt.Sprintf("00-%x-%x", span.TraceId, span.SpanId) == parent[:52] {
 			return span
 		}
@@ -26,21 +26,21 @@
 }
 
 // A client's trace goes on through the ingress to the order host and back; each span is where the headers say.
-func TestAClientsTraceGoesOn(t *testing.T) {
-	w := newWorld(t)
+func TestClientTraceIsContinued(t *testing.T) {
+	env := newTestEnv(t)
 	var mu sync.Mutex
 	told, states := map[string]string{}, map[string]string{}
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		id := r.Header.Get("Request-Id")
 		told[id], states[id] = r.Header.Get("Traceparent"), r.Header.Get("Tracestate")
 	}
-	w.args = []string{"--otlp", "http://" + w.serve(w.collect)}
-	w.start()
+	env.args = []string{"--otlp", "http://" + env.serve(env.collectTelemetry)}
+	env.start()
 	const trace, caller = "0af7651916cd43dd8448eb211c80319c", "b7ad6b7169203331"
 	ask := func(id string, header ...string) string {
-		resp := w.get(w.request("GET", "/api/00000000000000aa", "stock", nil, append(header, "Request-Id", id)...))
+		resp := env.mustDo(env.request("GET", "/api/00000000000000aa", "stock", nil, append(header, "Request-Id", id)...))
 		require.Equal(t, 200, resp.status)
 		return resp.header.Get("Traceparent")
 	}
@@ -50,22 +50,22 @@
 	huge := ask("huge", "Traceparent", "00-"+strings.Repeat("f", 5000), "Tracestate", many)
 	long := ask("long", "Traceparent", "00-"+trace+"-"+caller+"-01", "Tracestate", many)
 	order := func(id, customer string) string {
-		resp := w.get(w.request("POST", "/api/"+customer, "order", strings.NewReader("x"), "Request-Id", id, "Idempotency-Key", "k9"))
+		resp := env.mustDo(env.request("POST", "/api/"+customer, "order", strings.NewReader("x"), "Request-Id", id, "Idempotency-Key", "k9"))
 		require.Equal(t, 200, resp.status)
 		return resp.header.Get("Traceparent")
 	}
 	first, again, other := order("o1", "00000000000000bb"), order("o2", "00000000000000bb"), order("o3", "00000000000000cc")
-	w.signal(syscall.SIGTERM)
-	require.Zero(t, w.ends())
+	env.signal(syscall.SIGTERM)
+	require.Zero(t, env.waitForExit())
 
 	require.Equal(t, trace, back[3:35])
 	require.Equal(t, "-00", back[52:], "the caller does not sample")
 	require.Equal(t, trace, told["known"][3:35])
 	require.Equal(t, "shop=42", states["known"])
-	stream := w.span(back)
+	stream := env.findSpan(back)
 	require.Equal(t, "stream", stream.Name)
 	require.Equal(t, caller, hex.EncodeToString(stream.ParentSpanId))
-	try := w.span(told["known"])
+	try := env.findSpan(told["known"])
 	require.Equal(t, "upstream request", try.Name)
 	require.Equal(t, stream.SpanId, try.ParentSpanId)
 	require.NotEqual(t, own[3:35], huge[3:35])
@@ -76,7 +76,7 @@
 	require.NotEqual(t, first[36:52], again[36:52])
 	require.NotEqual(t, first[3:35], other[3:35], "another dealer's are not")
 	dealer := ""
-	for _, a := range w.span(first).Attributes {
+	for _, a := range env.findSpan(first).Attributes {
 		if a.Key == "dealer" {
 			dealer = a.Value.GetStringValue()
 		}
@@ -86,10 +86,10 @@
 
 // Without telemetry nothing is added.
 func TestNoTraceWithoutTelemetry(t *testing.T) {
-	w := newWorld(t)
-	w.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) { w.note("trace " + r.Header.Get("Traceparent")) }
-	w.start()
-	resp := w.get(w.request("GET", "", "stock", nil, "Traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"))
+	env := newTestEnv(t)
+	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) { env.record("trace " + r.Header.Get("Traceparent")) }
+	env.start()
+	resp := env.mustDo(env.request("GET", "", "stock", nil, "Traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"))
 	require.Empty(t, resp.header.Get("Traceparent"))
-	require.Equal(t, []string{"trace "}, w.noted())
+	require.Equal(t, []string{"trace "}, env.recorded())
 }
--- a/cmd/ferryfront/upgrade_test.go
+++ b/cmd/ferryfront/upgrade_test.go
@@ -19,19 +19,19 @@
 	"ferryfront.example/ferryfront/internal/daemon"
 )
 
-func (w *world) upgrade(socket string) daemon.Progress {
-	w.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (env *testEnv) requestUpgrade(socket string) daemon.Progress {
+	env.t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	end, err := daemon.Upgrade(ctx, socket, func(daemon.Progress) {})
-	require.NoError(w.t, err)
+	require.NoError(env.t, err)
 	return end
 }
 
-// over asks on a connection that is already there.
-func over(t *testing.T, c net.Conn, r *bufio.Reader, path, header string) int {
+// getOnConnection asks on a connection that is already there.
+func getOnConnection(t *testing.T, c net.Conn, r *bufio.Reader, path, header string) int {
 	t.Helper()
-	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	_, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\n%s\r\n", path, header)
 	require.NoError(t, err)
 	resp, err := http.ReadResponse(r, nil)
@@ -43,9 +43,9 @@
 
 // Both fronts, a connection that is kept, a spent quota and an idle upstream connection come over.
 func TestUpgradeKeepsFrontsConnectionsAndState(t *testing.T) {
-	w := newWorld(t)
+	env := newTestEnv(t)
 	dir := t.TempDir()
-	socket, second := filepath.Join(dir, "control.sock"), free(t)
+	socket, second := filepath.Join(dir, "control.sock"), freeAddr(t)
 	front := filepath.Join(dir, "own.cue")
 	require.NoError(t, os.WriteFile(front, fmt.Appendf(nil, `control: %q
 handover: probation: "200ms"
@@ -56,35 +56,35 @@
 	plan: default: "boutique"
 }
 `, socket, second), 0o600))
-	w.args = []string{"--config", front, "--log-format", "json"}
-	w.start()
+	env.args = []string{"--config", front, "--log-format", "json"}
+	env.start()
 	spend := func(n int) int {
 		status := 0
 		for i := range n {
-			status = w.get(w.request("GET", "/api/00000000000000ff", "stock", nil, "X-Plan", "small", "Request-Id", fmt.Sprint("s", i))).status
+			status = env.mustDo(env.request("GET", "/api/00000000000000ff", "stock", nil, "X-Plan", "small", "Request-Id", fmt.Sprint("s", i))).status
 		}
 		return status
 	}
 	require.Equal(t, 200, spend(3))
 	require.Equal(t, 429, spend(1), "three units are the plan's store")
-	c1, c2 := w.raw(""), mustDial(t, second)
+	c1, c2 := env.dialAndWrite(""), mustDial(t, second)
 	r1, r2 := bufio.NewReader(c1), bufio.NewReader(c2)
 	platform := "Request-Id: a\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n"
-	require.Equal(t, 200, over(t, c1, r1, "/api/1", platform))
-	require.Equal(t, 200, over(t, c2, r2, "/stock", "X-Dealer: 2\r\n"))
-	dials := w.closed("h1")
+	require.Equal(t, 200, getOnConnection(t, c1, r1, "/api/1", platform))
+	require.Equal(t, 200, getOnConnection(t, c2, r2, "/stock", "X-Dealer: 2\r\n"))
+	dials := env.closedConnections("h1")
 	for range 3 {
-		end := w.upgrade(socket)
-		require.NotEqual(t, w.cmd.Process.Pid, end.Pid)
+		end := env.requestUpgrade(socket)
+		require.NotEqual(t, env.cmd.Process.Pid, end.Pid)
 		require.GreaterOrEqual(t, end.Clients, 2)
 		require.EqualValues(t, 3, end.Customers)
-		require.Equal(t, 200, over(t, c1, r1, "/api/1", platform))
-		require.Equal(t, 200, over(t, c2, r2, "/stock", "X-Dealer: 2\r\n"))
+		require.Equal(t, 200, getOnConnection(t, c1, r1, "/api/1", platform))
+		require.Equal(t, 200, getOnConnection(t, c2, r2, "/stock", "X-Dealer: 2\r\n"))
 		require.Equal(t, 429, spend(1), "what was spent stays spent")
-		w.until(func() bool { return strings.Count(w.log.String(), "handed over") > 0 })
+		env.eventually(func() bool { return strings.Count(env.log.String(), "handed over") > 0 })
 	}
-	require.Equal(t, dials, w.closed("h1"), "the order host's connection has come over, too")
-	require.Contains(t, w.log.String(), `"msg":"taken over"`)
+	require.Equal(t, dials, env.closedConnections("h1"), "the order host's connection has come over, too")
+	require.Contains(t, env.log.String(), `"msg":"taken over"`)
 }
 
 func mustDial(t *testing.T, addr string) net.Conn {
@@ -95,48 +95,48 @@
 }
 
 func TestUpgradeBySignal(t *testing.T) {
-	w := newWorld(t).start()
-	w.signal(syscall.SIGUSR2)
-	w.until(func() bool { return strings.Contains(w.log.String(), "upgrade done") })
-	require.Zero(t, w.ends(), "the old process has ended well")
-	require.Equal(t, 200, w.get(w.request("GET", "", "stock", nil)).status)
+	env := newTestEnv(t).start()
+	env.signal(syscall.SIGUSR2)
+	env.eventually(func() bool { return strings.Contains(env.log.String(), "upgrade done") })
+	require.Zero(t, env.waitForExit(), "the old process has ended well")
+	require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 }
 
 // A repeat of an order goes to the cell that knows the key. While a request with it is open, it goes nowhere.
-func TestAKeyIsKeptToItsCell(t *testing.T) {
-	w := newWorld(t)
-	w.hosts["h2"] = w.echo
+func TestIdempotencyKeyStaysInCell(t *testing.T) {
+	env := newTestEnv(t)
+	env.hosts["h2"] = env.echo
 	release := make(chan struct{})
 	for _, id := range []string{"h1", "h2"} {
-		w.hosts[id] = func(rw http.ResponseWriter, r *http.Request) {
-			w.note(id)
+		env.hosts[id] = func(rw http.ResponseWriter, r *http.Request) {
+			env.record(id)
 			if r.Header.Get("Request-Id") == "first" {
 				<-release
-			} else if w.noted()[0] == id { // so that by its latency the other one is to be preferred
+			} else if env.recorded()[0] == id { // so that by its latency the other one is to be preferred
 				time.Sleep(30 * time.Millisecond)
 			}
 		}
 	}
-	w.start()
+	env.start()
 	order := func(id string) *http.Request {
-		return w.request("POST", "", "order", strings.NewReader("x"), "Request-Id", id, "Idempotency-Key", "k")
+		return env.request("POST", "", "order", strings.NewReader("x"), "Request-Id", id, "Idempotency-Key", "k")
 	}
-	first := make(chan reply, 1)
+	first := make(chan response, 1)
 	r := order("first")
-	go func() { got, _ := w.do(r); first <- got }()
-	w.until(func() bool { return len(w.noted()) == 1 })
-	require.Equal(t, 409, w.get(order("second")).status)
+	go func() { got, _ := env.do(r); first <- got }()
+	env.eventually(func() bool { return len(env.recorded()) == 1 })
+	require.Equal(t, 409, env.mustDo(order("second")).status)
 	close(release)
 	require.Equal(t, 200, (<-first).status)
 	for i := range 8 {
-		require.Equal(t, 200, w.get(order(fmt.Sprint("again", i))).status)
+		require.Equal(t, 200, env.mustDo(order(fmt.Sprint("again", i))).status)
 	}
-	for _, host := range w.noted() {
-		require.Equal(t, w.noted()[0], host)
+	for _, host := range env.recorded() {
+		require.Equal(t, env.recorded()[0], host)
 	}
 }
 
-func TestSettingsOfOurOwn(t *testing.T) {
+func TestSettingsFileCommands(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "own.cue")
 	for says, text := range map[string]string{
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-const good = `{"name":"n1","listen":"127.0.0.1:8443","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n1","listen":"127.0.0.1:8443","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"counter":"127.0.0.3:6400",
 "known":{"version":41,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.4:8443","zone":"a","cell":3,
 "state":"Ready","weight":1.0,"started_ms":1764585283123.5}]},
@@ -21,10 +21,10 @@
 "deadline":2000,"value":1,"effect":"retryable"}],"extra":{"hasCounter":true,"counterTimeout":30},
 "limits":{"idleClose":15000,"dialTimeout":250},"rules":{}}}`
 
-func env(m map[string]string) func(string) string { return func(k string) string { return m[k] } }
+func mapEnv(m map[string]string) func(string) string { return func(k string) string { return m[k] } }
 
 func TestParse(t *testing.T) {
-	c, err := Parse([]byte(good), env(map[string]string{"GW_NAME": "n9", "GW_LISTEN": "127.0.0.9:1"}))
+	c, err := Parse([]byte(validConfig), mapEnv(map[string]string{"GW_NAME": "n9", "GW_LISTEN": "127.0.0.9:1"}))
 	require.NoError(t, err)
 	require.Equal(t, "n9", c.Name)
 	require.Equal(t, "127.0.0.9:1", c.Listen)
@@ -39,7 +39,7 @@
 
 // The daemon, its descriptors and the counter's connections fit in what a process may hold.
 func TestConnectionsFitTheDescriptors(t *testing.T) {
-	c, err := Parse([]byte(good), env(nil))
+	c, err := Parse([]byte(validConfig), mapEnv(nil))
 	require.NoError(t, err)
 	l := c.Limits
 	require.LessOrEqual(t, l.MaxDownstreamConns+l.MaxUpstreamConns+l.CounterConns, l.Sockets-40)
@@ -74,20 +74,20 @@
 		"peers is no list":                    {`"seed"`, `"peers":"127.0.0.5:7946","seed"`},
 		"known.servers[0].id is missi":        {`"id":"s-1",`, ``},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, change[0], change[1], 1)), env(nil))
+		_, err := Parse([]byte(strings.Replace(validConfig, change[0], change[1], 1)), mapEnv(nil))
 		require.ErrorContains(t, err, says)
 	}
-	_, err := Load(env(nil))
+	_, err := Load(mapEnv(nil))
 	require.ErrorContains(t, err, "GW_CONFIG is not set")
 	path := filepath.Join(t.TempDir(), "c.json")
 	require.NoError(t, os.WriteFile(path, []byte("{}"), 0o600))
-	_, err = Load(env(map[string]string{"GW_CONFIG": path}))
+	_, err = Load(mapEnv(map[string]string{"GW_CONFIG": path}))
 	require.ErrorContains(t, err, path+": limits is missing")
 }
 
 // Other settings take the place of its own, but for what an ingress has for itself; bad ones are turned down.
-func TestUnderOtherSettings(t *testing.T) {
-	c, err := Parse([]byte(strings.Replace(good, `"seed"`, `"settings_version":7,"seed"`, 1)), env(map[string]string{"GW_NAME": "n9"}))
+func TestWithSharedSettings(t *testing.T) {
+	c, err := Parse([]byte(strings.Replace(validConfig, `"seed"`, `"settings_version":7,"seed"`, 1)), mapEnv(map[string]string{"GW_NAME": "n9"}))
 	require.NoError(t, err)
 	require.Equal(t, uint64(7), c.SettingsVersion)
 	require.NotContains(t, string(c.SharedSettings), `"me"`)
@@ -110,12 +110,12 @@
 }
 
 // Other settings are read without the list of hosts, which may be far longer than all else.
-func TestOtherSettingsCostTheSameWithAnyListOfHosts(t *testing.T) {
+func TestWithSharedSettingsCostIgnoresKnownHosts(t *testing.T) {
 	cost := func(hosts int) float64 {
-		host := good[strings.Index(good, `{"id"`):strings.Index(good, "]},")]
+		host := validConfig[strings.Index(validConfig, `{"id"`):strings.Index(validConfig, "]},")]
 		list := host + strings.Repeat(","+host, hosts-1)
-		file := strings.Replace(strings.Replace(good, host, list, 1), `"seed"`, `"settings_version":7,"seed"`, 1)
-		c, err := Parse([]byte(file), env(nil))
+		file := strings.Replace(strings.Replace(validConfig, host, list, 1), `"seed"`, `"settings_version":7,"seed"`, 1)
+		c, err := Parse([]byte(file), mapEnv(nil))
 		require.NoError(t, err)
 		shared := strings.Replace(string(c.SharedSettings), `"limits":{`, `"limits":{"maxAttempts":2,`, 1)
 		return testing.AllocsPerRun(10, func() {
--- a/internal/config/error_line_test.go
+++ b/internal/config/error_line_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const laidOut = `{"name": "n0",
+const multiLineConfig = `{"name": "n0",
  "listen": "127.0.0.1:1", "discovery": "here",
  "limits": {"cores": 1,
    "memory_mb": 64, "sockets": 512},
@@ -22,7 +22,7 @@
 
 // What is wrong is told with file, line and field; a field that is missing by the line of what should hold it, and a file
 // that was cut short by the line where it ends.
-func TestWhatIsWrongIsToldWithItsLine(t *testing.T) {
+func TestErrorsNameFileAndLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	load := func(text string) string {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -35,15 +35,15 @@
 		require.Error(t, err)
 		return strings.TrimPrefix(err.Error(), path)
 	}
-	require.Equal(t, ":9: settings.classes[0].deadline is no number", load(laidOut))
-	good := strings.Replace(laidOut, `"soon"`, "900", 1)
+	require.Equal(t, ":9: settings.classes[0].deadline is no number", load(multiLineConfig))
+	good := strings.Replace(multiLineConfig, `"soon"`, "900", 1)
 	require.Contains(t, load(good), ":2: discovery: ")
 	require.Contains(t, load(strings.Replace(good, `"retryable"`, `"else"`, 1)), ":8: settings.classes[0].effect ")
 	require.Contains(t, load(strings.Replace(good, ` "limits": {"cores"`, ` "limit": {"cores"`, 1)), ": limits is missing")
-	for cut := 1; cut < len(laidOut); cut++ {
-		got := load(laidOut[:cut])
+	for cut := 1; cut < len(multiLineConfig); cut++ {
+		got := load(multiLineConfig[:cut])
 		require.Regexp(t, `^:[0-9]+: not JSON`, got)
 	}
-	require.Contains(t, load(laidOut[:len(laidOut)-1]), ":9: not JSON")
+	require.Contains(t, load(multiLineConfig[:len(multiLineConfig)-1]), ":9: not JSON")
 	require.EqualError(t, withFileLine("f", []byte("{}"), errors.New("nothing known")), "f: nothing known")
 }
--- a/internal/config/read_test.go
+++ b/internal/config/read_test.go
@@ -10,7 +10,7 @@
 )
 
 // A disk or a machine that fails for a moment is asked again; what does not pass is told at once.
-func TestAFileThatCantBeReadForAMoment(t *testing.T) {
+func TestReadFileRetriesTransientErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(path, []byte("text"), 0o600))
 	errs := []error{}
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -9,29 +9,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-func reloaded(t *testing.T, text string) (Config, error) {
+func writeAndReload(t *testing.T, text string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.json")
-	e := env(map[string]string{"GW_CONFIG": path})
-	require.NoError(t, os.WriteFile(path, []byte(full), 0o600))
+	e := mapEnv(map[string]string{"GW_CONFIG": path})
+	require.NoError(t, os.WriteFile(path, []byte(reloadableConfig), 0o600))
 	was, err := Load(e)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return Reload(e, was)
 }
 
-var full = strings.Replace(good, `"dialTimeout":250}`, `"dialTimeout":250,"maxAttempts":3}`, 1)
+var reloadableConfig = strings.Replace(validConfig, `"dialTimeout":250}`, `"dialTimeout":250,"maxAttempts":3}`, 1)
 
-func TestAReloadIsWholeOrNotAtAll(t *testing.T) {
-	c, err := reloaded(t, strings.Replace(full, `"maxAttempts":3`, `"maxAttempts":1`, 1))
+func TestReloadRejectsIncompleteFiles(t *testing.T) {
+	c, err := writeAndReload(t, strings.Replace(reloadableConfig, `"maxAttempts":3`, `"maxAttempts":1`, 1))
 	require.NoError(t, err)
 	require.Equal(t, 1, c.Settings.MaxAttempts)
-	_, err = reloaded(t, strings.Replace(full, `"classes":[`, `"classes":[{"name":"new","onTime":1,"deadline":2,"value":1,"effect":"retryable"},`, 1))
+	_, err = writeAndReload(t, strings.Replace(reloadableConfig, `"classes":[`, `"classes":[{"name":"new","onTime":1,"deadline":2,"value":1,"effect":"retryable"},`, 1))
 	require.NoError(t, err)
 	for _, c := range []struct{ says, old, new string }{
-		{"not JSON", full, ""},
-		{"not JSON", full, full[:len(full)/2]},
-		{"not JSON", full, full[:len(full)-1]},
+		{"not JSON", reloadableConfig, ""},
+		{"not JSON", reloadableConfig, reloadableConfig[:len(reloadableConfig)/2]},
+		{"not JSON", reloadableConfig, reloadableConfig[:len(reloadableConfig)-1]},
 		{"settings is missing", `"settings"`, `"setting"`},
 		{"discovery is missing", `"discovery":"127.0.0.2:8500",`, ``},
 		{"counter is missing", `"counter":"127.0.0.3:6400",`, ``},
@@ -54,9 +54,9 @@
 		{"settings.limits.maxAttempts is no whole number", `"maxAttempts":3`, `"maxAttempts":1e300`},
 		{"settings.classes[0].name is empty", `"name":"stock"`, `"name":""`},
 	} {
-		text := strings.Replace(full, c.old, c.new, 1)
-		require.NotEqual(t, full, text, c.old)
-		_, err := reloaded(t, text)
+		text := strings.Replace(reloadableConfig, c.old, c.new, 1)
+		require.NotEqual(t, reloadableConfig, text, c.old)
+		_, err := writeAndReload(t, text)
 		require.ErrorContains(t, err, c.says)
 		require.ErrorContains(t, err, "c.json", "the file is named")
 	}
--- a/internal/config/shared_test.go
+++ b/internal/config/shared_test.go
@@ -10,9 +10,9 @@
 
 // The shared part alone is held to what a reload holds a file to.
 func TestCheckShared(t *testing.T) {
-	whole := strings.Replace(strings.Replace(good, `"seed"`, `"settings_version":7,"seed"`, 1),
+	whole := strings.Replace(strings.Replace(validConfig, `"seed"`, `"settings_version":7,"seed"`, 1),
 		`"limits":{"idleClose"`, `"limits":{"maxAttempts":2,"idleClose"`, 1)
-	c, err := Parse([]byte(whole), env(nil))
+	c, err := Parse([]byte(whole), mapEnv(nil))
 	require.NoError(t, err)
 	require.NoError(t, CheckShared(c.SharedSettings))
 	for says, change := range map[string][2]string{
@@ -30,9 +30,9 @@
 }
 
 // A strict reading of a whole file without one before it, as an operator's proposal needs.
-func TestReloadWithoutOneBefore(t *testing.T) {
+func TestReloadWithoutPreviousConfig(t *testing.T) {
 	path := t.TempDir() + "/c.json"
-	require.NoError(t, os.WriteFile(path, []byte(good), 0o600))
-	_, err := Reload(env(map[string]string{"GW_CONFIG": path}), Config{})
+	require.NoError(t, os.WriteFile(path, []byte(validConfig), 0o600))
+	_, err := Reload(mapEnv(map[string]string{"GW_CONFIG": path}), Config{})
 	require.ErrorContains(t, err, path+":7: settings.limits.maxAttempts is missing")
 }
--- a/internal/handover/phase/phase_test.go
+++ b/internal/handover/phase/phase_test.go
@@ -8,27 +8,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair is both processes with what is on its way between them; it is a value, so that every order of events
+// processPair is both processes with what is on its way between them; it is a value, so that every order of events
 // can be tried from it.
-type pair struct {
-	old              OldProcess
-	new              NewProcess
-	oldAlive, newUp  bool
-	doomed           bool // SIGKILL was sent to the new one and has not struck yet
-	oldReads         bool
-	newReads         bool
-	listens          bool // the old one still holds the listeners
-	told             int  // reports to who asked
-	asked            int
-	toNew, toOld     string
-	oldDrain, newEnd bool
+type processPair struct {
+	oldProcess                   OldProcess
+	newProcess                   NewProcess
+	isOldAlive, isNewAlive       bool
+	isNewKilled                  bool // SIGKILL was sent to the new one and has not struck yet
+	isOldReading                 bool
+	isNewReading                 bool
+	isOldListening               bool // the old one still holds the listeners
+	reports                      int  // reports to who asked
+	upgrades                     int
+	toNew, toOld                 string
+	isOldDraining, isNewDraining bool
 }
 
-var letters = map[Message]byte{Hello: 'h', Prepared: 'p', Restored: 'r', Serving: 's', Refused: 'R', Leaving: 'l', Welcome: 'w',
+var messageLetters = map[Message]byte{Hello: 'h', Prepared: 'p', Restored: 'r', Serving: 's', Refused: 'R', Leaving: 'l', Welcome: 'w',
 	Snapshot: 'S', Commit: 'c', Abort: 'a', Settled: 't', Farewell: 'f'}
 
-func messageOf(b byte) Message {
-	for m, l := range letters {
+func messageOfLetter(b byte) Message {
+	for m, l := range messageLetters {
 		if l == b {
 			return m
 		}
@@ -36,115 +36,115 @@
 	panic(string(b))
 }
 
-func (p *pair) onOld(ev Event) {
-	for _, a := range p.old.Handle(ev) {
+func (p *processPair) handleOld(ev Event) {
+	for _, a := range p.oldProcess.Handle(ev) {
 		switch a {
 		case Spawn:
-			p.new, p.newUp, p.toOld, p.toNew, p.newReads, p.doomed = NewProcess{}, true, "h", "", false, false
+			p.newProcess, p.isNewAlive, p.toOld, p.toNew, p.isNewReading, p.isNewKilled = NewProcess{}, true, "h", "", false, false
 		case SendWelcome:
 			p.send(Welcome)
 		case Freeze:
-			p.oldReads = false
+			p.isOldReading = false
 		case SendSnapshot:
 			p.send(Snapshot)
 		case SendCommit:
 			p.send(Commit)
 		case Unfreeze, ReclaimListeners:
-			p.oldReads = true
+			p.isOldReading = true
 		case SendAbort:
 			p.send(Abort)
 		case Kill:
-			p.doomed = p.newUp
+			p.isNewKilled = p.isNewAlive
 		case SendSettled:
 			p.send(Settled)
 		case Drain:
-			p.oldDrain = true
+			p.isOldDraining = true
 		case SendFarewell:
 			p.send(Farewell)
-			p.oldAlive, p.listens = false, false
+			p.isOldAlive, p.isOldListening = false, false
 		case ReportDone, ReportFailed:
-			p.told++
+			p.reports++
 		}
 	}
 }
 
-func (p *pair) send(m Message) {
-	if p.newUp {
-		p.toNew += string(letters[m])
+func (p *processPair) send(m Message) {
+	if p.isNewAlive {
+		p.toNew += string(messageLetters[m])
 	}
 }
 
-func (p *pair) onNew(ev Event) {
-	for _, a := range p.new.Handle(ev) {
+func (p *processPair) handleNew(ev Event) {
+	for _, a := range p.newProcess.Handle(ev) {
 		reply := map[Action]Message{SendPrepared: Prepared, SendRestored: Restored, SendServing: Serving, SendRefused: Refused,
 			SendLeaving: Leaving}
-		if m, ok := reply[a]; ok && p.oldAlive {
-			p.toOld += string(letters[m])
+		if m, ok := reply[a]; ok && p.isOldAlive {
+			p.toOld += string(messageLetters[m])
 		}
 		switch a {
 		case Serve:
-			p.newReads = true
+			p.isNewReading = true
 		case Drain:
-			p.newEnd = true
+			p.isNewDraining = true
 		case Exit:
-			p.newUp = false
+			p.isNewAlive = false
 		}
 	}
 }
 
-// steps are all that may happen next.
-func (p pair) steps() []pair {
-	var next []pair
-	try := func(may bool, f func(q *pair)) {
+// nextSteps are all that may happen next.
+func (p processPair) nextSteps() []processPair {
+	var next []processPair
+	try := func(may bool, f func(q *processPair)) {
 		if may {
 			q := p
 			f(&q)
 			next = append(next, q)
 		}
 	}
-	try(p.oldAlive && p.asked < 2 && !p.old.IsInProgress() && !p.oldDrain && !p.newUp,
-		func(q *pair) { q.asked++; q.onOld(UpgradeRequested{}) })
-	try(p.newUp && p.toNew != "", func(q *pair) {
-		m := messageOf(q.toNew[0])
+	try(p.isOldAlive && p.upgrades < 2 && !p.oldProcess.IsInProgress() && !p.isOldDraining && !p.isNewAlive,
+		func(q *processPair) { q.upgrades++; q.handleOld(UpgradeRequested{}) })
+	try(p.isNewAlive && p.toNew != "", func(q *processPair) {
+		m := messageOfLetter(q.toNew[0])
 		q.toNew = q.toNew[1:]
-		q.onNew(MessageReceived{Message: m, Protocol: Protocol})
+		q.handleNew(MessageReceived{Message: m, Protocol: Protocol})
 	})
-	try(p.oldAlive && p.toOld != "", func(q *pair) {
-		m := messageOf(q.toOld[0])
+	try(p.isOldAlive && p.toOld != "", func(q *processPair) {
+		m := messageOfLetter(q.toOld[0])
 		q.toOld = q.toOld[1:]
-		q.onOld(MessageReceived{Message: m, Protocol: Protocol})
+		q.handleOld(MessageReceived{Message: m, Protocol: Protocol})
 	})
-	try(p.newUp && p.new.State == Building, func(q *pair) { q.onNew(PrepareDone{}) })
-	try(p.newUp && p.new.State == Building, func(q *pair) { q.onNew(TakeoverFailed{"test"}) })
-	try(p.newUp && p.new.State == AwaitingSnapshot && p.new.hasSnapshot, func(q *pair) { q.onNew(SnapshotRestored{}) })
-	try(p.oldAlive && p.old.State == Copying, func(q *pair) { q.onOld(CustomersCopied{}) })
-	try(p.oldAlive && p.old.IsInProgress(), func(q *pair) { q.onOld(PhaseTimedOut{}) })
-	try(p.newUp && !p.new.IsServing(), func(q *pair) { q.onNew(PhaseTimedOut{}) })
-	try(p.oldAlive && p.old.IsCommitted() && !p.old.isDrained, func(q *pair) { q.onOld(Drained{}) })
-	try(p.oldAlive && !p.oldDrain && !p.old.isTerminating, func(q *pair) { q.onOld(TerminateRequested{}) })
-	try(p.newUp && !p.newEnd, func(q *pair) { q.onNew(TerminateRequested{}) })
-	try(p.newUp && p.newEnd, func(q *pair) { q.newUp, q.newReads = false, false })
-	try(p.newUp, func(q *pair) { q.newUp, q.newReads = false, false }) // killed, or struck at last
+	try(p.isNewAlive && p.newProcess.State == Building, func(q *processPair) { q.handleNew(PrepareDone{}) })
+	try(p.isNewAlive && p.newProcess.State == Building, func(q *processPair) { q.handleNew(TakeoverFailed{"test"}) })
+	try(p.isNewAlive && p.newProcess.State == AwaitingSnapshot && p.newProcess.hasSnapshot, func(q *processPair) { q.handleNew(SnapshotRestored{}) })
+	try(p.isOldAlive && p.oldProcess.State == Copying, func(q *processPair) { q.handleOld(CustomersCopied{}) })
+	try(p.isOldAlive && p.oldProcess.IsInProgress(), func(q *processPair) { q.handleOld(PhaseTimedOut{}) })
+	try(p.isNewAlive && !p.newProcess.IsServing(), func(q *processPair) { q.handleNew(PhaseTimedOut{}) })
+	try(p.isOldAlive && p.oldProcess.IsCommitted() && !p.oldProcess.isDrained, func(q *processPair) { q.handleOld(Drained{}) })
+	try(p.isOldAlive && !p.isOldDraining && !p.oldProcess.isTerminating, func(q *processPair) { q.handleOld(TerminateRequested{}) })
+	try(p.isNewAlive && !p.isNewDraining, func(q *processPair) { q.handleNew(TerminateRequested{}) })
+	try(p.isNewAlive && p.isNewDraining, func(q *processPair) { q.isNewAlive, q.isNewReading = false, false })
+	try(p.isNewAlive, func(q *processPair) { q.isNewAlive, q.isNewReading = false, false }) // killed, or struck at last
 	// The old one learns of the other's death once it has read what that had sent, and the channel stays open
 	// until then, so that a new one in Holding never takes a SIGKILL on its way for the old one's death.
-	try(!p.newUp && p.oldAlive && p.old.IsInProgress() && p.toOld == "", func(q *pair) { q.onOld(PeerExited{"killed"}) })
-	try(p.oldAlive && p.newUp && !p.doomed, func(q *pair) { // kill -9 of the old one
-		q.oldAlive, q.oldReads, q.listens = false, false, false
+	try(!p.isNewAlive && p.isOldAlive && p.oldProcess.IsInProgress() && p.toOld == "", func(q *processPair) { q.handleOld(PeerExited{"killed"}) })
+	try(p.isOldAlive && p.isNewAlive && !p.isNewKilled, func(q *processPair) { // kill -9 of the old one
+		q.isOldAlive, q.isOldReading, q.isOldListening = false, false, false
 	})
-	try(!p.oldAlive && p.newUp && p.toNew == "" && p.new.State != Independent, func(q *pair) { q.onNew(PeerExited{}) })
+	try(!p.isOldAlive && p.isNewAlive && p.toNew == "" && p.newProcess.State != Independent, func(q *processPair) { q.handleNew(PeerExited{}) })
 	return next
 }
 
 // Every order in which messages, time-outs, deaths and signals may come is tried, over two upgrades in a row.
 func TestEveryOrderOfEvents(t *testing.T) {
-	t.Run("upgrade", func(t *testing.T) { everyOrder(t, false) })
-	t.Run("started by somebody else", func(t *testing.T) { everyOrder(t, true) })
+	t.Run("upgrade", func(t *testing.T) { tryEveryOrder(t, false) })
+	t.Run("started by somebody else", func(t *testing.T) { tryEveryOrder(t, true) })
 }
 
-func everyOrder(t *testing.T, beside bool) {
-	first := pair{oldAlive: true, oldReads: true, listens: true, old: OldProcess{HasExternalSuccessor: beside}}
+func tryEveryOrder(t *testing.T, beside bool) {
+	first := processPair{isOldAlive: true, isOldReading: true, isOldListening: true, oldProcess: OldProcess{HasExternalSuccessor: beside}}
 	seen := map[string]bool{}
-	work := []pair{first}
+	work := []processPair{first}
 	states := map[string]bool{}
 	for len(work) > 0 {
 		p := work[len(work)-1]
@@ -154,16 +154,16 @@
 			continue
 		}
 		seen[key] = true
-		states[p.old.State.String()], states[p.new.State.String()] = true, true
-		require.False(t, p.oldReads && p.newReads, "both read: %s", key)
-		require.LessOrEqual(t, p.told, p.asked, key)
-		next := p.steps()
-		if p.oldAlive && !p.oldReads && !p.old.isTerminating { // someone reads, or it is still to be decided
-			require.True(t, p.old.IsInProgress(), "the old process reads no more for nothing: %s", key)
+		states[p.oldProcess.State.String()], states[p.newProcess.State.String()] = true, true
+		require.False(t, p.isOldReading && p.isNewReading, "both read: %s", key)
+		require.LessOrEqual(t, p.reports, p.upgrades, key)
+		next := p.nextSteps()
+		if p.isOldAlive && !p.isOldReading && !p.oldProcess.isTerminating { // someone reads, or it is still to be decided
+			require.True(t, p.oldProcess.IsInProgress(), "the old process reads no more for nothing: %s", key)
 		}
-		if len(next) == 0 || slices.Equal(next, []pair{p}) {
-			reads := p.oldAlive && p.oldReads || p.newUp && p.newReads
-			require.True(t, reads || !p.oldAlive && !p.newUp || p.oldDrain || p.old.isTerminating, "the service is lost: %s", key)
+		if len(next) == 0 || slices.Equal(next, []processPair{p}) {
+			reads := p.isOldAlive && p.isOldReading || p.isNewAlive && p.isNewReading
+			require.True(t, reads || !p.isOldAlive && !p.isNewAlive || p.isOldDraining || p.oldProcess.isTerminating, "the service is lost: %s", key)
 		}
 		work = append(work, next...)
 	}
@@ -178,7 +178,7 @@
 
 // The old process is told to end once the new one serves, by who has started that: the new one goes on, whether or
 // not the old one still has something, and it is not taken for dead by its own end.
-func TestTheEndOfAnOldProcessIsNotTheNewOnes(t *testing.T) {
+func TestTerminatingOldProcessKeepsNewOne(t *testing.T) {
 	m := OldProcess{State: Probation, HasExternalSuccessor: true}
 	require.Equal(t, []Action{DrainRemaining, StopTimer, SendSettled, ReportDone}, m.Handle(TerminateRequested{}))
 	require.Equal(t, Draining, m.State)
@@ -190,14 +190,14 @@
 }
 
 // The death of the old process after all is in place must not leave the listeners to nobody.
-func TestWhoHoldsAllTakesOverFromTheDead(t *testing.T) {
+func TestRestoredProcessTakesOverFromDeadOne(t *testing.T) {
 	m := NewProcess{State: AwaitingCommit}
 	require.Equal(t, []Action{StopTimer, Serve, ForgetPredecessor}, m.Handle(PeerExited{}))
 	m = NewProcess{State: AwaitingSnapshot}
 	require.Equal(t, []Action{Exit}, m.Handle(PeerExited{}))
 }
 
-func TestEveryStateMeetsEveryEvent(t *testing.T) {
+func TestEveryEventInEveryState(t *testing.T) {
 	var events []Event
 	for m := range messageCount {
 		events = append(events, MessageReceived{Message: m, Protocol: Protocol}, MessageReceived{Message: m, Protocol: 9})
@@ -228,7 +228,7 @@
 	}
 }
 
-func TestASignalDuringAnUpgrade(t *testing.T) {
+func TestSignalsDuringUpgrade(t *testing.T) {
 	for s := Starting; s <= Frozen; s++ {
 		m := OldProcess{State: s}
 		actions := m.Handle(TerminateRequested{})
--- a/internal/own/own_test.go
+++ b/internal/own/own_test.go
@@ -11,7 +11,7 @@
 	"ferryfront.example/ferryfront/internal/limits"
 )
 
-func file(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "own.cue")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
@@ -19,10 +19,10 @@
 
 // Ingresses talk to each other only where the file says so; its times become bounds.
 func TestMembershipIsOffUnlessEnabled(t *testing.T) {
-	s, err := Read(file(t, `log: level: "warn"`))
+	s, err := Read(writeFile(t, `log: level: "warn"`))
 	require.NoError(t, err)
 	require.False(t, s.Membership.Enabled)
-	s, err = Read(file(t, `membership: {enabled: true, period: "1s", ack: "250ms", helpers: 4}`))
+	s, err = Read(writeFile(t, `membership: {enabled: true, period: "1s", ack: "250ms", helpers: 4}`))
 	require.NoError(t, err)
 	require.True(t, s.Membership.Enabled)
 	var l limits.Limits
@@ -32,8 +32,8 @@
 }
 
 // The defaults of the file are those of a start without one.
-func TestMembershipDefaultsAreTheProgramsOwn(t *testing.T) {
-	s, err := Read(file(t, ``))
+func TestMembershipDefaultsMatchLimits(t *testing.T) {
+	s, err := Read(writeFile(t, ``))
 	require.NoError(t, err)
 	want, err := limits.For(limits.Site{Sockets: 1024})
 	require.NoError(t, err)
@@ -56,7 +56,7 @@
 		`control_group: ready_wait: "0s"`:                                                        "control_group.ready_wait",
 		`membership: {period: "50ms"}`:                                                           `membership.ack: "100ms" is longer than membership.period`,
 	} {
-		path := file(t, text)
+		path := writeFile(t, text)
 		_, err := Read(path)
 		require.ErrorContains(t, err, path)
 		require.ErrorContains(t, err, says)
@@ -64,11 +64,11 @@
 }
 
 // There is a control group only where the file names its replicas.
-func TestTheControlGroupIsOffUnlessNamed(t *testing.T) {
-	s, err := Read(file(t, ``))
+func TestControlGroupIsOffUnlessNamed(t *testing.T) {
+	s, err := Read(writeFile(t, ``))
 	require.NoError(t, err)
 	require.Empty(t, s.ControlGroup.Replicas)
-	s, err = Read(file(t, `control_group: {replicas: ["127.0.0.1:7400", "[::1]:7401"], ready_wait: "3s"}`))
+	s, err = Read(writeFile(t, `control_group: {replicas: ["127.0.0.1:7400", "[::1]:7401"], ready_wait: "3s"}`))
 	require.NoError(t, err)
 	require.Equal(t, []string{"127.0.0.1:7400", "[::1]:7401"}, s.ControlGroup.Replicas)
 	var l limits.Limits
