--- a/cmd/ferryfront/admin_test.go
+++ b/cmd/ferryfront/admin_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// withAdmin gives a world's daemon a door for operators.
+// withAdmin gives the daemon an admin endpoint.
 func (env *testEnv) withAdmin() *testEnv {
 	env.adminAddr = freeAddr(env.t)
 	before := env.modifyConfig
@@ -31,7 +31,7 @@
 	return env
 }
 
-// queryAdmin asks at the operators' door.
+// queryAdmin sends a command to the admin endpoint and returns the response.
 func (env *testEnv) queryAdmin(line string) string {
 	env.t.Helper()
 	c, err := net.DialTimeout("tcp", env.adminAddr, time.Second)
@@ -47,7 +47,7 @@
 
 var metricLine = regexp.MustCompile(`(?m)^(app_\S+) (\d+)$`)
 
-// metrics reads all metrics; one that is not there reads 0, so their names are asserted apart.
+// metrics returns all metrics by name. A missing one reads as 0, so a test of a name has to check that it is present.
 func (env *testEnv) metrics() map[string]int {
 	env.t.Helper()
 	text := env.queryAdmin("METRICS")
@@ -61,12 +61,13 @@
 	return all
 }
 
+// callsMetric returns the name of the metric that counts responses of a class with a result code.
 func callsMetric(class, code string) string {
 	return fmt.Sprintf(`app_calls{tier=%q,code=%q}`, class, code)
 }
 
-// What the door tells is what clients and upstream hosts have counted: through tries again, refusals, failures,
-// clients that leave, hosts that are away and a reload.
+// The metrics agree with what clients and upstream hosts counted, through retries, rejections, failures, disconnects, a host
+// that refuses connections, and reloads.
 func TestMetricsMatchClientsAndHosts(t *testing.T) {
 	env := newTestEnv(t).withAdmin()
 	release, waiting := make(chan struct{}), atomic.Int32{}
@@ -91,42 +92,42 @@
 		}
 	}
 	require.Equal(t, 2, start["app_hosts_listed"])
-	saw := map[string]int{}
+	counted := map[string]int{}
 	count := func(class string, got response) {
 		code := map[int]string{200: "success", 429: "busy", 503: "busy"}[got.status]
 		if code == "" {
 			code = "failure"
 		}
-		saw[callsMetric(class, code)]++
+		counted[callsMetric(class, code)]++
 	}
 	for i := range 20 {
 		count("stock", env.mustDo(env.request("GET", "/api/7?a", "stock", nil, "Request-Id", fmt.Sprint("s", i), "X-Plan", "small")))
 	}
-	require.Positive(t, saw[callsMetric("stock", "success")])
-	require.Positive(t, saw[callsMetric("stock", "busy")], "beyond the quota of a small plan")
-	for i := 0; env.metrics()["app_hosts_down"] == 0; i++ { // until one has been tried there
+	require.Positive(t, counted[callsMetric("stock", "success")])
+	require.Positive(t, counted[callsMetric("stock", "busy")], "beyond the quota of a small plan")
+	for i := 0; env.metrics()["app_hosts_down"] == 0; i++ { // until a request has been tried at h2
 		require.Less(t, i, 1000)
 		count("stock", env.mustDo(env.request("GET", "/api/6", "stock", nil, "Request-Id", fmt.Sprint("h", i))))
 	}
-	// Two that wait: one client leaves, the other is answered.
-	ctx, leave := context.WithCancel(context.Background())
+	// Of two waiting requests, one client disconnects and the other gets a response.
+	ctx, disconnect := context.WithCancel(context.Background())
 	go func() {
 		_, _ = env.do(env.request("GET", "/api/8?wait", "catalogue", nil, "Request-Id", "w1").WithContext(ctx))
 	}()
 	answered := make(chan response, 1)
-	stays := env.request("GET", "/api/9?wait", "catalogue", nil, "Request-Id", "w2")
-	go func() { got, _ := env.do(stays); answered <- got }()
+	remaining := env.request("GET", "/api/9?wait", "catalogue", nil, "Request-Id", "w2")
+	go func() { got, _ := env.do(remaining); answered <- got }()
 	env.eventually(func() bool { return waiting.Load() == 2 })
 	require.Equal(t, 2, env.metrics()["app_inflight"])
-	leave()
+	disconnect()
 	env.eventually(func() bool { return env.metrics()["app_inflight"] == 1 })
 	close(release)
-	count("catalogue", <-answered) // and of the one who left nothing
+	count("catalogue", <-answered) // a disconnected client counts for nothing
 	for i := range 3 {
 		count("order", env.mustDo(env.request("POST", "/api/11?fail", "order", strings.NewReader("x"), "Request-Id", fmt.Sprint("o", i),
 			"Idempotency-Key", fmt.Sprint("k", i))))
 	}
-	require.Positive(t, saw[callsMetric("order", "failure")])
+	require.Positive(t, counted[callsMetric("order", "failure")])
 	env.signal(syscall.SIGHUP)
 	env.eventually(func() bool { return env.metrics()["app_reconfig_ok"] == 1 })
 	env.config["counter"] = "nowhere"
@@ -137,7 +138,7 @@
 	now := env.metrics()
 	for name := range start {
 		if strings.HasPrefix(name, "app_calls") {
-			require.Equal(t, saw[name], now[name], name)
+			require.Equal(t, counted[name], now[name], name)
 		}
 	}
 	require.Equal(t, len(env.recorded()), now["app_backend_calls"])
@@ -145,7 +146,8 @@
 	require.Zero(t, now["app_inflight"])
 }
 
-// All places of clients are taken, by connections that say nothing, and several operators say nothing either.
+// Idle connections take every place for clients, and several idle ones are open to the admin endpoint. A command to it
+// still gets its response within a second, and so does a client.
 func TestAdminAnswersUnderConnectionLoad(t *testing.T) {
 	env := newTestEnv(t).withAdmin()
 	env.modifyConfig = func(config, _ map[string]any) {
--- a/cmd/ferryfront/delayed_host_test.go
+++ b/cmd/ferryfront/delayed_host_test.go
@@ -11,13 +11,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// delayedHost is an address at which connections come up only once serve is called, and who has tried before that a second
-// later: its queue of one is taken, and the kernel drops what else comes.
+// delayedHost is an address at which connections are established only after serve is called; an earlier attempt succeeds a
+// second later, when it is repeated. Its accept queue of one is full, so the kernel drops further connection attempts.
 type delayedHost struct {
 	addr string
 	file *os.File
 }
 
+// newDelayedHost listens at a new address and fills its accept queue.
 func newDelayedHost(t *testing.T) *delayedHost {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
@@ -34,16 +35,17 @@
 	return h
 }
 
-func (h *delayedHost) serve(t *testing.T, with http.HandlerFunc) {
+// serve accepts connections until the end of the test.
+func (h *delayedHost) serve(t *testing.T, handler http.HandlerFunc) {
 	ln, err := net.FileListener(h.file)
 	require.NoError(t, err)
-	s := &http.Server{Handler: with}
+	s := &http.Server{Handler: handler}
 	go func() { _ = s.Serve(ln) }()
 	t.Cleanup(func() { s.Close() })
 }
 
-// An order may have run, and its repeat waits for a connection until the hosts have forgotten the key: it is answered,
-// and not written when the connection comes up.
+// An order may have run, and its retry waits for a connection until the hosts have forgotten the idempotency key. The client
+// gets a response then, and the retry is not sent when the connection is established.
 func TestRetryConnectsAfterRepeatWindow(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		env := newTestEnv(t)
@@ -61,21 +63,21 @@
 			_, _ = io.Copy(io.Discard, r.Body)
 			env.discoveryUpdates <- discoveryMessage(6, false, hostEntry("h1", env.hostAddrs["h1"], "Terminating"), hostEntry("h2", h2.addr, "Ready"))
 			env.waitForTurns()
-			panic(http.ErrAbortHandler) // it may have run
+			panic(http.ErrAbortHandler) // the order may have run
 		}
 		env.start()
 		answered := make(chan response, 1)
 		r := env.request("POST", "", "order", http.NoBody, "Request-Timeout", "8000m")
 		go func() { answered <- env.mustDo(r) }()
 		env.eventually(func() bool { return env.closedConnections("h1") > 0 })
-		env.waitForTurns() // the repeat is on its way
+		env.waitForTurns() // the retry waits for its connection
 		h2.serve(t, env.echo)
 		got := <-answered
 		if late {
 			require.Equal(t, 503, got.status)
 			require.Empty(t, env.recorded())
 		} else {
-			require.Equal(t, 200, got.status, "in its window it goes there, however late")
+			require.Equal(t, 200, got.status, "within the repeat window the retry is sent, however late")
 		}
 	}
 }
--- a/cmd/ferryfront/disconnect_attempts_test.go
+++ b/cmd/ferryfront/disconnect_attempts_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An attempt that begins later than this after its client closed its connection is one that nobody waits for.
+// disconnectGrace is how long after a disconnect an attempt of that client may still begin.
 const disconnectGrace = 100 * time.Millisecond
 
-// attemptLog are those that hosts got, by request, with the times at which they came.
+// attemptLog records when upstream hosts got the attempts of each request.
 type attemptLog struct {
 	mu         sync.Mutex
 	startTimes map[string][]time.Time
@@ -29,13 +29,14 @@
 	a.startTimes[id] = append(a.startTimes[id], time.Now())
 }
 
+// startsOf returns the times at which hosts got the attempts of a request.
 func (a *attemptLog) startsOf(id string) []time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.startTimes[id]
 }
 
-// hostFailures are the ways in which a host ends an attempt that lead to a further one.
+// hostFailures returns the ways in which a host can fail an attempt so that a retry follows, by name.
 func hostFailures(t *testing.T) map[string]http.HandlerFunc {
 	return map[string]http.HandlerFunc{
 		"error": func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(500) },
@@ -55,8 +56,8 @@
 	}
 }
 
-// Clients leave, each in its way, while an attempt of theirs is out, and its host fails it after that. No further one
-// begins, whatever the class; of clients that stay each is tried again.
+// Clients disconnect in several ways while an attempt of theirs is in flight, and the host fails the attempt afterwards. No
+// retry may begin, whatever the class. Requests of clients that stay are retried.
 func TestNoRetryAfterClientDisconnects(t *testing.T) {
 	leaves := disconnects()
 	leaves["stays"] = func(*testing.T, net.Conn) {}
@@ -104,18 +105,18 @@
 				leave(t, c)
 			}
 			left := time.Now()
-			time.Sleep(disconnectGrace) // what begins within it would be allowed
+			time.Sleep(disconnectGrace) // an attempt within this time is allowed
 			env.waitForTurns()
 			close(release)
 			if how == "stays" {
-				for _, id := range ids { // of "once" nothing may be repeated but what has surely not run
+				for _, id := range ids { // class "once" is retried only if the request certainly did not run
 					if !strings.HasPrefix(id, "once") || id == "once-full" {
 						env.eventually(func() bool { return len(got.startsOf(id)) > 1 })
 					}
 				}
 				return
 			}
-			time.Sleep(disconnectGrace) // a further attempt comes as soon as the one before has failed
+			time.Sleep(disconnectGrace) // a retry begins as soon as the attempt has failed
 			env.waitForTurns()
 			for _, id := range ids {
 				for _, at := range got.startsOf(id) {
@@ -126,8 +127,8 @@
 	}
 }
 
-// Clients leave, each in its way, while the first attempt waits for a connection that comes up late: it is not begun when
-// that is up, though one of a client that stays is.
+// Clients disconnect in several ways while their first attempts wait for an upstream connection. The attempts must not
+// begin when it is established. The attempt of a client that stays begins.
 func TestNoFirstAttemptAfterClientDisconnects(t *testing.T) {
 	env := newTestEnv(t)
 	late := newDelayedHost(t)
--- a/cmd/ferryfront/disconnect_test.go
+++ b/cmd/ferryfront/disconnect_test.go
@@ -14,15 +14,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Events that cross, made to come in the bad order with real connections: a peer holds the one until the other was seen.
+// Races of events, forced into the harmful order over real connections: a stand-in holds one event back until the other
+// has been seen.
 
-// disconnects are the ways in which a client leaves.
+// disconnects returns the ways in which a client can disconnect, by name.
 func disconnects() map[string]func(*testing.T, net.Conn) {
 	reset := func(t *testing.T, c net.Conn) {
 		require.NoError(t, c.(*net.TCPConn).SetLinger(0))
 		require.NoError(t, c.Close())
 	}
-	ahead := func(t *testing.T, c net.Conn) { // more than is held of what is sent ahead, and than a socket holds
+	pipeline := func(t *testing.T, c net.Conn) { // more than the daemon buffers of pipelined requests, and than a socket holds
 		_, err := io.WriteString(c, strings.Repeat("GET /up HTTP/1.1\r\nPad: "+strings.Repeat("x", 1000)+"\r\n\r\n", 900))
 		require.NoError(t, err)
 	}
@@ -31,34 +32,37 @@
 		"half":  func(t *testing.T, c net.Conn) { require.NoError(t, c.(*net.TCPConn).CloseWrite()) },
 		"reset": reset,
 		"end behind bytes": func(t *testing.T, c net.Conn) {
-			ahead(t, c)
+			pipeline(t, c)
 			require.NoError(t, c.Close())
 		},
 		"reset behind bytes": func(t *testing.T, c net.Conn) {
-			ahead(t, c)
+			pipeline(t, c)
 			reset(t, c)
 		},
 	}
 }
 
+// hasReceived reports whether an upstream host has recorded the request with this id.
 func (env *testEnv) hasReceived(id string) bool {
 	return strings.Contains(strings.Join(env.recorded(), "\n"), "id="+id+" ")
 }
 
+// rawRequest returns the text of a request of class stock.
 func rawRequest(id, customer string) string {
 	return "GET /api/" + customer + " HTTP/1.1\r\nRequest-Id: " + id + "\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n\r\n"
 }
 
-// waitForTurns has the daemon take up and answer what came behind all that came so far.
+// waitForTurns sends requests until the daemon must have handled all events that came before them.
 func (env *testEnv) waitForTurns() {
-	for range 16 { // what is there in one turn may be told in any order, and much is read in as many turns
+	for range 16 { // events of one turn come in any order, and reading much takes several turns
 		resp, err := http.Get("http://" + env.addr + "/up")
 		require.NoError(env.t, err)
 		resp.Body.Close()
 	}
 }
 
-// A client leaves while its request waits for the counter: it is not sent on when the answer comes.
+// A client disconnects while its request waits for the counter. The request must not be sent upstream when the counter
+// responds.
 func TestClientDisconnectsWhileCounterIsQueried(t *testing.T) {
 	env := newTestEnv(t)
 	release := make(chan struct{})
@@ -70,7 +74,7 @@
 		n++
 		names = append(names, name)
 		c := env.dialAndWrite(rawRequest(fmt.Sprintf("gone%d", n), fmt.Sprintf("%x", 0x100+n)))
-		env.waitForTurns() // calls on one connection come to the counter one by one, so it can't tell of each
+		env.waitForTurns() // the counter gets calls on one connection one by one, so it can't report each
 		leave(t, c)
 		env.waitForTurns()
 		require.False(t, env.hasReceived(fmt.Sprintf("gone%d", n)), name)
@@ -87,7 +91,8 @@
 	}
 }
 
-// A client leaves while its request waits for room at the hosts: it is not sent on when there is some.
+// A client disconnects while its request is queued because the hosts are full. The request must not be sent upstream when
+// one has capacity.
 func TestClientDisconnectsWhileRequestIsQueued(t *testing.T) {
 	env := newTestEnv(t)
 	release := make(chan struct{})
@@ -104,7 +109,7 @@
 	}
 	env.start()
 	var holding []net.Conn
-	for i := range 6 { // all that one ingress alone may have out
+	for i := range 6 { // as many as one ingress may have in flight
 		holding = append(holding, env.dialAndWrite(rawRequest(fmt.Sprintf("holds%d", i), fmt.Sprintf("%x", 0x200+i))))
 		<-busy
 	}
@@ -115,7 +120,7 @@
 		env.waitForTurns()
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
 		_, err := c.Read(make([]byte, 1))
-		require.ErrorContains(t, err, "timeout", "%s: it waits", name)
+		require.ErrorContains(t, err, "timeout", "%s: the request is queued", name)
 		leave(t, c)
 		env.waitForTurns()
 	}
@@ -130,8 +135,9 @@
 	}
 }
 
-// A planned end beside a request half read, one with an attempt out, a kept connection, further signals, and a host that
-// hangs for longer than there is time: each taken request has its answer, and its connection ends with that.
+// SIGTERM comes while one request is half read, one has an attempt in flight, connections are idle and a host hangs for
+// longer than the drain lasts; further signals follow. Each accepted request gets a response, and its connection is closed
+// after it.
 func TestDrainWithConcurrentEvents(t *testing.T) {
 	env := newTestEnv(t)
 	release := make(chan struct{})
@@ -147,7 +153,7 @@
 		}
 		env.echo(rw, r)
 	}
-	env.modifyConfig = func(_, settings map[string]any) { // patient beyond what a planned end has
+	env.modifyConfig = func(_, settings map[string]any) { // deadlines longer than a drain
 		setDeadlines(settings, 20000)
 	}
 	env.start()
@@ -197,7 +203,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 504, resp.StatusCode)
 	took := time.Since(began)
-	require.Greater(t, took, 3*time.Second, "its deadline counts as 3 s")
+	require.Greater(t, took, 3*time.Second, "a deadline counts as 3 s at most")
 	require.Zero(t, env.waitForExit())
 	require.Equal(t, 1, strings.Count(env.log.String(), "msg=draining"))
 }
--- a/cmd/ferryfront/idle_clients_test.go
+++ b/cmd/ferryfront/idle_clients_test.go
@@ -13,15 +13,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What discovery has counts as told this long after it can be reached, and a host that leaves gets nothing new later than
-// that and the grace of drains.
+// maxListDelay is how soon the daemon must have discovery's list once discovery can be reached. A host that drains gets no
+// new request later than that plus the drain grace.
 const maxListDelay = 6*time.Second + 500*time.Millisecond
 
-// startIdleClients has clients connect again and again, faster than any is given up, until the test is over: some say nothing, some
-// half a request, most ask once and rest. It tells how many connections were made.
+// startIdleClients opens connections until the end of the test, faster than the daemon closes idle ones. Some stay silent,
+// some send half a request, most send one request and stay open. The result counts the connections.
 func (env *testEnv) startIdleClients() *atomic.Int64 {
-	const rests = "GET /up HTTP/1.1\r\n\r\n"
-	idle, made := []string{"", "GET /api/1 HT", rests, rests, rests}, &atomic.Int64{}
+	const completeRequest = "GET /up HTTP/1.1\r\n\r\n"
+	idle, made := []string{"", "GET /api/1 HT", completeRequest, completeRequest, completeRequest}, &atomic.Int64{}
 	for i := range 4 {
 		go func() {
 			for n := i; ; n++ {
@@ -31,7 +31,7 @@
 				case <-time.After(8 * time.Millisecond): // 500 a second in all
 				}
 				c, err := net.Dial("tcp", env.addr)
-				if err != nil { // the test is over, or sees that nobody is served
+				if err != nil { // the test is over, or fails because requests get no response
 					continue
 				}
 				env.t.Cleanup(func() { c.Close() })
@@ -43,16 +43,16 @@
 	return made
 }
 
-// openDescriptors is how many the process holds.
+// openDescriptors returns how many descriptors the daemon has open.
 func (env *testEnv) openDescriptors() int {
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", env.cmd.Process.Pid))
 	require.NoError(env.t, err)
 	return len(open)
 }
 
-// Idle clients take all descriptors that there are for clients, from before discovery can be reached until long after: it
-// refuses, or takes calls and stays silent. Usual clients are served meanwhile by the known hosts, and once it is back its
-// list counts in time: the descriptors for that are kept.
+// Idle clients take every descriptor for clients while discovery refuses connections or accepts them and stays silent. Other
+// clients are still served by the known hosts, and the list counts in time once discovery is back, because the daemon
+// reserves descriptors for discovery.
 func TestIdleClientsDuringDiscoveryOutage(t *testing.T) {
 	const sockets, down = 192, time.Second
 	for _, refuses := range []bool{true, false} {
@@ -74,7 +74,7 @@
 				config["limits"].(object)["sockets"] = sockets
 				discovery = config["discovery"].(string)
 				var err error
-				if !refuses { // calls are taken by the system and never read
+				if !refuses { // the kernel accepts connections, which nothing reads
 					ln, err = net.Listen("tcp", discovery)
 					require.NoError(t, err)
 				}
@@ -82,7 +82,7 @@
 			env.start()
 			made := env.startIdleClients()
 			asked, held := 0, 0
-			ask := func() (served bool) { // a place may be taken before the request is read
+			ask := func() (served bool) { // an idle client may take the connection's place first
 				asked++
 				got, err := env.do(env.request("GET", fmt.Sprintf("/api/%x", asked), "stock", nil))
 				held = max(held, env.openDescriptors())
@@ -95,29 +95,29 @@
 				}
 			}
 			require.Greater(t, served, 20, "by the hosts known before")
-			require.Greater(t, held, 50, "all that clients may hold is taken")
+			require.Greater(t, held, 50, "every descriptor for clients is taken")
 			if ln != nil {
-				ln.Close() // resets the calls that it has taken
+				ln.Close() // resets the accepted connections
 			}
 			back, err := net.Listen("tcp", discovery)
 			require.NoError(t, err)
 			list := discoveryMessage(7, true, hostEntry("h1", env.hostAddrs["h1"], "Terminating"), hostEntry("h2", env.hostAddrs["h2"], "Ready"))
-			told := make(chan struct{}, 64)
+			listSent := make(chan struct{}, 64)
 			s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 				_, _ = io.WriteString(rw, list)
 				rw.(http.Flusher).Flush()
-				told <- struct{}{}
+				listSent <- struct{}{}
 				<-r.Context().Done()
 			})}
 			go func() { _ = s.Serve(back) }()
 			t.Cleanup(func() { s.Close() })
 			returned := time.Now()
-			for len(told) == 0 {
+			for len(listSent) == 0 {
 				require.Less(t, time.Since(returned), maxListDelay)
 				ask()
 			}
 			answered := time.Now()
-			env.eventually(ask) // a turn after it has read the list
+			env.eventually(ask) // one turn after the daemon has read the list
 			late.Store(true)
 			served = 0
 			for began := time.Now(); time.Since(began) < down; {
@@ -125,9 +125,9 @@
 					served++
 				}
 			}
-			require.Greater(t, served, 20, "by the host that stays")
-			require.NotContains(t, env.recorded(), "late", "nothing new goes to the host that leaves")
-			require.Less(t, held, sockets*2/3, "what clients may not hold is kept for discovery, the counter and hosts")
+			require.Greater(t, served, 20, "by the remaining host")
+			require.NotContains(t, env.recorded(), "late", "no new request goes to the draining host")
+			require.Less(t, held, sockets*2/3, "descriptors are reserved for discovery, the counter and hosts")
 			t.Logf("%d descriptors of %d at the most, %d connections of idle clients, told after %v", held, sockets,
 				made.Load(), answered.Sub(returned))
 		})
--- a/cmd/ferryfront/long_bodies_test.go
+++ b/cmd/ferryfront/long_bodies_test.go
@@ -22,18 +22,19 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// longBody is a body of its own for each seed; it is never held whole by the test either.
+// longBody returns a body of n bytes that depends on the seed. It is generated while it is read and never held whole.
 func longBody(seed int64, n int64) io.Reader {
 	return io.LimitReader(rand.New(rand.NewSource(seed)), n)
 }
 
+// digest returns the length and hash of a body, and the error of reading it.
 func digest(r io.Reader) string {
 	h := sha256.New()
 	n, err := io.Copy(h, r)
 	return fmt.Sprintf("%d %x %v", n, h.Sum(nil), err)
 }
 
-// peakResidentBytes is how much memory a process holds, in bytes.
+// peakResidentBytes returns the peak resident memory of a process.
 func peakResidentBytes(t *testing.T, pid int) int64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	require.NoError(t, err)
@@ -49,8 +50,8 @@
 
 const mib = 1 << 20
 
-// More bytes are under way at once than the memory limit holds, in both directions, sized and in chunks, and each
-// body arrives as it was sent. The readers are slow at first, so that nothing can simply pass through.
+// More bytes are in flight than fit into the memory limit, in both directions, with a length and in chunks. Each body arrives
+// as it was sent. Readers wait at first, so that the daemon has to buffer or stop reading.
 func TestLongBodiesPassThrough(t *testing.T) {
 	const each, streams, limit = 8 * mib, 12, 64
 	env := newTestEnv(t)
@@ -65,7 +66,7 @@
 	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		if r.Method == "POST" {
 			gate.Done()
-			gate.Wait() // all are under way before the first is read
+			gate.Wait() // all requests have arrived before the first body is read
 			fmt.Fprint(rw, digest(r.Body))
 			return
 		}
@@ -100,7 +101,7 @@
 		r := env.request("GET", "/api/32?"+strconv.FormatInt(i, 10), "stock", nil, "Request-Id", fmt.Sprint("d", i))
 		all.Go(func() {
 			resp, err := http.DefaultClient.Do(r)
-			for err == nil && resp.StatusCode != 200 { // one host takes only so many at a time
+			for err == nil && resp.StatusCode != 200 { // one host has a limited capacity
 				resp.Body.Close()
 				time.Sleep(10 * time.Millisecond)
 				resp, err = http.DefaultClient.Do(r)
@@ -122,26 +123,26 @@
 	require.Greater(t, each*streams, limit*mib)
 }
 
-// Many long requests at once, whose host reads nothing yet: what is held of them stays
-// within the memory, however many they are.
+// A host reads none of many long request bodies at first. What the daemon buffers stays within its memory, however many
+// requests there are.
 func TestManyLongBodiesAtOnce(t *testing.T) {
-	const each, streams, limit = 8 * mib, 60, 64 // more than the kernel takes ahead
+	const each, streams, limit = 8 * mib, 60, 64 // more than the kernel buffers
 	env := newTestEnv(t)
 	env.modifyConfig = func(config, settings map[string]any) {
 		config["limits"] = object{"cores": 1, "memory_mb": limit, "sockets": 1024}
 		setDeadlines(settings, 20000)
 	}
 	gate := make(chan struct{})
-	var under atomic.Int32
+	var arrived atomic.Int32
 	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
-		under.Add(1)
+		arrived.Add(1)
 		env.waitFor(gate)
 		fmt.Fprint(rw, digest(r.Body))
 	}
 	env.start()
 	var all sync.WaitGroup
 	for i := range int64(streams) {
-		var tries []*http.Request // one that is refused comes again, as a client's would
+		var tries []*http.Request // a rejected request is sent again, as clients do
 		for n := range 50 {
 			r := env.request("POST", fmt.Sprintf("/api/%x", 5000+i), "order", longBody(i, each), "Request-Id", fmt.Sprint("m", i, ".", n),
 				"Idempotency-Key", fmt.Sprint("k", i), "Request-Timeout", "19000m")
@@ -160,10 +161,10 @@
 				}
 				return
 			}
-			t.Errorf("%d: refused again and again", i)
+			t.Errorf("%d: rejected every time", i)
 		})
 	}
-	env.eventually(func() bool { return under.Load() == streams })
+	env.eventually(func() bool { return arrived.Load() == streams })
 	close(gate)
 	all.Wait()
 	held := peakResidentBytes(t, env.cmd.Process.Pid)
@@ -171,7 +172,7 @@
 	require.Less(t, held, int64(limit*mib*5/8))
 }
 
-// A client that sends slowly but within its rate is served; its time runs from the last byte.
+// A client that sends slowly, but not below the minimum rate, is served. The request timeout starts at the last byte.
 func TestTimeoutRunsFromLastByte(t *testing.T) {
 	env := newTestEnv(t).start()
 	const n = 200 << 10
@@ -181,7 +182,7 @@
 	for range 20 {
 		_, err := c.Write(piece)
 		require.NoError(t, err)
-		time.Sleep(75 * time.Millisecond) // the client's own pace, 1.5 s in all
+		time.Sleep(75 * time.Millisecond) // 1.5 s in all
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
@@ -189,7 +190,8 @@
 	require.Contains(t, env.recorded()[0], fmt.Sprint("body=", n))
 }
 
-// An answer that breaks off after it has begun is seen as broken off, whatever its framing and the client's.
+// The host closes the connection in the middle of a response. The client can tell that it is incomplete, whatever the framing
+// at both ends.
 func TestTruncatedResponse(t *testing.T) {
 	env := newTestEnv(t).withAdmin()
 	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
@@ -212,17 +214,17 @@
 		}
 	}
 	now := env.metrics()
-	require.Equal(t, 4, now[callsMetric("stock", "failure")], "what the client could not have whole was not served")
+	require.Equal(t, 4, now[callsMetric("stock", "failure")], "an incomplete response is a failure")
 	require.Zero(t, now[callsMetric("stock", "success")])
 }
 
-// Every form: in chunks with extensions and trailers and in any pieces, with the head alone first, to a client of
-// HTTP/1.0, ended by the connection, with requests sent ahead behind a long one.
+// Long messages in each framing: chunks with extensions and trailers, split at any byte, headers sent alone first, responses
+// ended by closing the connection, an HTTP/1.0 client, and pipelined requests after a long one.
 func TestFramingsOfLongMessages(t *testing.T) {
 	env := newTestEnv(t)
 	const n = 150 << 10
 	answer := strings.Repeat("0123456789", n/10)
-	plain := func(text string) string { // a host of its own, that writes this and closes
+	plain := func(text string) string { // runs a host that writes text and closes
 		return nettest.Serve(t, func(c net.Conn) {
 			defer c.Close()
 			if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
@@ -255,7 +257,7 @@
 		require.True(t, strings.HasSuffix(string(old), "\r\n\r\n"+want), "%s: %.300q", id, old)
 	}
 	env = newTestEnv(t).start()
-	// In pieces of one byte around the borders, with what is sent ahead behind it.
+	// Byte by byte around the chunk boundaries, with a pipelined request after it.
 	text := "POST /api/36 HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: order\r\nX-Plan: boutique\r\nIdempotency-Key: k\r\n" +
 		"Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n"
 	c := env.dialAndWrite(text)
@@ -285,7 +287,8 @@
 	require.Contains(t, env.recorded()[0], fmt.Sprint("body=", n))
 }
 
-// A request that is answered before its body has come has its answer at once, though its client reads it last.
+// A request is rejected before its body has arrived. A client that sends the whole body before it reads still gets the
+// response.
 func TestResponseBeforeEndOfBody(t *testing.T) {
 	env := newTestEnv(t).start()
 	for _, c := range []struct {
@@ -298,7 +301,7 @@
 		require.NoError(t, err)
 		defer conn.Close()
 		require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
-		require.NoError(t, r.Write(conn)) // all of it, before anything is read
+		require.NoError(t, r.Write(conn)) // the whole body before the response is read
 		resp, err := http.ReadResponse(bufio.NewReader(conn), r)
 		require.NoError(t, err)
 		require.Equal(t, c.status, resp.StatusCode)
@@ -322,7 +325,7 @@
 		require.NoError(t, err, "%.200q", text)
 		require.Equal(t, status, resp.StatusCode, "%.200q", text)
 	}
-	// One that ends short is no request: nothing of it is taken to have come.
+	// A body that ends early makes the request invalid, and nothing of it reaches the host.
 	c := env.dialAndWrite(head + "Content-Length: 204800\r\n\r\n" + big)
 	require.NoError(t, c.(*net.TCPConn).CloseWrite())
 	_, err := io.ReadAll(c)
@@ -333,21 +336,21 @@
 	}
 }
 
-// Places are few and thousands connect that never finish a request, while others ask once and stay: who writes its
-// request for 2 s, a piece at a time, still gets its answer.
+// The daemon may hold few connections, and hundreds a second are opened that stay silent, send half a request, or send one and
+// stay open. A client that takes 2 s to write its request still gets its response.
 func TestSlowWriterIsKeptUnderConnectionLoad(t *testing.T) {
 	env := newTestEnv(t)
 	env.modifyConfig = func(config, _ map[string]any) { config["limits"].(object)["sockets"] = 192 }
 	env.start()
 	stop := make(chan struct{})
-	var crowd sync.WaitGroup
+	var idleClients sync.WaitGroup
 	for i := range 4 {
-		crowd.Go(func() {
+		idleClients.Go(func() {
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
 					return
-				case <-time.After(10 * time.Millisecond): // 400 a second in all
+				case <-time.After(10 * time.Millisecond): // at most 400 a second in all
 				}
 				c, err := net.Dial("tcp", env.addr)
 				if err != nil {
@@ -369,11 +372,11 @@
 		_, err := io.WriteString(c, text[:n])
 		require.NoError(t, err)
 		text = text[n:]
-		time.Sleep(60 * time.Millisecond) // the client's own pace, 2 s in all
+		time.Sleep(60 * time.Millisecond) // 2 s in all
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	require.Equal(t, 200, resp.StatusCode)
 	close(stop)
-	crowd.Wait()
+	idleClients.Wait()
 }
--- a/cmd/ferryfront/openapi_test.go
+++ b/cmd/ferryfront/openapi_test.go
@@ -47,7 +47,8 @@
 		{"in": "header", "name": "Idempotency-Key"}, {"in": "body", "name": "part"}, {"in": "body", "name": "count"}}},
 }
 
-// newFrontEnv is a world whose daemon has a second front; calls go there.
+// newFrontEnv starts an environment whose daemon has a second front, at env.addr. It returns the address of the first front
+// and the path of the description, too.
 func newFrontEnv(t *testing.T, description string, routes []object) (env *testEnv, platform, path string) {
 	env = newTestEnv(t)
 	path = filepath.Join(t.TempDir(), "shops.yaml")
@@ -64,7 +65,7 @@
 	file := filepath.Join(filepath.Dir(path), "front.json")
 	require.NoError(t, os.WriteFile(file, raw, 0o600))
 	env.args = []string{"-front", file}
-	env.modifyConfig = func(_, settings map[string]any) { // a class is seen at the host by its deadline
+	env.modifyConfig = func(_, settings map[string]any) { // the host recognizes a class by its deadline
 		for i, c := range settings["classes"].([]object) {
 			c["deadline"] = 1000 * (i + 1)
 		}
@@ -78,7 +79,7 @@
 			rw.WriteHeader(500)
 		case "slow":
 			env.record("slow")
-			_, _ = io.ReadAll(r.Body) // only then is the end of the connection seen
+			_, _ = io.ReadAll(r.Body) // the server notices a closed connection only after the body
 			select {
 			case <-r.Context().Done():
 			case <-env.testDone:
@@ -94,7 +95,7 @@
 	return env, platform, path
 }
 
-// frontRequest builds a call of a dealer's ordering program.
+// frontRequest returns a request to the second front from a new customer. header holds names and values in turn.
 func (env *testEnv) frontRequest(method, path, body string, header ...string) *http.Request {
 	lastCustomer++
 	r, err := http.NewRequest(method, "http://"+env.addr+path, strings.NewReader(body))
@@ -160,7 +161,7 @@
 		lines = append(lines, env.recorded()...)
 		total := 0.0
 		for name, sum := range env.counter.Numbers() {
-			if !strings.HasPrefix(name, "/counters/q"+strconv.FormatInt(0x7fffff, 36)+".") { // that dealer's second call is counted or known to be over
+			if !strings.HasPrefix(name, "/counters/q"+strconv.FormatInt(0x7fffff, 36)+".") { // whether that customer's rejected request is counted depends on timing
 				total += sum
 			}
 		}
@@ -180,8 +181,8 @@
 	require.Equal(t, 429, env.mustDo(env.request("GET", "/api/77", "stock", nil, "X-Plan", "small")).status)
 }
 
-// A description that changes while a request is out: that one is served as it began, the next ones by the
-// new routes; a description that is refused changes nothing.
+// The description changes while a request is in flight. That request is served by the old routes and the next ones by the new
+// routes. An invalid description changes nothing.
 func TestDescriptionChangesWithRequestsInFlight(t *testing.T) {
 	env, _, path := newFrontEnv(t, openAPIDescription, nil)
 	slow := make(chan response, 1)
@@ -191,7 +192,7 @@
 		slow <- got
 	}()
 	env.eventually(func() bool { return len(env.recorded()) > 0 })
-	write := func(text string) { // whole or not at all, as a careful editor does
+	write := func(text string) { // replaces the file atomically
 		require.NoError(t, os.WriteFile(path+".new", []byte(text), 0o600))
 		require.NoError(t, os.Rename(path+".new", path))
 		env.signal(syscall.SIGHUP)
@@ -203,8 +204,8 @@
 	env.eventually(func() bool {
 		return strings.Contains(env.log.String(), `GET /prices/{part}: a lookup must not be marked \"order\"`)
 	})
-	require.Equal(t, 200, env.mustDo(env.frontRequest("GET", "/costs/1", "")).status, "the old table stays")
-	// Its host never answers: it gets the answer that its class allows, at the time it began with.
+	require.Equal(t, 200, env.mustDo(env.frontRequest("GET", "/costs/1", "")).status, "the old routes stay")
+	// The host never responds, so the request fails as its class allows, by its old timeout.
 	require.Contains(t, []int{429, 503, 504}, (<-slow).status)
 }
 
@@ -232,7 +233,7 @@
 	require.Zero(t, run([]string{"check-config"}, getenv, &out, &errs))
 }
 
-// collectTelemetry stands in for an OTLP endpoint.
+// collectTelemetry handles requests to an OTLP endpoint and records spans and histograms.
 func (env *testEnv) collectTelemetry(rw http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	require.NoError(env.t, err)
@@ -280,7 +281,7 @@
 	}
 }
 
-// An endpoint that never answers holds nothing up, neither requests nor the end.
+// A telemetry endpoint that never responds delays neither requests nor the exit.
 func TestSilentTelemetryEndpoint(t *testing.T) {
 	env := newTestEnv(t)
 	env.args = []string{"-otlp", "http://" + env.serve(func(http.ResponseWriter, *http.Request) { <-env.testDone })}
--- a/cmd/ferryfront/process_test.go
+++ b/cmd/ferryfront/process_test.go
@@ -22,7 +22,7 @@
 	big := strings.Repeat("x", 64<<10)
 	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		env.echo(rw, r)
-		rw.(http.Flusher).Flush() // so the answer is chunked
+		rw.(http.Flusher).Flush() // makes the response chunked
 		fmt.Fprint(rw, big[:60<<10])
 	}
 	env.start()
@@ -62,7 +62,7 @@
 	}{
 		{404, env.request("GET", "/else", "stock", nil)},
 		{405, env.request("DELETE", "", "stock", nil)},
-		{405, env.request("POST", "", "stock", strings.NewReader("x"))}, // a write must not pass for safe to repeat
+		{405, env.request("POST", "", "stock", strings.NewReader("x"))}, // a write must not be of a class that is safe to repeat
 		{405, env.request("GET", "", "order", nil)},
 		{400, env.request("GET", "", "none", nil)},
 		{400, env.request("GET", "", "stock", nil, "X-Plan", "none")},
@@ -70,13 +70,13 @@
 		{400, env.request("GET", "", "stock", nil, "Request-Timeout", "soon")},
 		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=many")},
 		{400, env.request("GET", "/api/nobody", "stock", nil)},
-		{400, env.request("GET", "/api/0000000200000000", "stock", nil)}, // customers are below 2^33
+		{400, env.request("GET", "/api/0000000200000000", "stock", nil)}, // customer ids are below 2^33
 		{400, env.request("GET", "", "stock", nil, "Request-Timeout", "NaNm")},
 		{400, env.request("GET", "", "stock", nil, "Request-Timeout", "0m")},
 		{400, env.request("GET", "", "stock", nil, "Request-Timeout", "0x1p9m")},
 		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=0,spread=1,first=0")},
 		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=3,spread=1,first=0")}, // maxUnits is 2
-		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=1,spread=2,first=0")}, // of one ingress
+		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=1,spread=2,first=0")}, // the fleet has one ingress
 		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=1,spread=1,first=1")},
 		{400, env.request("GET", "", "stock", nil, "X-Quota", "units=1,units=2")},
 		{400, env.request("GET", "", "stock", nil, "Request-Id", "a b")},
@@ -91,7 +91,7 @@
 	require.Empty(t, env.recorded())
 }
 
-// Of a field that is there twice, each reader may take another.
+// Two readers may take different values of a repeated header, so the request is rejected.
 func TestRepeatedHeaderIsRejected(t *testing.T) {
 	env := newTestEnv(t).start()
 	for _, name := range []string{"Request-Id", "Request-Class", "X-Plan", "X-Quota", "Request-Timeout"} {
@@ -102,8 +102,8 @@
 	require.Empty(t, env.recorded())
 }
 
-// Upstream hosts know requests by their ids: one with the id of a request that is open would be a second
-// copy of it. Once that has ended, the id is free.
+// Upstream hosts identify requests by their ids and would take a request with the id of an open one for a copy of it. The id
+// can be used again when the open request has ended.
 func TestRequestIDInUseIsRejected(t *testing.T) {
 	env := newTestEnv(t)
 	release := make(chan struct{})
@@ -123,13 +123,13 @@
 	require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 }
 
-// Connections that say nothing, or half a request, get an error or a close soon, and do not take the place of
-// others, nor that of a usual client's which stands idle: that one is the last to be closed.
+// Connections without a complete request soon get an error or are closed, and don't keep others out. An idle connection on
+// which a request was served is closed last.
 func TestIncompleteConnectionsAreClosedFirst(t *testing.T) {
 	env := newTestEnv(t)
-	env.modifyConfig = func(config, _ map[string]any) { config["limits"].(object)["sockets"] = 56 + 24 + 32 } // 16 for clients
+	env.modifyConfig = func(config, _ map[string]any) { config["limits"].(object)["sockets"] = 56 + 24 + 32 } // leaves 16 for clients
 	env.start()
-	env.eventually(func() bool { // the connections that asked whether it is ready are still closing
+	env.eventually(func() bool { // connections of readiness checks may still be closing
 		usual := env.dialAndWrite("GET /up HTTP/1.1\r\n\r\n")
 		defer usual.Close()
 		answers := bufio.NewReader(usual)
@@ -148,14 +148,14 @@
 	_, err = io.WriteString(usual, "GET /up HTTP/1.1\r\n\r\n")
 	require.NoError(t, err)
 	_, err = http.ReadResponse(answers, nil)
-	require.NoError(t, err, "the usual client's connection has kept its place")
-	for _, c := range idle { // patience is far under the time for which an idle connection is kept
+	require.NoError(t, err, "the connection on which a request was served stays open")
+	for _, c := range idle { // testTimeout is far below the time for which an idle connection is kept
 		_, err = io.Copy(io.Discard, c)
 		require.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 	}
 }
 
-// A client that sends on and on after its error is not read for ever, nor at the cost of others.
+// A client that goes on sending after its error response is not read forever and doesn't delay others.
 func TestEndlessBodyIsCutOff(t *testing.T) {
 	env := newTestEnv(t).start()
 	c := env.dialAndWrite("POST /api/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n")
@@ -165,11 +165,12 @@
 	require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 }
 
+// zeroReader is an endless body.
 type zeroReader struct{}
 
 func (zeroReader) Read(b []byte) (int, error) { return len(b), nil }
 
-// Hundreds of requests at once are all answered, a few in a turn.
+// Hundreds of pipelined requests all get a response, although the daemon handles only a few in each turn of its loop.
 func TestHundredsOfPipelinedRequests(t *testing.T) {
 	env := newTestEnv(t).start()
 	r := bufio.NewReader(env.dialAndWrite(strings.Repeat("GET /else HTTP/1.1\r\n\r\n", 500)))
@@ -181,8 +182,8 @@
 	}
 }
 
-// Beyond its quota a customer is refused at once and told when to come back, whatever the settings say
-// of retry-after; others go on.
+// A customer over its quota is rejected at once with Retry-After, whatever the settings say about it. Other customers are
+// served.
 func TestQuota(t *testing.T) {
 	env := newTestEnv(t).start()
 	for i := range 6 {
@@ -198,7 +199,7 @@
 	require.Len(t, env.recorded(), 4)
 }
 
-// Whatever the counter does, requests are decided: by the daemon's own part of the quota.
+// Whatever the counter does, requests are admitted by the daemon's own share of the quota.
 func TestCounterFailures(t *testing.T) {
 	for name, counter := range map[string]http.HandlerFunc{
 		"silent":  nil,
@@ -209,7 +210,7 @@
 		t.Run(name, func(t *testing.T) {
 			env := newTestEnv(t)
 			env.counterHandler = counter
-			if counter == nil { // the request's own context does not end while another is written behind it
+			if counter == nil { // the request's context doesn't end while a pipelined request follows
 				env.counterHandler = func(http.ResponseWriter, *http.Request) { <-env.testDone }
 			}
 			env.start()
@@ -220,8 +221,8 @@
 	}
 }
 
-// What may have run is repeated only as its class permits, and never refused; what can't have run is
-// tried elsewhere.
+// A request that may have run is retried only as its class permits, and the failure isn't reported as a rejection. One that
+// can't have run is tried at another host.
 func TestUpstreamHostFailures(t *testing.T) {
 	hang := func(rw http.ResponseWriter) net.Conn {
 		c, _, err := rw.(http.Hijacker).Hijack()
@@ -230,7 +231,7 @@
 	}
 	for name, c := range map[string]struct {
 		bad       http.HandlerFunc
-		elsewhere bool // an order may be tried at another host, which is of another cell
+		elsewhere bool // an order may be tried at a host of another cell
 	}{
 		"error":   {func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(500) }, false},
 		"breaks":  {func(rw http.ResponseWriter, _ *http.Request) { hang(rw).Close() }, false},
@@ -240,7 +241,7 @@
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut")
 			c.Close()
 		}, false},
-		"ends by reset": {func(rw http.ResponseWriter, _ *http.Request) { // without a length, an orderly end is the answer's
+		"ends by reset": {func(rw http.ResponseWriter, _ *http.Request) { // without a length, an orderly close would end the response
 			c := hang(rw)
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\ncut")
 			_ = c.(*net.TCPConn).SetLinger(0)
@@ -260,7 +261,7 @@
 				if c.elsewhere {
 					require.Contains(t, []int{429, 503}, got.status)
 				} else {
-					require.Contains(t, []int{502, 504}, got.status, "it may have run, and is not refused")
+					require.Contains(t, []int{502, 504}, got.status, "it may have run, so this is no rejection")
 				}
 			}
 			require.NotEqual(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
@@ -268,8 +269,7 @@
 	}
 }
 
-// No connection: the request can't have run, so another host may have it whatever its class. And a host
-// that is gone from its address must not take the daemon along.
+// Without a connection the request can't have run, so it goes to another host whatever its class. The daemon keeps serving.
 func TestHostRefusesConnections(t *testing.T) {
 	env := newTestEnv(t)
 	env.hosts["h0"] = nil
@@ -280,7 +280,7 @@
 	require.Contains(t, env.log.String(), "server h0 ejected")
 }
 
-// An upstream request that is out when its client has had enough, or has gone, ends by closing its connection.
+// If a request times out or its client disconnects, the connection of its upstream request is closed.
 func TestTimeoutAndDisconnectCloseUpstreamRequest(t *testing.T) {
 	env := newTestEnv(t)
 	gone := make(chan string, 8)
@@ -300,8 +300,8 @@
 	require.Equal(t, "r2", <-gone)
 }
 
-// An idle upstream connection is dropped before the other side closes it: what is written to it from then
-// on may have run, or may not.
+// An idle upstream connection is closed before the host closes it. A request written to a connection that the host is
+// closing may or may not have run.
 func TestIdleUpstreamConnectionsAreDropped(t *testing.T) {
 	env := newTestEnv(t)
 	env.modifyConfig = func(_, settings map[string]any) { settings["limits"].(object)["idleClose"] = 800 }
@@ -319,16 +319,15 @@
 	require.Contains(t, ask(), "GET")
 	env.discoveryUpdates <- discoveryMessage(6, false, hostEntry("h1", "127.0.0.1:9", "Terminating"), hostEntry("h2", other, "Ready"))
 	env.eventually(func() bool { return ask() == "h2" })
-	require.Equal(t, "h2", ask(), "nothing new to a host that drains")
-	env.discoveryUpdates <- "\n{\"version\":\"what\n" // what can't be read must not end the daemon; the whole list is asked for again
+	require.Equal(t, "h2", ask(), "no new request to a draining host")
+	env.discoveryUpdates <- "\n{\"version\":\"what\n" // invalid data must not end the daemon; it queries the full list again
 	env.eventually(func() bool { return strings.HasPrefix(ask(), "GET") })
 	env.discoveryUpdates <- discoveryMessage(9, true, hostEntry("h2", other, "Ready"))
 	env.eventually(func() bool { return ask() == "h2" })
 	require.Contains(t, env.log.String(), "discovery message not read")
 }
 
-// A list of thousands, with ids repeated and addresses that can't be read, keeps what is good of it, and is
-// complained of once.
+// A list of thousands of hosts with repeated ids and invalid addresses is used as far as it is valid and is logged once.
 func TestHugeListWithInvalidAddresses(t *testing.T) {
 	env := newTestEnv(t)
 	many := env.serve(func(rw http.ResponseWriter, r *http.Request) { fmt.Fprint(rw, "many") })
@@ -341,7 +340,7 @@
 		return discoveryMessage(version, true, append(entries, entries[:200]...)...)
 	}
 	env.discoveryUpdates <- list(6, "nowhere")
-	for range 2 { // what is told of once is met again and again
+	for range 2 { // the same fault occurs again and again but is logged once
 		env.eventually(func() bool { return env.mustDo(env.request("GET", "", "stock", nil)).status == 503 })
 	}
 	require.Equal(t, 1, strings.Count(env.log.String(), "upstream connection not opened"))
@@ -352,8 +351,8 @@
 	}
 }
 
-// SIGHUP: discovery and counter have moved, and where they were nothing is heard any more. The new list
-// counts once it is told, no request fails meanwhile, and what can't be used changes nothing.
+// A reload changes the addresses of discovery and the counter. The old list stays in use until the new discovery sends one,
+// no request fails in between, and an invalid file changes nothing.
 func TestReload(t *testing.T) {
 	env := newTestEnv(t).start()
 	ask := func() string {
@@ -375,7 +374,7 @@
 	env.config["counter"] = env.serve(func(rw http.ResponseWriter, r *http.Request) { moved.Add(1); env.defaultCounterHandler(rw, r) })
 	news := make(chan string)
 	env.config["discovery"] = env.serve(func(rw http.ResponseWriter, r *http.Request) {
-		select { // it keeps silent at first
+		select { // silent at first
 		case <-news:
 			env.discoveryHandler(news, hostEntry("h2", h2, "Ready"))(rw, r)
 		case <-r.Context().Done():
@@ -386,8 +385,8 @@
 	env.signal(syscall.SIGHUP)
 	env.eventually(func() bool { ask(); return moved.Load() > 0 })
 	require.NotEqual(t, counter, env.config["counter"])
-	require.Contains(t, env.log.String(), "fields=seed", "what needs a restart is told")
-	env.discoveryUpdates <- discoveryMessage(7, false, hostEntry("h3", h2, "Ready"), hostEntry("h1", env.hostAddrs["h1"], "Terminating")) // the old watch is kept until then
+	require.Contains(t, env.log.String(), "fields=seed", "fields that need a restart are logged")
+	env.discoveryUpdates <- discoveryMessage(7, false, hostEntry("h3", h2, "Ready"), hostEntry("h1", env.hostAddrs["h1"], "Terminating")) // the call to the old discovery stays open until the new one responds
 	env.eventually(func() bool { return ask() == "h2" })
 	news <- ""
 	env.eventually(func() bool { return env.closedConnections("discovery") == 1 })
@@ -404,7 +403,7 @@
 	require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 }
 
-// The platform refuses further processes: serve, as deploy/balancer.toml names it, is one.
+// The platform doesn't allow child processes, so serve as deploy/balancer.toml runs it must be a single process.
 func TestServeStartsNoFurtherProcess(t *testing.T) {
 	env := newTestEnv(t)
 	env.start()
@@ -414,7 +413,7 @@
 	require.NotEmpty(t, threads)
 	for _, name := range threads {
 		children, err := os.ReadFile(name)
-		if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ESRCH) { // the thread has ended meanwhile
+		if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ESRCH) { // the thread has ended
 			continue
 		}
 		require.NoError(t, err)
@@ -422,8 +421,8 @@
 	}
 }
 
-// At a planned end whatever was taken is answered, what still comes for a while, too, and nobody is
-// invited to stay.
+// After SIGTERM every accepted request gets a response, as do requests that arrive for a while after it, and responses close
+// their connections.
 func TestDrain(t *testing.T) {
 	env := newTestEnv(t)
 	release := make(chan struct{})
@@ -458,7 +457,7 @@
 	require.Equal(t, 200, resp.StatusCode)
 	require.True(t, resp.Close)
 	_, err = kept.ReadByte()
-	require.ErrorIs(t, err, io.EOF, "an idle connection is ended, not reset")
+	require.ErrorIs(t, err, io.EOF, "an idle connection is closed, not reset")
 	close(release)
 	require.Equal(t, 200, (<-answers).status)
 	require.Zero(t, env.waitForExit())
--- a/cmd/ferryfront/rapid_reload_test.go
+++ b/cmd/ferryfront/rapid_reload_test.go
@@ -9,20 +9,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// serveSilentCounter is a counter that takes calls and answers none.
+// serveSilentCounter runs a counter that never responds and returns its address.
 func (env *testEnv) serveSilentCounter() string {
 	over := make(chan struct{})
 	addr := env.serve(func(http.ResponseWriter, *http.Request) { <-over })
-	env.t.Cleanup(func() { close(over) }) // before the server is closed, which waits for its handlers
+	env.t.Cleanup(func() { close(over) }) // runs before the server is closed, which waits for its handlers
 	return addr
 }
 
-// Configurations in quick succession move the counter while calls are out at each address that it leaves. What is left
-// of every one of them ends in its own time, and the process serves on.
+// Rapid reloads change the counter's address while calls are open at each old address. The calls at every old address end by
+// their own timeouts, and the daemon keeps serving.
 func TestRapidReloadsChangeCounterAddress(t *testing.T) {
 	const (
 		moves = 4
-		apart = 350 * time.Millisecond // less than the time for which calls at an address that was left may be answered
+		apart = 350 * time.Millisecond // less than the time for which calls at an old address may still be answered
 	)
 	env := newTestEnv(t).withAdmin()
 	env.counterHandler = func(http.ResponseWriter, *http.Request) { <-env.testDone }
@@ -31,7 +31,7 @@
 		require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 		env.config["counter"] = env.serveSilentCounter()
 		require.True(t, env.reloadConfig())
-		time.Sleep(apart) // the distance of the reloads is what is tried
+		time.Sleep(apart) // the interval of the reloads is under test
 	}
 	ended := make(chan struct{})
 	go func() { _ = env.cmd.Wait(); close(ended) }()
@@ -46,13 +46,13 @@
 	require.NoError(t, syscall.Kill(env.cmd.Process.Pid, 0))
 }
 
-// A new configuration says that there is a counter where there was none: its calls are made from then on, and another that
-// says there is none ends that.
+// A reload enables a counter where there was none, and the daemon calls it from then on. Another reload disables it, and the
+// calls stop.
 func TestReloadEnablesAndDisablesCounter(t *testing.T) {
 	env := newTestEnv(t).withAdmin()
-	door := env.modifyConfig
+	withAdminAddr := env.modifyConfig
 	env.modifyConfig = func(config, settings map[string]any) {
-		door(config, settings)
+		withAdminAddr(config, settings)
 		settings["extra"].(object)["hasCounter"] = false
 	}
 	env.start()
@@ -70,11 +70,10 @@
 	require.Equal(t, calls, env.counter.Calls())
 }
 
-// runtimeStartTime is the time in which a process that was started can't take any signal yet: its program has no say before the
-// language's runtime runs.
+// runtimeStartTime is how long a new process can't handle signals, because the Go runtime hasn't started yet.
 const runtimeStartTime = 12 * time.Millisecond
 
-// A process is told to read its configuration again while it starts: it comes up and reads it.
+// SIGHUP arrives while a process starts. It becomes ready and reads its configuration again.
 func TestReloadSignalsDuringStart(t *testing.T) {
 	env := newTestEnv(t).withAdmin().start()
 	env.signal(syscall.SIGTERM)
--- a/cmd/ferryfront/replace_overlap_test.go
+++ b/cmd/ferryfront/replace_overlap_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// While the old process and the new one both live, since answers are owed by the old: what comes again with an id or a key
-// that is out there is turned away by the new one, a request half read is read on there, clients leave either, an answer
-// half passed on is passed on, and each request reaches a host once.
+// The old process still has open requests when the new one serves. The new one rejects a request whose id or key is open at
+// the old one and reads on a half read request. Clients of both disconnect, a half relayed response is completed, and each
+// request reaches a host only once.
 func TestOldAndNewProcessServeTogether(t *testing.T) {
 	env := newTestEnv(t).withHandoverDir()
 	release := make(chan struct{})
@@ -58,13 +58,13 @@
 	next := env.startReplacement()
 	env.eventually(next.isReady)
 	env.eventually(func() bool { return strings.Contains(env.log.String(), `msg="taken over"`) })
-	require.Equal(t, 409, status(env.dialAndWrite(order("again", "k1"))), "its key is out at the old one")
-	require.Equal(t, 409, status(env.dialAndWrite(rawRequest("out1", "8"))), "its id is")
+	require.Equal(t, 409, status(env.dialAndWrite(order("again", "k1"))), "its key is open at the old process")
+	require.Equal(t, 409, status(env.dialAndWrite(rawRequest("out1", "8"))), "its id is open at the old process")
 	_, err := io.WriteString(half, whole[len(whole)/2:])
 	require.NoError(t, err)
 	require.Equal(t, 200, status(half))
 	for name, leave := range disconnects() {
-		c := env.dialAndWrite(rawRequest("out-"+strings.ReplaceAll(name, " ", "-"), "3")) // at the new one
+		c := env.dialAndWrite(rawRequest("out-"+strings.ReplaceAll(name, " ", "-"), "3")) // at the new process
 		env.eventually(func() bool { return env.hasReceived("out-" + strings.ReplaceAll(name, " ", "-")) })
 		leave(t, c)
 	}
@@ -72,7 +72,7 @@
 	require.NoError(t, leaves.Close())
 	select {
 	case <-old.done:
-		require.Fail(t, "the old process owes answers")
+		require.Fail(t, "the old process has ended with open requests")
 	default:
 	}
 	close(release)
--- a/cmd/ferryfront/replace_test.go
+++ b/cmd/ferryfront/replace_test.go
@@ -20,20 +20,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// process is one that the platform has started.
+// process is a daemon process that the platform, here the test, has started.
 type process struct {
 	cmd       *exec.Cmd
 	adminAddr string
 	done      chan struct{}
 }
 
-// withHandoverDir gives a world's daemon a folder in which it meets its successor.
+// withHandoverDir gives the daemon an admin endpoint and a directory for the handover socket.
 func (env *testEnv) withHandoverDir() *testEnv {
 	env.extraEnv = append(env.extraEnv, "TMPDIR="+env.t.TempDir())
 	return env.withAdmin()
 }
 
-// startReplacement starts the program once more, as the platform does: same addresses, another door, same folder.
+// startReplacement starts a second process as the platform does: same addresses and directory, another admin endpoint.
 func (env *testEnv) startReplacement() *process {
 	env.t.Helper()
 	p := &process{cmd: exec.Command(binaryPath, "serve"), adminAddr: freeAddr(env.t), done: make(chan struct{})}
@@ -47,7 +47,7 @@
 	return p
 }
 
-// isReady tells whether it says so at its door.
+// isReady reports whether the process is ready by its admin endpoint.
 func (p *process) isReady() bool {
 	c, err := net.DialTimeout("tcp", p.adminAddr, time.Second)
 	if err != nil {
@@ -60,14 +60,14 @@
 	return strings.HasPrefix(string(answer), "200")
 }
 
-// firstProcess is the process that the world has started.
+// firstProcess returns the process that env.launch has started.
 func (env *testEnv) firstProcess() *process {
 	p := &process{cmd: env.cmd, adminAddr: env.adminAddr, done: make(chan struct{})}
 	go func() { _ = p.cmd.Wait(); close(p.done) }()
 	return p
 }
 
-// ends waits until a process has ended by itself, before the platform would kill it.
+// requireExit waits until a process has exited with 0, for less time than until the platform would kill it.
 func (env *testEnv) requireExit(p *process) {
 	env.t.Helper()
 	select {
@@ -78,7 +78,7 @@
 	}
 }
 
-// startLoad sends requests until it is stopped, and returns how many were answered otherwise than once and well.
+// startLoad sends rate requests a second until stop is called, which returns their number and those without a response 200.
 func (env *testEnv) startLoad(rate int) (stop func() (asked int, faults []string)) {
 	var all sync.WaitGroup
 	var asked atomic.Int32
@@ -132,12 +132,12 @@
 	}
 }
 
-// Twenty replacements at 200 requests a second: every request has its one answer, none reaches a host twice, no
-// connection is reset, the quota's state goes over, and each process ends by itself or when it is told to.
+// Twenty replacements at 200 requests a second. Every request gets one response and reaches one host once, no connection is
+// reset, and each old process ends, by itself or on SIGTERM.
 func TestReplacementsUnderLoad(t *testing.T) {
 	env := newTestEnv(t).withHandoverDir()
 	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
-		time.Sleep(5 * time.Millisecond) // an order server's work
+		time.Sleep(5 * time.Millisecond) // the work of an upstream host
 		env.echo(rw, r)
 	}
 	env.hosts["h2"] = env.hosts["h1"]
@@ -166,12 +166,13 @@
 		seen[got] = true
 	}
 	now := env.metrics()
-	require.Less(t, now["app_backend_calls"], asked, "its figures are its own")
+	require.Less(t, now["app_backend_calls"], asked, "each process counts for itself")
 }
 
-// Whatever lies where the old process should be met, the new one begins beside it in time, and no request is lost.
+// The path of the handover socket holds something unusable. The new process starts next to the old one in time, and no
+// request is lost.
 func TestUnusableHandoverSocket(t *testing.T) {
-	for name, lay := range map[string]func(t *testing.T, path string){
+	for name, place := range map[string]func(t *testing.T, path string){
 		"stale": func(t *testing.T, path string) {
 			fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET, 0)
 			require.NoError(t, err)
@@ -194,7 +195,7 @@
 			env := newTestEnv(t).withHandoverDir().start()
 			path := filepath.Join(strings.TrimPrefix(env.extraEnv[0], "TMPDIR="), ".ferryfront-n0")
 			require.NoError(t, os.Remove(path))
-			lay(t, path)
+			place(t, path)
 			old := env.firstProcess()
 			stop := env.startLoad(100)
 			began := time.Now()
@@ -210,7 +211,7 @@
 	}
 }
 
-// A successor that is killed, before it is ready or after, costs the old one nothing; the old one hands over to the next.
+// A successor is killed before or after it is ready. The old process keeps serving and hands over to the next successor.
 func TestSuccessorDies(t *testing.T) {
 	env := newTestEnv(t).withHandoverDir().start()
 	old := env.firstProcess()
@@ -219,7 +220,7 @@
 		if i%3 == 0 {
 			env.eventually(dead.isReady)
 		} else {
-			time.Sleep(time.Duration(i) * 3 * time.Millisecond) // at one instant or another of its start
+			time.Sleep(time.Duration(i) * 3 * time.Millisecond) // at various times of its start
 		}
 		require.NoError(t, dead.cmd.Process.Kill())
 		<-dead.done
@@ -235,14 +236,15 @@
 	require.Equal(t, 200, env.mustDo(env.request("GET", "/api/41", "stock", nil)).status)
 }
 
-// SIGTERM to the old process at any instant of a replacement, and SIGHUP: the new one serves, by itself if need be.
+// SIGHUP and SIGTERM reach the old process at various times of a replacement. The new process serves, with a handover or
+// without.
 func TestSignalsDuringAReplacement(t *testing.T) {
 	for i := range 10 {
 		env := newTestEnv(t).withHandoverDir().start()
 		old := env.firstProcess()
 		stop := env.startLoad(50)
 		next := env.startReplacement()
-		time.Sleep(time.Duration(i) * 4 * time.Millisecond) // at one instant or another of its start
+		time.Sleep(time.Duration(i) * 4 * time.Millisecond) // at various times of its start
 		require.NoError(t, old.cmd.Process.Signal(syscall.SIGHUP))
 		require.NoError(t, old.cmd.Process.Signal(syscall.SIGTERM))
 		env.eventually(next.isReady)
@@ -253,7 +255,7 @@
 	}
 }
 
-// Without a folder that can be written to, the two listen beside each other.
+// Without a writable directory for the handover socket, both processes listen at the same address.
 func TestReplacementWithoutDirectory(t *testing.T) {
 	for _, dir := range []string{"", "/proc", "/no/such/folder"} {
 		env := newTestEnv(t).withAdmin()
@@ -268,8 +270,8 @@
 	}
 }
 
-// A replacement while hundreds of connections stand idle or half-way through a request: all of them go over as they
-// are, none is closed, and the descriptors of both together stay within what one may hold.
+// A replacement with many idle connections and half read requests. All connections are handed over and none is closed, and
+// both processes together stay within the descriptor limit of one.
 func TestReplacementWithManyConnections(t *testing.T) {
 	const sockets = 384
 	env := newTestEnv(t).withHandoverDir()
@@ -305,7 +307,7 @@
 	env.requireExit(old)
 }
 
-// processDescriptors is how many a process holds; none of one that has ended.
+// processDescriptors returns how many descriptors a process has open, 0 if it has ended.
 func processDescriptors(t *testing.T, p *process) int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
@@ -314,8 +316,8 @@
 	return len(entries)
 }
 
-// Two replacements at once: the third process finds the second not done with the first, and begins beside them. Each of
-// the others ends when it is told to, and no request is lost.
+// A third process starts before the second one has completed the handover from the first. It starts next to them without a
+// handover. Both others end on SIGTERM, and no request is lost.
 func TestTwoConcurrentReplacements(t *testing.T) {
 	env := newTestEnv(t).withHandoverDir().start()
 	stop := env.startLoad(100)
@@ -333,29 +335,29 @@
 	require.True(t, third.isReady())
 }
 
-// Who comes to the socket and is no successor, by silence or by what it says, costs the process nothing; the next one
-// that is takes over.
+// A client of the handover socket that stays silent or sends invalid data doesn't disturb the process. The next real
+// successor takes over.
 func TestInvalidSuccessorIsRejected(t *testing.T) {
 	env := newTestEnv(t).withHandoverDir().start()
 	old := env.firstProcess()
 	path := filepath.Join(strings.TrimPrefix(env.extraEnv[0], "TMPDIR="), ".ferryfront-n0")
-	come := func() int {
+	connect := func() int {
 		fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET, 0)
 		require.NoError(t, err)
 		require.NoError(t, unix.Connect(fd, &unix.SockaddrUnix{Name: path}))
 		return fd
 	}
 	for _, text := range []string{"garbage", "\x00", "\x00\x0a\x02\x08\x63", strings.Repeat("x", 30000)} {
-		fd := come()
+		fd := connect()
 		require.NoError(t, unix.Sendto(fd, []byte(text), 0, nil))
-		env.eventually(func() bool { // it is turned away
+		env.eventually(func() bool { // it is rejected
 			n, err := unix.Read(fd, make([]byte, 100))
 			return n == 0 || err != nil
 		})
 		require.NoError(t, unix.Close(fd))
 		require.True(t, old.isReady())
 	}
-	silent := come()
+	silent := connect()
 	require.Equal(t, 200, env.mustDo(env.request("GET", "/api/45", "stock", nil)).status)
 	require.NoError(t, unix.Close(silent))
 	env.eventually(func() bool { return strings.Count(env.log.String(), "this process carries on") >= 5 })
--- a/cmd/ferryfront/responses_in_progress_test.go
+++ b/cmd/ferryfront/responses_in_progress_test.go
@@ -14,10 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Answers and requests that are long or never end, beside ends of all kinds.
-
-// halfResponseHandler is a host that gives the first half of a long answer, and the rest when it is released; "/api/<endless>" has no
-// rest but goes on drop by drop. Its path tells the framing.
+// halfResponseHandler returns a handler that sends half of a long response, and the rest when release is closed. With the query
+// "endless" it sends a byte every millisecond instead of the rest. With "sized" the response has a Content-Length.
 func (env *testEnv) halfResponseHandler(release <-chan struct{}) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		half := strings.Repeat("x", 128<<10)
@@ -48,6 +46,7 @@
 	}
 }
 
+// readHalfResponse sends a request to such a handler and reads a quarter of the response.
 func (env *testEnv) readHalfResponse(id, query, proto, header string) (*bufio.Reader, *http.Response) {
 	c := env.dialAndWrite("GET /api/7" + id + "?" + query + " " + proto + "\r\nRequest-Id: " + id + "\r\nRequest-Class: stock\r\n" +
 		"X-Plan: boutique\r\n" + header + "\r\n")
@@ -60,8 +59,8 @@
 	return r, resp
 }
 
-// An answer whose host goes on with it beyond its client's time is passed on for as long as it comes, and whole: of a long
-// one the first bytes count.
+// A response is relayed completely even if the host takes longer for it than the request's timeout: only its first bytes must
+// come in time.
 func TestLongResponseContinuesPastTimeout(t *testing.T) {
 	env := newTestEnv(t)
 	release := make(chan struct{})
@@ -75,7 +74,7 @@
 		}
 	}
 	began := time.Now()
-	env.eventually(func() bool { return time.Since(began) > 900*time.Millisecond }) // that time, and more sweeps of ours than one
+	env.eventually(func() bool { return time.Since(began) > 900*time.Millisecond }) // longer than the timeout and the interval at which the daemon checks timeouts
 	close(release)
 	for _, resp := range all {
 		n, err := io.Copy(io.Discard, resp.Body)
@@ -84,9 +83,9 @@
 	}
 }
 
-// A planned end beside an answer half passed on, and beside requests sent ahead: the answer is passed on whole, of the
-// requests the first is answered, the others come behind an announced end. One whose host never ends it is cut in time,
-// so that its client can tell.
+// SIGTERM comes while responses are half relayed and requests are pipelined. The responses are completed. Of the pipelined
+// requests only the first is served, because its response announces the close. An endless response is aborted when the drain
+// ends, so that its client can tell that it is incomplete.
 func TestDrainWithResponsesInProgress(t *testing.T) {
 	env := newTestEnv(t)
 	release := make(chan struct{})
@@ -99,7 +98,7 @@
 		env.echo(rw, r)
 		env.waitFor(release)
 	}
-	env.modifyConfig = func(_, settings map[string]any) { // the end of the process comes before these are over
+	env.modifyConfig = func(_, settings map[string]any) { // deadlines longer than a drain
 		setDeadlines(settings, 20000)
 	}
 	env.start()
@@ -125,13 +124,13 @@
 	_, err = ahead.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 	_, err = io.Copy(io.Discard, old.Body)
-	require.Error(t, err, "of HTTP/1.0 an orderly end would pass for the answer's")
+	require.Error(t, err, "to an HTTP/1.0 client, an orderly close would mean a complete response")
 	require.Zero(t, env.waitForExit())
 	require.False(t, env.hasReceived("ahead2"))
 }
 
-// A client resets its connection behind more of a long body than is read ahead, while the counter is asked: its request
-// is not sent on when the answer comes.
+// A client sends more of a long body than the daemon buffers and resets its connection while the counter is queried. The
+// request must not be sent upstream when the counter responds.
 func TestClientResetsAfterLongBody(t *testing.T) {
 	env := newTestEnv(t)
 	release := make(chan struct{})
@@ -144,7 +143,7 @@
 	c := env.dialAndWrite("POST /api/5 HTTP/1.1\r\nRequest-Id: gone\r\nRequest-Class: order\r\nIdempotency-Key: k\r\nX-Plan: boutique\r\n" +
 		"Content-Length: 16000000\r\n\r\n")
 	require.NoError(t, c.SetWriteDeadline(time.Now().Add(300*time.Millisecond)))
-	n, err := io.Copy(c, io.LimitReader(zeroReader{}, 16000000)) // until nobody takes more
+	n, err := io.Copy(c, io.LimitReader(zeroReader{}, 16000000)) // until the daemon and the kernel take no more
 	require.ErrorContains(t, err, "timeout")
 	require.Greater(t, n, int64(128<<10))
 	env.waitForTurns()
--- a/cmd/ferryfront/restart_test.go
+++ b/cmd/ferryfront/restart_test.go
@@ -13,20 +13,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// maxReadyTime is how soon after their start nine in ten of the ingresses that are restarted at once have to be ready.
+// maxReadyTime is how soon after a simultaneous restart nine in ten of the ingresses must be ready.
 const maxReadyTime = 10 * time.Second
 
-// discoveryState is how the one discovery of a fleet meets its calls.
+// discoveryState is how the shared discovery of a fleet handles calls.
 type discoveryState string
 
 const (
-	answering discoveryState = "answering" // with the list, and then nothing
-	refusing  discoveryState = "refusing"  // no connection comes up
-	holding   discoveryState = "silent"    // calls are taken and never answered
-	queueing  discoveryState = "slow"      // calls wait in one line, each for a second
+	answering discoveryState = "answering" // sends the list, and nothing after it
+	refusing  discoveryState = "refusing"  // refuses connections
+	holding   discoveryState = "silent"    // accepts calls and never responds
+	queueing  discoveryState = "slow"      // handles calls one by one, each for a second
 )
 
-// A sharedDiscovery is asked by several ingresses, at an address that stays.
+// sharedDiscovery is the discovery of several ingresses. Its address stays the same.
 type sharedDiscovery struct {
 	t      *testing.T
 	addr   string
@@ -35,7 +35,7 @@
 	server *http.Server
 }
 
-// setState ends what is open and meets further calls in this way.
+// setState closes all calls and handles further ones as the state says.
 func (d *sharedDiscovery) setState(state discoveryState) {
 	if d.server != nil {
 		_ = d.server.Close()
@@ -67,9 +67,8 @@
 	go func() { _ = s.Serve(ln) }()
 }
 
-// Ten ingresses of a large fleet are killed and started anew at one instant, while the discovery that they share is down,
-// silent or slow: nine in ten are ready in time, all of them before they would count as crashed, and each serves by the
-// hosts that it knew before.
+// Ten ingresses of a large fleet are killed and restarted at once while their discovery is down, silent or slow. Nine in ten
+// must be ready within maxReadyTime and all of them before they count as crashed, and each serves by its known hosts.
 func TestIngressesRestartedAtOnceAreReadyInTime(t *testing.T) {
 	const fleet, restarted, crashed = 300, 10, 30 * time.Second
 	for _, mode := range []string{"push", "ask"} {
@@ -83,7 +82,7 @@
 			d.setState(answering)
 			t.Cleanup(func() { d.setState(refusing) })
 			for i, env := range all {
-				env.hasNoKnownHosts = i%3 == 2 // a few know no hosts from before, and are ready all the same
+				env.hasNoKnownHosts = i%3 == 2 // some have no known hosts and must be ready nevertheless
 				env.discoveryAddr, env.hosts, env.externalHostAddrs = d.addr, map[string]http.HandlerFunc{"h1": nil}, map[string]string{"h1": host}
 				env.modifyConfig = func(_, settings map[string]any) {
 					settings["balancers"], settings["me"], settings["discovery"] = fleet, i, mode
--- a/cmd/ferryfront/settings_test.go
+++ b/cmd/ferryfront/settings_test.go
@@ -10,18 +10,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// configSettings are those of the configuration, which a test may change before the next reload.
+// configSettings returns the settings of the configuration. A test may change them before the next reload.
 func (env *testEnv) configSettings() object { return env.config["settings"].(object) }
 
-// reloadConfig has the daemon read its configuration again and waits until one of the two counts has moved.
-func (env *testEnv) reloadConfig() (taken bool) {
+// reloadConfig writes the configuration, has the daemon reload it and reports whether it was accepted.
+func (env *testEnv) reloadConfig() (accepted bool) {
 	env.t.Helper()
 	before := env.metrics()
 	env.writeConfig()
 	return env.sendReload(before)
 }
 
-func (env *testEnv) sendReload(before map[string]int) (taken bool) {
+// sendReload sends SIGHUP, waits until one of the two reload metrics differs from before and reports whether the daemon
+// accepted the file.
+func (env *testEnv) sendReload(before map[string]int) (accepted bool) {
 	env.t.Helper()
 	env.signal(syscall.SIGHUP)
 	now := before
@@ -34,32 +36,32 @@
 
 func TestReloadAddsAndRemovesClasses(t *testing.T) {
 	env := newTestEnv(t).withAdmin().start()
-	try := func(class string) int {
+	status := func(class string) int {
 		return env.mustDo(env.request("GET", "/api/21", class, nil)).status
 	}
-	require.Equal(t, 200, try("stock"))
-	require.Equal(t, 400, try("bulk"), "not known yet, and no refusal")
+	require.Equal(t, 200, status("stock"))
+	require.Equal(t, 400, status("bulk"), "an unknown class is a client error")
 	all := env.configSettings()["classes"].([]object)
 	bulk := object{"name": "bulk", "effect": "retryable", "onTime": 1000, "deadline": 2000, "value": 1, "dedupScope": "cell", "repeatWindow": 0}
-	env.configSettings()["classes"] = []object{bulk, all[2], all[1]} // stock has gone, and the places have changed
+	env.configSettings()["classes"] = []object{bulk, all[2], all[1]} // without stock, in another order
 	require.True(t, env.reloadConfig())
-	require.Equal(t, 200, try("bulk"))
-	require.Equal(t, 400, try("stock"))
+	require.Equal(t, 200, status("bulk"))
+	require.Equal(t, 400, status("stock"))
 	got := env.mustDo(env.request("POST", "/api/21", "order", strings.NewReader("x")))
 	require.Equal(t, 200, got.status)
 	now := env.metrics()
-	require.Equal(t, 1, now[callsMetric("stock", "success")], "a line stays when its class has gone")
+	require.Equal(t, 1, now[callsMetric("stock", "success")], "the metric of a removed class stays")
 	require.Equal(t, 1, now[callsMetric("bulk", "success")])
 	require.Equal(t, 1, now[callsMetric("order", "success")])
 	require.Zero(t, now[callsMetric("catalogue", "success")])
 	env.configSettings()["classes"] = all
 	require.True(t, env.reloadConfig())
-	require.Equal(t, 200, try("stock"))
+	require.Equal(t, 200, status("stock"))
 	require.Equal(t, 2, env.metrics()[callsMetric("stock", "success")])
 }
 
-// A class vanishes while an order of it is out, and returns stricter: the order has its answer by the class that it
-// came with, a new one is held to the new.
+// A class is removed while an order of it is in flight, and added again with stricter settings. The order in flight gets its
+// response by the old class, and a new order is handled by the new one.
 func TestClassIsRemovedDuringOrder(t *testing.T) {
 	env := newTestEnv(t).withAdmin()
 	release := make(chan struct{})
@@ -89,7 +91,7 @@
 		"Idempotency-Key", "k2")).status)
 }
 
-// Files that can't be used change nothing, whatever they hold beside; each moves one count, and the log names the field.
+// An invalid file changes nothing, even if the rest of it is valid. Each is counted once, and the log names the field.
 func TestInvalidFilesAreRejected(t *testing.T) {
 	env := newTestEnv(t).withAdmin().start()
 	class := env.configSettings()["classes"].([]object)[0]
@@ -127,7 +129,7 @@
 	require.True(t, env.reloadConfig())
 }
 
-// Ten in a second: each is read, in order, and the last one counts.
+// Ten reloads in quick succession are all read in order, and the last one is in force.
 func TestManyReloads(t *testing.T) {
 	env := newTestEnv(t).withAdmin().start()
 	for i := range 10 {
@@ -144,7 +146,7 @@
 	require.Equal(t, 200, env.mustDo(env.request("GET", "/api/24", "c9", nil)).status)
 }
 
-// A route whose class has gone is no route of the second front's as long as it is gone; the others go on.
+// While a class is missing from the settings, the second front has no route of it. Other routes stay.
 func TestRouteOfRemovedClass(t *testing.T) {
 	env, _, _ := newFrontEnv(t, openAPIDescription, nil)
 	require.Equal(t, 200, env.mustDo(env.frontRequest("GET", "/stock?part=1", "")).status)
@@ -160,7 +162,7 @@
 	env.eventually(func() bool { return env.mustDo(env.frontRequest("GET", "/stock?part=1", "")).status == 200 })
 }
 
-// A planned end does not stop new settings: what is still open may need the addresses, and the counts move.
+// Reloads still work during a drain, because open requests may need the new addresses. They are counted as usual.
 func TestReloadDuringDrain(t *testing.T) {
 	env := newTestEnv(t).withAdmin()
 	release := make(chan struct{})
@@ -182,13 +184,13 @@
 	require.Zero(t, env.waitForExit())
 }
 
-// Settings with a version are taken in its order only, also by an ingress that talks to no other; the door tells which
-// one is in force.
+// Settings with a version number are accepted only in ascending order, also by an ingress without peers. The admin endpoint
+// shows the version in force.
 func TestSettingsVersions(t *testing.T) {
 	env := newTestEnv(t).withAdmin()
-	door := env.modifyConfig
+	withAdminAddr := env.modifyConfig
 	env.modifyConfig = func(config, settings map[string]any) {
-		door(config, settings)
+		withAdminAddr(config, settings)
 		config["settings_version"] = 4
 	}
 	env.start()
@@ -207,7 +209,7 @@
 	require.False(t, env.reloadConfig())
 	require.Contains(t, env.log.String(), "another content")
 	env.configSettings()["period"] = 4
-	require.True(t, env.reloadConfig(), "the same once more")
+	require.True(t, env.reloadConfig(), "the same version and content again")
 	version(4)
 	env.config["settings_version"], env.configSettings()["period"] = 6, 5
 	require.True(t, env.reloadConfig())
--- a/cmd/ferryfront/testenv_test.go
+++ b/cmd/ferryfront/testenv_test.go
@@ -23,9 +23,10 @@
 	"ferryfront.example/ferryfront/internal/standin"
 )
 
-// testTimeout bounds every wait on a condition; none takes nearly as long.
+// testTimeout bounds every wait for a condition. Far less is usual.
 const testTimeout = 20 * time.Second
 
+// binaryPath is the path of the program, which TestMain builds.
 var binaryPath string
 
 func TestMain(m *testing.M) {
@@ -42,8 +43,8 @@
 	os.Exit(code)
 }
 
-// logFile is what the processes of a test log to, without a pipe between: what one has logged before it answers
-// can be read once the answer has come.
+// logFile is the file to which the processes of a test log. There is no pipe in between, so what a process logged before a
+// response can be read once the response has arrived.
 type logFile struct{ *os.File }
 
 func newLogFile(t *testing.T) logFile {
@@ -61,39 +62,39 @@
 	return string(raw)
 }
 
-// testEnv stands in for all that is around one daemon: upstream hosts, counter, discovery and clients.
+// testEnv runs one daemon with stand-ins for everything around it: upstream hosts, counter, discovery and clients.
 type testEnv struct {
 	t                     *testing.T
-	hosts                 map[string]http.HandlerFunc // by id; each is a server of its own
-	counterHandler        http.HandlerFunc            // numbers', unless a test has its own
+	hosts                 map[string]http.HandlerFunc // by id; each runs as a server; nil: the host refuses connections
+	counterHandler        http.HandlerFunc            // handles calls to the counter; a test may replace it
 	defaultCounterHandler http.HandlerFunc
 	counter               *standin.Counter
-	isDiscoveryDown       bool   // discovery does not listen
-	discoveryAddr         string // address of a discovery that a test serves itself
+	isDiscoveryDown       bool   // discovery doesn't listen
+	discoveryAddr         string // of a discovery that the test runs itself; empty: the environment runs one
 	args                  []string
-	maxDescriptors        int // descriptors that the system lets the process hold, 0: as many as the tests may
+	maxDescriptors        int // RLIMIT_NOFILE of the daemon; 0: as for the test
 	modifyConfig          func(config, settings map[string]any)
-	hasNoKnownHosts       bool // the configuration knows no hosts: they are only told by discovery
+	hasNoKnownHosts       bool // the configuration has no known hosts, only discovery has them
 
-	extraEnv          []string          // more environment
-	externalHostAddrs map[string]string // addresses of hosts that a test serves itself
+	extraEnv          []string          // further environment variables of the daemon
+	externalHostAddrs map[string]string // by id, of hosts that the test runs itself
 	addr              string
-	adminAddr         string // of operators, empty: none
-	configPath        string // of the configuration
-	config            object // what it says
+	adminAddr         string // of the admin endpoint; empty: none
+	configPath        string // of the configuration file
+	config            object // written by writeConfig
 	cmd               *exec.Cmd
 	log               logFile
-	discoveryUpdates  chan string   // lines for the watches of discovery
+	discoveryUpdates  chan string   // messages that discovery sends
 	testDone          chan struct{} // closed at the end of the test
 
 	mu          sync.Mutex
-	records     []string          // what upstream hosts got
-	spans       []*tracev1.Span   // what a collector got
-	closedConns map[string]int    // connections closed, by the server's address
-	hostAddrs   map[string]string // of upstream hosts, by id
+	records     []string          // requests that hosts got, and notes of other handlers
+	spans       []*tracev1.Span   // received by collectTelemetry
+	closedConns map[string]int    // number of closed connections, by server address
+	hostAddrs   map[string]string // by id
 }
 
-// closedConnections tells how many connections to an upstream host have ended.
+// closedConnections returns how many connections to an upstream host have been closed.
 func (env *testEnv) closedConnections(id string) int {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -112,7 +113,7 @@
 	return env
 }
 
-// waitFor waits until release is closed, or until the test is over (it has failed).
+// waitFor waits until release is closed or the test has ended.
 func (env *testEnv) waitFor(release <-chan struct{}) {
 	select {
 	case <-release:
@@ -120,7 +121,8 @@
 	}
 }
 
-// delayCounter keeps the counter from answering until release is closed; requests wait for it as long as the test likes.
+// delayCounter holds back the counter's responses until release is closed. Deadlines and the counter's timeout are set to a
+// minute, so that requests wait that long.
 func (env *testEnv) delayCounter(release <-chan struct{}) {
 	env.counterHandler = func(rw http.ResponseWriter, r *http.Request) {
 		env.waitFor(release)
@@ -133,7 +135,7 @@
 	}
 }
 
-// echo answers with what came, and notes it.
+// echo records the request and responds with a summary of it.
 func (env *testEnv) echo(rw http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	got := fmt.Sprintf("%s %s id=%s key=%s body=%d", r.Method, r.RequestURI, r.Header.Get("Request-Id"),
@@ -148,13 +150,14 @@
 	env.records = append(env.records, s)
 }
 
-// recorded is what upstream hosts got.
+// recorded returns what record has stored, without the calls to discovery.
 func (env *testEnv) recorded() []string {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(env.records), func(s string) bool { return strings.HasPrefix(s, "watch") })
 }
 
+// serve runs a server until the end of the test and returns its address.
 func (env *testEnv) serve(h http.HandlerFunc) string {
 	s := httptest.NewUnstartedServer(h)
 	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
@@ -172,32 +175,35 @@
 	return s.Listener.Addr().String()
 }
 
+// freeAddr returns a local address at which nothing listens.
 func freeAddr(t *testing.T) string {
 	addr, err := standin.Free()
 	require.NoError(t, err)
 	return addr
 }
 
+// object is a JSON object.
 type object = map[string]any
 
-// hostEntry is a host of the list; each is of a cell of its own.
+// hostEntry returns a host for a discovery message. The second byte of its id, a digit, is its cell.
 func hostEntry(id, addr, state string) object {
 	return object{"id": id, "addr": addr, "zone": "a", "kind": "k", "cell": int(id[1] - '0'), "state": state, "weight": 1, "started_ms": 0}
 }
 
+// discoveryMessage returns a line as discovery sends it. A full message replaces the list, another one changes it.
 func discoveryMessage(version int, full bool, entries ...object) string {
 	b, _ := json.Marshal(object{"version": version, "full": full, "servers": entries})
 	return string(b) + "\n"
 }
 
-// setDeadlines gives all classes so many milliseconds.
-func setDeadlines(settings map[string]any, most int) {
+// setDeadlines sets the deadlines and targets of all classes, in milliseconds.
+func setDeadlines(settings map[string]any, deadline int) {
 	for _, c := range settings["classes"].([]object) {
-		c["deadline"], c["onTime"] = most, most
+		c["deadline"], c["onTime"] = deadline, deadline
 	}
 }
 
-// start starts the daemon and waits until it says that it is ready.
+// start starts the stand-ins and the daemon and waits until the daemon is ready.
 func (env *testEnv) start() *testEnv {
 	var list []object
 	for id, h := range env.hosts {
@@ -255,7 +261,7 @@
 	return env
 }
 
-// launch starts the process with the configuration as it was written last.
+// launch starts the daemon with the configuration that was written last.
 func (env *testEnv) launch() {
 	command := append([]string{binaryPath, "serve"}, env.args...)
 	if env.maxDescriptors > 0 {
@@ -264,12 +270,12 @@
 	env.cmd = exec.Command(command[0], command[1:]...)
 	discovery := fmt.Sprint(env.config["discovery"])
 	env.cmd.Env, env.cmd.Stderr = append([]string{"GW_CONFIG=" + env.configPath, "GW_DISCOVERY=" + discovery}, env.extraEnv...), env.log.File
-	// A successor is of the same group, and outlives the process that the test knows.
+	// A successor is in the same process group and may outlive env.cmd.
 	env.cmd.SysProcAttr, env.cmd.WaitDelay = &syscall.SysProcAttr{Setpgid: true}, time.Second
 	require.NoError(env.t, env.cmd.Start())
 }
 
-// isReady tells whether the process says that it is isReady.
+// isReady reports whether the daemon's readiness check succeeds.
 func (env *testEnv) isReady() bool {
 	resp, err := http.Get("http://" + env.addr + "/up")
 	if err != nil {
@@ -279,7 +285,7 @@
 	return resp.StatusCode == 200
 }
 
-// discoveryHandler is discovery: a list, and then what the channel brings.
+// discoveryHandler handles calls to discovery: it sends the list and then each message of updates.
 func (env *testEnv) discoveryHandler(news <-chan string, list ...object) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		env.record("watch " + r.URL.Query().Get("index"))
@@ -296,29 +302,31 @@
 	}
 }
 
-// writeConfig writes the configuration as it is now.
+// writeConfig writes env.config to its file.
 func (env *testEnv) writeConfig() {
 	raw, err := json.Marshal(env.config)
 	require.NoError(env.t, err)
 	require.NoError(env.t, os.WriteFile(env.configPath, raw, 0o600))
 }
 
-// eventually waits on a condition.
+// eventually waits for a condition.
 func (env *testEnv) eventually(cond func() bool) {
 	env.t.Helper()
 	require.Eventually(env.t, cond, testTimeout, 5*time.Millisecond)
 }
 
-// response is an answer, read whole.
+// response is an HTTP response with its whole body.
 type response struct {
 	status int
 	header http.Header
 	body   string
 }
 
+// lastCustomer is the id of the customer that request or frontRequest used last.
 var lastCustomer int
 
-// request builds a request of the platform's protocol, by a customer of its own unless one is given.
+// request returns a request in the platform's protocol. A path that doesn't begin with / gets a new customer in front.
+// header holds names and values in turn.
 func (env *testEnv) request(method, path, class string, body io.Reader, header ...string) *http.Request {
 	if !strings.HasPrefix(path, "/") {
 		lastCustomer++
@@ -351,6 +359,7 @@
 	return response{resp.StatusCode, resp.Header, string(b)}, err
 }
 
+// mustDo sends a request and fails the test if there is no response.
 func (env *testEnv) mustDo(r *http.Request) response {
 	env.t.Helper()
 	got, err := env.do(r)
@@ -358,7 +367,7 @@
 	return got
 }
 
-// dialAndWrite writes bytes on a connection of its own.
+// dialAndWrite opens a connection to the daemon and writes text to it.
 func (env *testEnv) dialAndWrite(text string) net.Conn {
 	c, err := net.Dial("tcp", env.addr)
 	require.NoError(env.t, err)
@@ -369,7 +378,7 @@
 	return c
 }
 
-// waitForExit waits for the end of the process and returns its exit code.
+// waitForExit waits until the daemon has exited and returns its exit code.
 func (env *testEnv) waitForExit() int {
 	done := make(chan struct{})
 	go func() { _ = env.cmd.Wait(); close(done) }()
--- a/cmd/ferryfront/trace_test.go
+++ b/cmd/ferryfront/trace_test.go
@@ -13,7 +13,7 @@
 	tracev1 "go.opentelemetry.io/proto/otlp/trace/v1"
 )
 
-// findSpan returns the one that a traceparent names.
+// findSpan returns the collected span that a traceparent header names, or nil.
 func (env *testEnv) findSpan(parent string) *tracev1.Span {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -25,16 +25,17 @@
 	return nil
 }
 
-// A client's trace goes on through the ingress to the order host and back; each span is where the headers say.
+// A client's trace continues through the ingress to the upstream host. The headers in both directions name the spans that the
+// collector received.
 func TestClientTraceIsContinued(t *testing.T) {
 	env := newTestEnv(t)
 	var mu sync.Mutex
-	told, states := map[string]string{}, map[string]string{}
+	traceparents, tracestates := map[string]string{}, map[string]string{}
 	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		id := r.Header.Get("Request-Id")
-		told[id], states[id] = r.Header.Get("Traceparent"), r.Header.Get("Tracestate")
+		traceparents[id], tracestates[id] = r.Header.Get("Traceparent"), r.Header.Get("Tracestate")
 	}
 	env.args = []string{"--otlp", "http://" + env.serve(env.collectTelemetry)}
 	env.start()
@@ -60,31 +61,31 @@
 
 	require.Equal(t, trace, back[3:35])
 	require.Equal(t, "-00", back[52:], "the caller does not sample")
-	require.Equal(t, trace, told["known"][3:35])
-	require.Equal(t, "shop=42", states["known"])
+	require.Equal(t, trace, traceparents["known"][3:35])
+	require.Equal(t, "shop=42", tracestates["known"])
 	stream := env.findSpan(back)
 	require.Equal(t, "stream", stream.Name)
 	require.Equal(t, caller, hex.EncodeToString(stream.ParentSpanId))
-	try := env.findSpan(told["known"])
-	require.Equal(t, "upstream request", try.Name)
-	require.Equal(t, stream.SpanId, try.ParentSpanId)
+	attempt := env.findSpan(traceparents["known"])
+	require.Equal(t, "upstream request", attempt.Name)
+	require.Equal(t, stream.SpanId, attempt.ParentSpanId)
 	require.NotEqual(t, own[3:35], huge[3:35])
-	require.NotContains(t, huge, "ffffffff", "what can't be read is not continued")
+	require.NotContains(t, huge, "ffffffff", "an invalid trace is not continued")
 	require.Equal(t, trace, long[3:35])
-	require.Empty(t, states["long"], "a state that can't be trusted is dropped, and the trace goes on")
-	require.Equal(t, first[3:35], again[3:35], "tries of one order are of one trace")
+	require.Empty(t, tracestates["long"], "an oversized trace state is dropped, and the trace continues")
+	require.Equal(t, first[3:35], again[3:35], "requests for one order share a trace")
 	require.NotEqual(t, first[36:52], again[36:52])
-	require.NotEqual(t, first[3:35], other[3:35], "another dealer's are not")
-	dealer := ""
+	require.NotEqual(t, first[3:35], other[3:35], "those of another customer don't")
+	customer := ""
 	for _, a := range env.findSpan(first).Attributes {
 		if a.Key == "dealer" {
-			dealer = a.Value.GetStringValue()
+			customer = a.Value.GetStringValue()
 		}
 	}
-	require.Equal(t, "00000000000000bb", dealer)
+	require.Equal(t, "00000000000000bb", customer)
 }
 
-// Without telemetry nothing is added.
+// Without telemetry no trace headers are added.
 func TestNoTraceWithoutTelemetry(t *testing.T) {
 	env := newTestEnv(t)
 	env.hosts["h1"] = func(rw http.ResponseWriter, r *http.Request) { env.record("trace " + r.Header.Get("Traceparent")) }
--- a/cmd/ferryfront/upgrade_test.go
+++ b/cmd/ferryfront/upgrade_test.go
@@ -19,6 +19,7 @@
 	"ferryfront.example/ferryfront/internal/daemon"
 )
 
+// requestUpgrade upgrades the daemon through its control socket and returns the result.
 func (env *testEnv) requestUpgrade(socket string) daemon.Progress {
 	env.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -28,7 +29,7 @@
 	return end
 }
 
-// getOnConnection asks on a connection that is already there.
+// getOnConnection sends a GET request on an open connection and returns the status of the response.
 func getOnConnection(t *testing.T, c net.Conn, r *bufio.Reader, path, header string) int {
 	t.Helper()
 	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
@@ -41,7 +42,7 @@
 	return resp.StatusCode
 }
 
-// Both fronts, a connection that is kept, a spent quota and an idle upstream connection come over.
+// An upgrade hands over both fronts, open client connections, a spent quota and an idle upstream connection.
 func TestUpgradeKeepsFrontsConnectionsAndState(t *testing.T) {
 	env := newTestEnv(t)
 	dir := t.TempDir()
@@ -66,7 +67,7 @@
 		return status
 	}
 	require.Equal(t, 200, spend(3))
-	require.Equal(t, 429, spend(1), "three units are the plan's store")
+	require.Equal(t, 429, spend(1), "the plan's quota allows a burst of three units")
 	c1, c2 := env.dialAndWrite(""), mustDial(t, second)
 	r1, r2 := bufio.NewReader(c1), bufio.NewReader(c2)
 	platform := "Request-Id: a\r\nRequest-Class: stock\r\nX-Plan: boutique\r\n"
@@ -80,10 +81,10 @@
 		require.EqualValues(t, 3, end.Customers)
 		require.Equal(t, 200, getOnConnection(t, c1, r1, "/api/1", platform))
 		require.Equal(t, 200, getOnConnection(t, c2, r2, "/stock", "X-Dealer: 2\r\n"))
-		require.Equal(t, 429, spend(1), "what was spent stays spent")
+		require.Equal(t, 429, spend(1), "the quota is still spent")
 		env.eventually(func() bool { return strings.Count(env.log.String(), "handed over") > 0 })
 	}
-	require.Equal(t, dials, env.closedConnections("h1"), "the order host's connection has come over, too")
+	require.Equal(t, dials, env.closedConnections("h1"), "the upstream connection is handed over, too")
 	require.Contains(t, env.log.String(), `"msg":"taken over"`)
 }
 
@@ -98,11 +99,11 @@
 	env := newTestEnv(t).start()
 	env.signal(syscall.SIGUSR2)
 	env.eventually(func() bool { return strings.Contains(env.log.String(), "upgrade done") })
-	require.Zero(t, env.waitForExit(), "the old process has ended well")
+	require.Zero(t, env.waitForExit(), "the old process exits without error")
 	require.Equal(t, 200, env.mustDo(env.request("GET", "", "stock", nil)).status)
 }
 
-// A repeat of an order goes to the cell that knows the key. While a request with it is open, it goes nowhere.
+// A repeated order goes to the cell that knows its idempotency key. While a request with the key is open, it is rejected.
 func TestIdempotencyKeyStaysInCell(t *testing.T) {
 	env := newTestEnv(t)
 	env.hosts["h2"] = env.echo
@@ -112,7 +113,7 @@
 			env.record(id)
 			if r.Header.Get("Request-Id") == "first" {
 				<-release
-			} else if env.recorded()[0] == id { // so that by its latency the other one is to be preferred
+			} else if env.recorded()[0] == id { // so that the other host's latency is better
 				time.Sleep(30 * time.Millisecond)
 			}
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,7 +29,7 @@
 	require.Equal(t, "n9", c.Name)
 	require.Equal(t, "127.0.0.9:1", c.Listen)
 	require.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
-	require.Equal(t, 12*time.Second, c.Limits.UpstreamIdleTimeout, "well before the other side closes")
+	require.Equal(t, 12*time.Second, c.Limits.UpstreamIdleTimeout, "well before the host closes the connection")
 	require.Equal(t, 2600*time.Millisecond, c.Limits.DrainTimeout)
 	e := c.KnownHosts.Entries[0]
 	require.Equal(t, "127.0.0.4:8443", e.Addr)
@@ -37,7 +37,7 @@
 	require.Equal(t, 1764585283123500*time.Microsecond, e.Boot)
 }
 
-// The daemon, its descriptors and the counter's connections fit in what a process may hold.
+// The connections to clients, upstream hosts and the counter leave 40 descriptors of the limit for everything else.
 func TestConnectionsFitTheDescriptors(t *testing.T) {
 	c, err := Parse([]byte(validConfig), mapEnv(nil))
 	require.NoError(t, err)
@@ -85,7 +85,7 @@
 	require.ErrorContains(t, err, path+": limits is missing")
 }
 
-// Other settings take the place of its own, but for what an ingress has for itself; bad ones are turned down.
+// WithSharedSettings replaces all settings but those of the ingress itself, and rejects invalid ones.
 func TestWithSharedSettings(t *testing.T) {
 	c, err := Parse([]byte(strings.Replace(validConfig, `"seed"`, `"settings_version":7,"seed"`, 1)), mapEnv(map[string]string{"GW_NAME": "n9"}))
 	require.NoError(t, err)
@@ -109,9 +109,9 @@
 	}
 }
 
-// Other settings are read without the list of hosts, which may be far longer than all else.
+// The list of known hosts may be far longer than the settings, so WithSharedSettings must not parse it again.
 func TestWithSharedSettingsCostIgnoresKnownHosts(t *testing.T) {
-	cost := func(hosts int) float64 {
+	allocations := func(hosts int) float64 {
 		host := validConfig[strings.Index(validConfig, `{"id"`):strings.Index(validConfig, "]},")]
 		list := host + strings.Repeat(","+host, hosts-1)
 		file := strings.Replace(strings.Replace(validConfig, host, list, 1), `"seed"`, `"settings_version":7,"seed"`, 1)
@@ -123,5 +123,5 @@
 			require.NoError(t, err)
 		})
 	}
-	require.InDelta(t, cost(1), cost(2000), 20)
+	require.InDelta(t, allocations(1), allocations(2000), 20)
 }
--- a/internal/config/error_line_test.go
+++ b/internal/config/error_line_test.go
@@ -20,8 +20,8 @@
    {"name": "a", "effect": "retryable",
     "deadline": "soon"}]}}`
 
-// What is wrong is told with file, line and field; a field that is missing by the line of what should hold it, and a file
-// that was cut short by the line where it ends.
+// An error names file, line and field. A missing field has the line of the object that should hold it, and a truncated file the
+// line where it ends.
 func TestErrorsNameFileAndLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	load := func(text string) string {
--- a/internal/config/read_test.go
+++ b/internal/config/read_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A disk or a machine that fails for a moment is asked again; what does not pass is told at once.
+// A read that fails with a temporary error is repeated. A permanent error is returned at once.
 func TestReadFileRetriesTransientErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(path, []byte("text"), 0o600))
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -9,17 +9,19 @@
 	"github.com/stretchr/testify/require"
 )
 
+// writeAndReload loads reloadableConfig and reloads text in its place.
 func writeAndReload(t *testing.T, text string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.json")
 	e := mapEnv(map[string]string{"GW_CONFIG": path})
 	require.NoError(t, os.WriteFile(path, []byte(reloadableConfig), 0o600))
-	was, err := Load(e)
+	previous, err := Load(e)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-	return Reload(e, was)
+	return Reload(e, previous)
 }
 
+// reloadableConfig is validConfig with the key that a reload requires in addition.
 var reloadableConfig = strings.Replace(validConfig, `"dialTimeout":250}`, `"dialTimeout":250,"maxAttempts":3}`, 1)
 
 func TestReloadRejectsIncompleteFiles(t *testing.T) {
--- a/internal/config/shared_test.go
+++ b/internal/config/shared_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The shared part alone is held to what a reload holds a file to.
+// CheckShared is as strict as a reload.
 func TestCheckShared(t *testing.T) {
 	whole := strings.Replace(strings.Replace(validConfig, `"seed"`, `"settings_version":7,"seed"`, 1),
 		`"limits":{"idleClose"`, `"limits":{"maxAttempts":2,"idleClose"`, 1)
@@ -29,7 +29,7 @@
 	require.Error(t, CheckShared([]byte("null")))
 }
 
-// A strict reading of a whole file without one before it, as an operator's proposal needs.
+// Reload without a previous configuration is as strict as one with it. Commands that propose settings read files this way.
 func TestReloadWithoutPreviousConfig(t *testing.T) {
 	path := t.TempDir() + "/c.json"
 	require.NoError(t, os.WriteFile(path, []byte(validConfig), 0o600))
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -76,12 +76,13 @@
 
 // New makes a connection of fd and reads from it until ConnectionLost or Close. It sets fd nonblocking and
 // close-on-exec. After an error fd remains the caller's.
-func New(l *loop.Loop, lim limits.Limits, fd int, s Sink) (*Conn, error) {
+func New(l *loop.Loop, limits limits.Limits, fd int, s Sink) (*Conn, error) {
 	if err := unix.SetNonblock(fd, true); err != nil {
 		return nil, fmt.Errorf("handover: descriptor %d: %w", fd, err)
 	}
 	unix.CloseOnExec(fd)
-	c := &Conn{loop: l, limits: lim, sink: s, sendMessage: unix.SendmsgN, readBuffer: make([]byte, maxPacketBytes+1), controlBuffer: make([]byte, unix.CmsgSpace(4*maxMessageFDs))}
+	c := &Conn{loop: l, limits: limits, sink: s, sendMessage: unix.SendmsgN, readBuffer: make([]byte, maxPacketBytes+1),
+		controlBuffer: make([]byte, unix.CmsgSpace(4*maxMessageFDs))}
 	var err error
 	if c.source, err = l.Watch(fd, loop.In|loop.Hangup, c); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -146,6 +147,7 @@
 	c.source.Close()
 }
 
+// closeAll closes descriptors and ignores errors.
 func closeAll(fds []int) {
 	for _, fd := range fds {
 		_ = unix.Close(fd)
--- a/internal/handover/conn_test.go
+++ b/internal/handover/conn_test.go
@@ -15,7 +15,7 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// recordingSink is a sink that notes what comes and stops the loop when it has enough.
+// recordingSink records what its connection reads. It stops the loop after wantMessages messages or the loss of the connection.
 type recordingSink struct {
 	loop         *loop.Loop
 	messages     []*pb.Envelope
@@ -36,13 +36,14 @@
 
 func (e *recordingSink) Turn(time.Duration) time.Duration { return 0 }
 
-func newTestPair(t *testing.T, most int) (l *loop.Loop, a *Conn, b *recordingSink, raw int) {
+// newTestPair returns the two ends of a connection, with b as the sink of one, and the descriptor of the other, a.
+func newTestPair(t *testing.T, maxMessageBytes int) (l *loop.Loop, a *Conn, b *recordingSink, raw int) {
 	l, err := loop.New()
 	require.NoError(t, err)
 	ours, theirs, err := Pair()
 	require.NoError(t, err)
 	b = &recordingSink{loop: l}
-	lim := limits.Limits{MaxHandoverMessageBytes: most}
+	lim := limits.Limits{MaxHandoverMessageBytes: maxMessageBytes}
 	a, err = New(l, lim, ours, &recordingSink{loop: l})
 	require.NoError(t, err)
 	b.conn, err = New(l, lim, theirs, b)
@@ -58,7 +59,7 @@
 	fd, err := loop.Duplicate(int(w.Fd()))
 	require.NoError(t, err)
 	require.NoError(t, w.Close())
-	long := bytes.Repeat([]byte("x"), 5<<20) // far over what a socket takes at once
+	long := bytes.Repeat([]byte("x"), 5<<20) // far more than a socket buffers
 	a.Send(&pb.Envelope{Body: &pb.Envelope_Client{Client: &pb.ClientConnection{Out: long}}}, fd)
 	require.Positive(t, a.QueuedBytes())
 	a.Send(&pb.Envelope{Body: &pb.Envelope_Farewell{Farewell: &pb.Farewell{}}})
@@ -75,7 +76,7 @@
 	require.Equal(t, "through", string(got))
 	loop.CloseFD(b.fds[0])
 	_, err = r.Read(got)
-	require.ErrorIs(t, err, io.EOF, "the sender has closed its own")
+	require.ErrorIs(t, err, io.EOF, "the sender has closed its descriptor")
 	require.Zero(t, a.QueuedBytes())
 }
 
@@ -103,10 +104,10 @@
 	require.ErrorIs(t, b.err, io.EOF)
 }
 
-// A process that dies with messages unread resets the connection; that is its end, and no garbage.
+// A process that dies with unread messages resets the connection. That counts as its end and not as invalid data.
 func TestPeerDiesWithUnreadMessages(t *testing.T) {
 	l, a, b, raw := newTestPair(t, 1000)
-	theirs := b.conn.source.Detach() // it reads no more
+	theirs := b.conn.source.Detach() // the other end reads no more
 	a.Send(&pb.Envelope{Body: &pb.Envelope_Settled{Settled: &pb.Settled{}}})
 	loop.CloseFD(theirs)
 	other := a.sink.(*recordingSink)
@@ -115,10 +116,10 @@
 	require.GreaterOrEqual(t, raw, 0)
 }
 
-// A message of a later version keeps what an earlier one does not know.
+// Fields of a later version that this one doesn't know are kept and don't make a message invalid.
 func TestUnknownFieldsAreKept(t *testing.T) {
 	l, a, b, raw := newTestPair(t, 1000)
-	_, err := unix.Write(raw, []byte("\x00\xca\x3e\x01x\x0a\x02\x08\x01")) // field 1001 beside a hello
+	_, err := unix.Write(raw, []byte("\x00\xca\x3e\x01x\x0a\x02\x08\x01")) // a Hello and the unknown field 1001
 	require.NoError(t, err)
 	_ = a
 	b.wantMessages = 1
@@ -127,8 +128,7 @@
 	require.NotEmpty(t, b.messages[0].ProtoReflect().GetUnknown())
 }
 
-// The machine has no memory for a message for a moment: that is no end of the other side, and every message comes, each
-// once and in order.
+// Sending fails for lack of memory for a while. The connection stays open, and every message arrives once and in order.
 func TestSendRetriesWithoutMemory(t *testing.T) {
 	l, a, b, _ := newTestPair(t, 1<<20)
 	calls := 0
--- a/internal/handover/convert_test.go
+++ b/internal/handover/convert_test.go
@@ -16,7 +16,7 @@
 	"ferryfront.example/ferryfront/internal/net/downstream"
 )
 
-// roundTrip is a message's way to the other process.
+// roundTrip encodes a message and decodes it into an empty one, as on the way to the other process.
 func roundTrip[M proto.Message](t *rapid.T, m M, empty M) M {
 	b, err := proto.Marshal(m)
 	require.NoError(t, err)
@@ -24,7 +24,7 @@
 	return empty
 }
 
-// Whatever a part's state holds, every field of it comes over: a field that was forgotten comes back zero.
+// Every field of the state survives encoding and decoding. A field that a conversion forgets would come back as zero.
 func TestStateRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := rapid.Make[admission.CustomerState]().Draw(t, "customer")
@@ -36,7 +36,7 @@
 		ev := rapid.Make[admission.AttemptEnded]().Draw(t, "attempt")
 		ev.Outcome = admission.Outcome(rapid.IntRange(0, int(admission.OutcomeCount)-1).Draw(t, "outcome"))
 		ev.Attempt %= 8
-		ev.Done, ev.Billed, ev.Used, ev.Report, ev.NotReplayable = true, 0, 0, nil, false // not told
+		ev.Done, ev.Billed, ev.Used, ev.Report, ev.NotReplayable = true, 0, 0, nil, false // not in the message
 		got, at := DecodeAttemptEnded(roundTrip(t, EncodeAttemptEnded(ev, time.Hour), &pb.AttemptEnded{}))
 		require.Equal(t, time.Hour, at)
 		require.Equal(t, ev, got)
@@ -61,12 +61,12 @@
 	})
 }
 
-// requireEqualJSON takes an empty list for none, as the messages do.
+// requireEqualJSON compares two values and takes empty lists for missing ones, because messages don't distinguish them.
 func requireEqualJSON(t *rapid.T, want, got any) {
 	require.Equal(t, normalizedJSON(want), normalizedJSON(got))
 }
 
-// normalizedJSON writes a value so that no list and an empty one are the same.
+// normalizedJSON returns the JSON form of a value, the same for a missing and an empty list.
 func normalizedJSON(v any) string {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/handover/phase/phase.go
+++ b/internal/handover/phase/phase.go
@@ -43,6 +43,7 @@
 var messageNames = [messageCount]string{"hello", "prepared", "restored", "serving", "refused", "leaving", "welcome", "snapshot",
 	"commit", "abort", "settled", "farewell"}
 
+// String returns the message's name.
 func (m Message) String() string {
 	if m < 0 || m >= messageCount {
 		return fmt.Sprintf("message %d", int(m))
@@ -159,11 +160,13 @@
 	actionCount
 )
 
+// actionNames are only for tests and debugging.
 var actionNames = [actionCount]string{"spawn", "send welcome", "copy customers", "freeze", "send snapshot", "send commit", "unfreeze",
 	"send abort", "kill", "reclaim listeners", "send settled", "send terminate", "send reload", "drain", "drain remaining", "send farewell", "report done",
 	"report failed", "prepare", "send prepared", "restore", "send restored", "serve", "send serving", "send refused",
 	"send leaving", "forget predecessor", "reload", "exit", "start timer", "stop timer"}
 
+// String returns the action's name.
 func (a Action) String() string {
 	if a < 0 || a >= actionCount {
 		return fmt.Sprintf("action %d", int(a))
--- a/internal/handover/phase/phase_test.go
+++ b/internal/handover/phase/phase_test.go
@@ -8,22 +8,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// processPair is both processes with what is on its way between them; it is a value, so that every order of events
-// can be tried from it.
+// processPair is the state of both processes and of the messages between them. It is copied for each possible next event, so
+// that every order of events can be tried.
 type processPair struct {
 	oldProcess                   OldProcess
 	newProcess                   NewProcess
 	isOldAlive, isNewAlive       bool
-	isNewKilled                  bool // SIGKILL was sent to the new one and has not struck yet
+	isNewKilled                  bool // the new process was sent SIGKILL and hasn't ended yet
 	isOldReading                 bool
 	isNewReading                 bool
-	isOldListening               bool // the old one still holds the listeners
-	reports                      int  // reports to who asked
+	isOldListening               bool // the old process still holds the listeners
+	reports                      int  // results reported to the requester
 	upgrades                     int
 	toNew, toOld                 string
 	isOldDraining, isNewDraining bool
 }
 
+// messageLetters encodes messages on their way, so that a processPair can be compared as text.
 var messageLetters = map[Message]byte{Hello: 'h', Prepared: 'p', Restored: 'r', Serving: 's', Refused: 'R', Leaving: 'l', Welcome: 'w',
 	Snapshot: 'S', Commit: 'c', Abort: 'a', Settled: 't', Farewell: 'f'}
 
@@ -92,11 +93,11 @@
 	}
 }
 
-// nextSteps are all that may happen next.
+// nextSteps returns the states after each event that can happen next.
 func (p processPair) nextSteps() []processPair {
 	var next []processPair
-	try := func(may bool, f func(q *processPair)) {
-		if may {
+	try := func(isPossible bool, f func(q *processPair)) {
+		if isPossible {
 			q := p
 			f(&q)
 			next = append(next, q)
@@ -124,25 +125,27 @@
 	try(p.isOldAlive && !p.isOldDraining && !p.oldProcess.isTerminating, func(q *processPair) { q.handleOld(TerminateRequested{}) })
 	try(p.isNewAlive && !p.isNewDraining, func(q *processPair) { q.handleNew(TerminateRequested{}) })
 	try(p.isNewAlive && p.isNewDraining, func(q *processPair) { q.isNewAlive, q.isNewReading = false, false })
-	try(p.isNewAlive, func(q *processPair) { q.isNewAlive, q.isNewReading = false, false }) // killed, or struck at last
-	// The old one learns of the other's death once it has read what that had sent, and the channel stays open
-	// until then, so that a new one in Holding never takes a SIGKILL on its way for the old one's death.
+	try(p.isNewAlive, func(q *processPair) { q.isNewAlive, q.isNewReading = false, false }) // killed by somebody, or by the SIGKILL
+	// The old process learns of the new one's end after reading its last messages, and keeps the connection open until then.
+	// So a new process in AwaitingCommit that is about to be killed never takes the old one for dead.
 	try(!p.isNewAlive && p.isOldAlive && p.oldProcess.IsInProgress() && p.toOld == "", func(q *processPair) { q.handleOld(PeerExited{"killed"}) })
-	try(p.isOldAlive && p.isNewAlive && !p.isNewKilled, func(q *processPair) { // kill -9 of the old one
+	try(p.isOldAlive && p.isNewAlive && !p.isNewKilled, func(q *processPair) { // SIGKILL of the old process
 		q.isOldAlive, q.isOldReading, q.isOldListening = false, false, false
 	})
 	try(!p.isOldAlive && p.isNewAlive && p.toNew == "" && p.newProcess.State != Independent, func(q *processPair) { q.handleNew(PeerExited{}) })
 	return next
 }
 
-// Every order in which messages, time-outs, deaths and signals may come is tried, over two upgrades in a row.
+// Tries every order in which messages, timeouts, deaths and signals can come, over two upgrades in a row.
 func TestEveryOrderOfEvents(t *testing.T) {
 	t.Run("upgrade", func(t *testing.T) { tryEveryOrder(t, false) })
 	t.Run("started by somebody else", func(t *testing.T) { tryEveryOrder(t, true) })
 }
 
-func tryEveryOrder(t *testing.T, beside bool) {
-	first := processPair{isOldAlive: true, isOldReading: true, isOldListening: true, oldProcess: OldProcess{HasExternalSuccessor: beside}}
+// tryEveryOrder explores all states that can be reached and checks in each that at most one process reads requests, and at each
+// end that one does, unless the ingress is ending.
+func tryEveryOrder(t *testing.T, isExternal bool) {
+	first := processPair{isOldAlive: true, isOldReading: true, isOldListening: true, oldProcess: OldProcess{HasExternalSuccessor: isExternal}}
 	seen := map[string]bool{}
 	work := []processPair{first}
 	states := map[string]bool{}
@@ -158,12 +161,12 @@
 		require.False(t, p.isOldReading && p.isNewReading, "both read: %s", key)
 		require.LessOrEqual(t, p.reports, p.upgrades, key)
 		next := p.nextSteps()
-		if p.isOldAlive && !p.isOldReading && !p.oldProcess.isTerminating { // someone reads, or it is still to be decided
-			require.True(t, p.oldProcess.IsInProgress(), "the old process reads no more for nothing: %s", key)
+		if p.isOldAlive && !p.isOldReading && !p.oldProcess.isTerminating { // an upgrade is still to be decided, or the new process reads
+			require.True(t, p.oldProcess.IsInProgress(), "the old process has stopped reading without an upgrade: %s", key)
 		}
 		if len(next) == 0 || slices.Equal(next, []processPair{p}) {
 			reads := p.isOldAlive && p.isOldReading || p.isNewAlive && p.isNewReading
-			require.True(t, reads || !p.isOldAlive && !p.isNewAlive || p.isOldDraining || p.oldProcess.isTerminating, "the service is lost: %s", key)
+			require.True(t, reads || !p.isOldAlive && !p.isNewAlive || p.isOldDraining || p.oldProcess.isTerminating, "no process serves: %s", key)
 		}
 		work = append(work, next...)
 	}
@@ -173,11 +176,11 @@
 	for s := range newStateCount {
 		require.True(t, states[s.String()], "never reached: %s", s)
 	}
-	t.Logf("%d situations", len(seen))
+	t.Logf("%d states", len(seen))
 }
 
-// The old process is told to end once the new one serves, by who has started that: the new one goes on, whether or
-// not the old one still has something, and it is not taken for dead by its own end.
+// Whoever started the new process ends the old one with SIGTERM once the new one serves. The new one must serve on, whether or
+// not the old one has open requests, and the old one must not take the listeners back.
 func TestTerminatingOldProcessKeepsNewOne(t *testing.T) {
 	m := OldProcess{State: Probation, HasExternalSuccessor: true}
 	require.Equal(t, []Action{DrainRemaining, StopTimer, SendSettled, ReportDone}, m.Handle(TerminateRequested{}))
@@ -186,10 +189,10 @@
 	m = OldProcess{State: Draining, HasExternalSuccessor: true}
 	require.Equal(t, []Action{DrainRemaining}, m.Handle(TerminateRequested{}))
 	require.Empty(t, m.Handle(TerminateRequested{}))
-	require.NotContains(t, m.Handle(PeerExited{"killed"}), ReclaimListeners, "both were told to end, or killed")
+	require.NotContains(t, m.Handle(PeerExited{"killed"}), ReclaimListeners, "both processes were ended")
 }
 
-// The death of the old process after all is in place must not leave the listeners to nobody.
+// The old process dies after the new one has restored the snapshot. The new one must serve then, or no process would.
 func TestRestoredProcessTakesOverFromDeadOne(t *testing.T) {
 	m := NewProcess{State: AwaitingCommit}
 	require.Equal(t, []Action{StopTimer, Serve, ForgetPredecessor}, m.Handle(PeerExited{}))
@@ -209,7 +212,7 @@
 			m := OldProcess{State: s}
 			actions := m.Handle(ev)
 			require.Equal(t, s == Frozen && m.State == Idle, slices.Contains(actions, Unfreeze), "%s %#v", s, ev)
-			if s >= Starting && s <= Frozen && m.State == Idle { // each failure is told, and the other one ended
+			if s >= Starting && s <= Frozen && m.State == Idle { // each failure is reported and ends the new process
 				require.Contains(t, actions, ReportFailed, "%s %#v", s, ev)
 				require.Contains(t, actions, Kill, "%s %#v", s, ev)
 				require.NotEmpty(t, m.Failure)
@@ -234,13 +237,13 @@
 		actions := m.Handle(TerminateRequested{})
 		require.Equal(t, Drain, actions[len(actions)-1])
 		require.Equal(t, Idle, m.State)
-		require.Empty(t, m.Handle(UpgradeRequested{}), "nothing is started on the way out")
+		require.Empty(t, m.Handle(UpgradeRequested{}), "no upgrade starts while the ingress ends")
 	}
 	m := OldProcess{State: Probation}
 	require.Equal(t, []Action{SendTerminate}, m.Handle(TerminateRequested{}))
-	require.NotContains(t, m.Handle(PeerExited{"exit 0"}), ReclaimListeners, "its end was asked for")
+	require.NotContains(t, m.Handle(PeerExited{"exit 0"}), ReclaimListeners, "its end was requested")
 	m = OldProcess{State: Copying}
 	m.Handle(ReloadRequested{})
 	m.State = Frozen
-	require.Contains(t, m.Handle(MessageReceived{Message: Restored}), SendReload, "it may have read the old configuration")
+	require.Contains(t, m.Handle(MessageReceived{Message: Restored}), SendReload, "the new process may have read the old configuration")
 }
--- a/internal/own/own_test.go
+++ b/internal/own/own_test.go
@@ -17,7 +17,7 @@
 	return path
 }
 
-// Ingresses talk to each other only where the file says so; its times become bounds.
+// Membership is off unless the file enables it. Its durations become limits.
 func TestMembershipIsOffUnlessEnabled(t *testing.T) {
 	s, err := Read(writeFile(t, `log: level: "warn"`))
 	require.NoError(t, err)
@@ -31,7 +31,7 @@
 		[]any{l.MemberProbeInterval, l.MemberAckTimeout, l.MemberSuspicionTimeout, l.MemberIndirectProbes})
 }
 
-// The defaults of the file are those of a start without one.
+// The defaults of the schema are the limits of a start without a settings file.
 func TestMembershipDefaultsMatchLimits(t *testing.T) {
 	s, err := Read(writeFile(t, ``))
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 	}
 }
 
-// There is a control group only where the file names its replicas.
+// The control group is off unless the file names replicas.
 func TestControlGroupIsOffUnlessNamed(t *testing.T) {
 	s, err := Read(writeFile(t, ``))
 	require.NoError(t, err)
