--- a/cmd/ferryfront/config.go
+++ b/cmd/ferryfront/config.go
@@ -30,14 +30,14 @@
 	if err != nil {
 		return c, err
 	}
-	if o.Control == "" {
-		o.Control = s.Control
+	if o.ControlSocket == "" {
+		o.ControlSocket = s.Control
 	}
-	if o.OTLP == "" {
-		o.OTLP = s.Telemetry.Endpoint
+	if o.OTLPEndpoint == "" {
+		o.OTLPEndpoint = s.Telemetry.Endpoint
 	}
-	if o.ReadFront == nil && s.Front != nil {
-		o.ReadFront = s.File
+	if o.ReadFrontFile == nil && s.Front != nil {
+		o.ReadFrontFile = s.File
 	}
 	if format == "" {
 		c.Log.Format = s.Log.Format
@@ -45,7 +45,7 @@
 	if level == "" {
 		c.Log.Level = s.Log.Level
 	}
-	o.Members, o.ControlReplicas = s.Membership.Enabled, s.ControlGroup.Replicas
+	o.HasMembership, o.ControlReplicas = s.Membership.Enabled, s.ControlGroup.Replicas
 	c.Limit = func(l *limits.Limits) {
 		// Read has made sure that it can be put in place.
 		_ = s.Limit(l)
--- a/cmd/ferryfront/serve.go
+++ b/cmd/ferryfront/serve.go
@@ -28,31 +28,31 @@
 		Args: cobra.NoArgs}
 	f := c.Flags()
 	f.StringVar(&front, "front", "", "`file` of a second front, with routes from an OpenAPI description")
-	f.StringVar(&o.OTLP, "otlp", "", "`URL` of an OTLP/HTTP endpoint; OTEL_EXPORTER_OTLP_ENDPOINT does the same")
-	f.StringVar(&o.Control, "control", "", "`path` of the control socket, for ferryfront upgrade and status")
+	f.StringVar(&o.OTLPEndpoint, "otlp", "", "`URL` of an OTLP/HTTP endpoint; OTEL_EXPORTER_OTLP_ENDPOINT does the same")
+	f.StringVar(&o.ControlSocket, "control", "", "`path` of the control socket, for ferryfront upgrade and status")
 	f.StringVar(&file, "config", "", "`file` of the program's own settings (CUE)")
 	f.StringVar(&format, "log-format", "", "text or json (default text)")
 	f.StringVar(&level, "log-level", "", "debug, info, warn or error (default info)")
 	c.RunE = func(*cobra.Command, []string) error {
 		if front != "" {
-			o.ReadFront = func() (openapi.File, error) { return openapi.ReadFile(front) }
+			o.ReadFrontFile = func() (openapi.File, error) { return openapi.ReadFile(front) }
 		}
 		own, err := p.own(file, &o, format, level)
 		if err != nil {
 			return err
 		}
-		if o.OTLP == "" {
-			o.OTLP = p.getenv("OTEL_EXPORTER_OTLP_ENDPOINT")
+		if o.OTLPEndpoint == "" {
+			o.OTLPEndpoint = p.getenv("OTEL_EXPORTER_OTLP_ENDPOINT")
 		}
 		if o.Log, err = newLog(p.errs, own.Log.Format, own.Log.Level); err != nil {
 			p.usage = true
 			return err
 		}
 		o.Version, o.Getenv = version, p.getenv
-		o.Load = func() (config.Config, error) { return config.Load(p.getenv) }
-		o.Reload = func(was config.Config) (config.Config, error) { return config.Reload(p.getenv, was) }
-		o.Limit = own.Limit
-		o.Command = command()
+		o.LoadConfig = func() (config.Config, error) { return config.Load(p.getenv) }
+		o.ReloadConfig = func(was config.Config) (config.Config, error) { return config.Reload(p.getenv, was) }
+		o.OverrideLimits = own.Limit
+		o.UpgradeCommand = command()
 		o.Notify = func(state ...string) {
 			// Without a service manager there is nobody to tell, and one that can't be told goes by the process's end.
 			_, _ = sdnotify.SdNotify(false, strings.Join(state, "\n"))
--- a/cmd/ferryfront/upgrade.go
+++ b/cmd/ferryfront/upgrade.go
@@ -21,16 +21,16 @@
 	wait := c.Flags().Duration("wait", time.Minute, "how long to wait for the end")
 	return func(ask func(ctx context.Context, socket string) error) error {
 		var o daemon.Options
-		o.Control = socket
+		o.ControlSocket = socket
 		if _, err := p.own(file, &o, "", ""); err != nil {
 			return err
 		}
-		if o.Control == "" {
+		if o.ControlSocket == "" {
 			return errors.New("which daemon is meant? --control names its socket")
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), *wait)
 		defer cancel()
-		return ask(ctx, o.Control)
+		return ask(ctx, o.ControlSocket)
 	}
 }
 
@@ -48,7 +48,7 @@
 				fmt.Fprintln(p.out, progress.Text)
 			}
 		})
-		if *asJSON && end.Done {
+		if *asJSON && end.IsDone {
 			if err := json.NewEncoder(p.out).Encode(end); err != nil {
 				return err
 			}
@@ -58,7 +58,7 @@
 		}
 		if !*asJSON {
 			fmt.Fprintf(p.out, "done: process %d serves; nobody read for %v; %d customers, %d client and %d upstream connections\n",
-				end.Pid, time.Duration(end.FreezeUS)*time.Microsecond, end.Customers, end.Clients, end.Upstreams)
+				end.Pid, time.Duration(end.FreezeMicroseconds)*time.Microsecond, end.Customers, end.ClientConnections, end.UpstreamConnections)
 		}
 		return nil
 	}
@@ -84,12 +84,12 @@
 	with := p.control(c)
 	member := c.Flags().String("member", "", "`number` of another ingress, which is dead for good")
 	run := func(ctx context.Context, socket string) error {
-		return daemon.Ask(ctx, socket, daemon.Command{Do: "leave", Member: *member}, func(line []byte) error {
+		return daemon.SendCommand(ctx, socket, daemon.Command{Name: "leave", Member: *member}, func(line []byte) error {
 			var end daemon.Progress
 			if err := json.Unmarshal(line, &end); err != nil {
 				return fmt.Errorf("leave: %w", err)
 			}
-			if !end.OK {
+			if !end.Succeeded {
 				return fmt.Errorf("leave: %s", end.Text)
 			}
 			text := fmt.Sprintf("process %d ends and leaves", end.Pid)
@@ -109,7 +109,7 @@
 	c := &cobra.Command{Use: do, Short: short, Args: cobra.NoArgs}
 	with := p.control(c)
 	run := func(ctx context.Context, socket string) error {
-		return daemon.Ask(ctx, socket, daemon.Command{Do: do}, func(line []byte) error {
+		return daemon.SendCommand(ctx, socket, daemon.Command{Name: do}, func(line []byte) error {
 			_, err := fmt.Fprintf(p.out, "%s\n", line)
 			return err
 		})
--- a/cmd/ferryfront/upgrade_test.go
+++ b/cmd/ferryfront/upgrade_test.go
@@ -76,7 +76,7 @@
 	for range 3 {
 		end := w.upgrade(socket)
 		require.NotEqual(t, w.cmd.Process.Pid, end.Pid)
-		require.GreaterOrEqual(t, end.Clients, 2)
+		require.GreaterOrEqual(t, end.ClientConnections, 2)
 		require.EqualValues(t, 3, end.Customers)
 		require.Equal(t, 200, over(t, c1, r1, "/api/1", platform))
 		require.Equal(t, 200, over(t, c2, r2, "/stock", "X-Dealer: 2\r\n"))
--- a/internal/daemon/beside.go
+++ b/internal/daemon/beside.go
@@ -34,7 +34,7 @@
 	}
 	name := d.o.Getenv("GW_NAME") // it goes before what the file says, which need not be read twice then
 	if name == "" {
-		cfg, err := d.o.Load()
+		cfg, err := d.o.LoadConfig()
 		if err != nil {
 			return -1, err
 		}
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -19,7 +19,7 @@
 
 // Command is what a client of the control socket asks for.
 type Command struct {
-	Do     string `json:"do"`               // upgrade, status, members or leave
+	Name   string `json:"do"`               // upgrade, status, members or leave
 	Member string `json:"member,omitempty"` // of leave: another one, which is dead for good; empty: this one
 }
 
@@ -33,35 +33,35 @@
 	Connections int    `json:"connections"`
 	Upstreams   int    `json:"upstreams"`
 	Customers   int    `json:"customers"`
-	// Control is of the control group, null: there is none.
-	Control *ControlStatus `json:"control_group,omitempty"`
-	Error   string         `json:"error,omitempty"`
+	// ControlGroup is of the control group, null: there is none.
+	ControlGroup *ControlGroupStatus `json:"control_group,omitempty"`
+	Error        string              `json:"error,omitempty"`
 }
 
-// Members answers "members": the view of one ingress, and what of joint budgets it takes.
-type Members struct {
-	Name     string   `json:"name"`
-	Enabled  bool     `json:"enabled"`
-	Version  uint64   `json:"version"`
-	Members  []Member `json:"members"`
-	Settled  bool     `json:"settled"`     // it takes its share of ceilings
-	Absent   []int    `json:"counted_out"` // ingresses that left for good, whose shares the others have
-	Sent     uint64   `json:"sent"`
-	Received uint64   `json:"received"`
-	Dropped  uint64   `json:"dropped"`
+// MembershipStatus answers "members": the view of one ingress, and what of joint budgets it takes.
+type MembershipStatus struct {
+	Name             string         `json:"name"`
+	IsEnabled        bool           `json:"enabled"`
+	ViewVersion      uint64         `json:"version"`
+	Members          []MemberStatus `json:"members"`
+	IsSettled        bool           `json:"settled"`     // it takes its share of ceilings
+	AbsentMembers    []int          `json:"counted_out"` // ingresses that left for good, whose shares the others have
+	MessagesSent     uint64         `json:"sent"`
+	MessagesReceived uint64         `json:"received"`
+	MessagesDropped  uint64         `json:"dropped"`
 
-	SentBytes     uint64 `json:"sent_bytes"` // of all messages sent and received
-	ReceivedBytes uint64 `json:"received_bytes"`
+	BytesSent     uint64 `json:"sent_bytes"` // of all messages sent and received
+	BytesReceived uint64 `json:"received_bytes"`
 
-	Acting   []uint64 `json:"settings_acting"` // versions of the settings that it acts on together
-	Stale    []string `json:"settings_stale"`  // members not known to act on the newest
-	Rejected []string `json:"settings_rejected"`
-	CutOff   bool     `json:"settings_cut_off"`
-	Drained  []string `json:"drained"` // hosts that the operators drain, by any version of their list that is acted on
+	ActiveVersions   []uint64 `json:"settings_acting"` // versions of the settings that it acts on together
+	StaleMembers     []string `json:"settings_stale"`  // members not known to act on the newest
+	RejectedVersions []string `json:"settings_rejected"`
+	IsCutOff         bool     `json:"settings_cut_off"`
+	DrainedHosts     []string `json:"drained"` // hosts that the operators drain, by any version of their list that is acted on
 }
 
-// Member is one ingress as another holds it.
-type Member struct {
+// MemberStatus is one ingress as another holds it.
+type MemberStatus struct {
 	Name        string `json:"name"` // its number
 	State       string `json:"state"`
 	Incarnation uint64 `json:"incarnation"`
@@ -83,23 +83,23 @@
 // openControl puts our socket where the settings say. A name that another of this ingress's processes has
 // there becomes ours in one step, so that there is always one.
 func (d *Daemon) openControl() error {
-	if d.o.Control == "" {
+	if d.o.ControlSocket == "" {
 		return nil
 	}
 	if d.succ == nil && d.control == nil { // at a start, another daemon's socket is not to be taken
-		if c, err := net.DialTimeout("unix", d.o.Control, time.Second); err == nil {
+		if c, err := net.DialTimeout("unix", d.o.ControlSocket, time.Second); err == nil {
 			_ = c.Close()
-			return fmt.Errorf("control: another daemon answers at %s", d.o.Control)
+			return fmt.Errorf("control: another daemon answers at %s", d.o.ControlSocket)
 		}
 	}
-	temporary := filepath.Join(filepath.Dir(d.o.Control), "."+filepath.Base(d.o.Control)+"."+strconv.Itoa(os.Getpid()))
+	temporary := filepath.Join(filepath.Dir(d.o.ControlSocket), "."+filepath.Base(d.o.ControlSocket)+"."+strconv.Itoa(os.Getpid()))
 	_ = os.Remove(temporary) // of an earlier process with our number
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
 	ln.SetUnlinkOnClose(false)
-	if err := errors.Join(os.Chmod(temporary, 0o600), os.Rename(temporary, d.o.Control)); err != nil {
+	if err := errors.Join(os.Chmod(temporary, 0o600), os.Rename(temporary, d.o.ControlSocket)); err != nil {
 		return fmt.Errorf("control: %w", errors.Join(err, ln.Close()))
 	}
 	d.control.close()
@@ -168,22 +168,22 @@
 	var cmd Command
 	out := json.NewEncoder(conn)
 	if err := json.Unmarshal(line, &cmd); err != nil {
-		_ = out.Encode(Progress{Text: "not JSON: " + err.Error(), Done: true})
+		_ = out.Encode(Progress{Text: "not JSON: " + err.Error(), IsDone: true})
 		return
 	}
-	switch cmd.Do {
+	switch cmd.Name {
 	case "status":
 		_ = out.Encode(c.status())
 	case "members":
-		m := Members{Members: []Member{}, Absent: []int{}, Acting: []uint64{}, Stale: []string{}, Rejected: []string{}, Drained: []string{}}
-		_ = out.Encode(onLoop(c.d, m, func() Members { return c.d.view(m) }))
+		m := MembershipStatus{Members: []MemberStatus{}, AbsentMembers: []int{}, ActiveVersions: []uint64{}, StaleMembers: []string{}, RejectedVersions: []string{}, DrainedHosts: []string{}}
+		_ = out.Encode(onLoop(c.d, m, func() MembershipStatus { return c.d.view(m) }))
 	case "leave":
 		leave := c.d.leave
 		if cmd.Member != "" {
 			leave = func() string { return c.d.goneForGood(cmd.Member) }
 		}
 		why := onLoop(c.d, "the daemon does not answer", leave)
-		_ = out.Encode(Progress{Text: why, Done: true, OK: why == "", Pid: os.Getpid()})
+		_ = out.Encode(Progress{Text: why, IsDone: true, Succeeded: why == "", Pid: os.Getpid()})
 	case "upgrade":
 		news := make(chan Progress, 16)
 		c.d.loop.Post(func() {
@@ -192,12 +192,12 @@
 				case news <- p:
 				default: // who does not read in time misses a phase, and never the end: see below
 				}
-				if p.Done {
+				if p.IsDone {
 					close(news)
 				}
 			}
 			if why := c.d.upgrade(tell); why != "" {
-				tell(Progress{Text: why, Done: true, Pid: os.Getpid()})
+				tell(Progress{Text: why, IsDone: true, Pid: os.Getpid()})
 			}
 		})
 		for p := range news {
@@ -206,7 +206,7 @@
 			}
 		}
 	default:
-		_ = out.Encode(Progress{Text: fmt.Sprintf("no command %q", cmd.Do), Done: true})
+		_ = out.Encode(Progress{Text: fmt.Sprintf("no command %q", cmd.Name), IsDone: true})
 	}
 }
 
@@ -215,7 +215,7 @@
 	return onLoop(d, Status{Error: "the daemon does not answer"}, func() Status {
 		s := Status{Name: d.cfg.Name, Version: d.o.Version, Pid: os.Getpid(), Phase: d.pred.machine.State.String(),
 			Streams: d.core.OpenStreams(), Connections: d.server.OpenConnections(), Upstreams: d.hosts.OpenConnections(),
-			Customers: d.module.CustomerCount(), Control: d.controlStatus()}
+			Customers: d.module.CustomerCount(), ControlGroup: d.controlStatus()}
 		if d.trial() {
 			s.Phase = d.succ.machine.State.String()
 		}
@@ -235,8 +235,8 @@
 	}
 }
 
-// Ask sends a command to the daemon at a control socket and hands on each line of its answer.
-func Ask(ctx context.Context, path string, cmd Command, line func([]byte) error) error {
+// SendCommand sends a command to the daemon at a control socket and hands on each line of its answer.
+func SendCommand(ctx context.Context, path string, cmd Command, line func([]byte) error) error {
 	var dial net.Dialer
 	conn, err := dial.DialContext(ctx, "unix", path)
 	if err != nil {
@@ -264,12 +264,12 @@
 // process carries on.
 func Upgrade(ctx context.Context, path string, tell func(Progress)) (Progress, error) {
 	var end Progress
-	err := Ask(ctx, path, Command{Do: "upgrade"}, func(b []byte) error {
+	err := SendCommand(ctx, path, Command{Name: "upgrade"}, func(b []byte) error {
 		var p Progress
 		if err := json.Unmarshal(b, &p); err != nil {
 			return fmt.Errorf("control: %w", err)
 		}
-		if end = p; !p.Done {
+		if end = p; !p.IsDone {
 			tell(p)
 		}
 		return nil
@@ -277,9 +277,9 @@
 	switch {
 	case err != nil:
 		return end, err
-	case !end.Done:
+	case !end.IsDone:
 		return end, errors.New("the daemon has ended before it told how the upgrade went")
-	case !end.OK:
+	case !end.Succeeded:
 		return end, errors.New(end.Text)
 	}
 	return end, nil
--- a/internal/daemon/controlgroup.go
+++ b/internal/daemon/controlgroup.go
@@ -210,23 +210,23 @@
 	return false
 }
 
-// ControlStatus is what the status tells of the control group.
-type ControlStatus struct {
-	Replica string `json:"replica"` // that is connected; empty: none
-	Lease   string `json:"lease"`   // state of the settings lease
-	Share   bool   `json:"share"`   // the share lease is held
-	Term    uint64 `json:"term"`    // of the leader that granted last
-	Version uint64 `json:"version"` // newest of the settings acted on; 0: they have none
+// ControlGroupStatus is what the status tells of the control group.
+type ControlGroupStatus struct {
+	Replica         string `json:"replica"` // that is connected; empty: none
+	SettingsLease   string `json:"lease"`   // state of the settings lease
+	HoldsShareLease bool   `json:"share"`   // the share lease is held
+	Term            uint64 `json:"term"`    // of the leader that granted last
+	SettingsVersion uint64 `json:"version"` // newest of the settings acted on; 0: they have none
 }
 
 // controlStatus is nil without a control group.
-func (d *Daemon) controlStatus() *ControlStatus {
+func (d *Daemon) controlStatus() *ControlGroupStatus {
 	g, now := d.group, d.loop.Now()
 	if g == nil {
 		return nil
 	}
-	return &ControlStatus{Replica: g.client.Replica(), Lease: g.member.LeaseState(now).String(),
-		Share: g.member.HoldsShare(now), Term: g.member.Term(), Version: g.newestSettings()}
+	return &ControlGroupStatus{Replica: g.client.Replica(), SettingsLease: g.member.LeaseState(now).String(),
+		HoldsShareLease: g.member.HoldsShare(now), Term: g.member.Term(), SettingsVersion: g.newestSettings()}
 }
 
 // figures are those that stand at the control group.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -34,18 +34,18 @@
 
 // Options are what a daemon is started with.
 type Options struct {
-	Load      func() (config.Config, error)                  // reads the configuration for a start
-	Reload    func(was config.Config) (config.Config, error) // reads it again while running
-	ReadFront func() (openapi.File, error)                   // reads the file of a second front, nil: none
-	OTLP      string                                         // endpoint, empty: no telemetry
-	Control   string                                         // path of the control socket, empty: none
-	Version   string
-	Log       *slog.Logger
-	Command   []string // what starts the next process of an upgrade: the binary's path, its arguments
-	Members   bool     // ingresses tell each other who is there
+	LoadConfig     func() (config.Config, error)                  // reads the configuration for a start
+	ReloadConfig   func(was config.Config) (config.Config, error) // reads it again while running
+	ReadFrontFile  func() (openapi.File, error)                   // reads the file of a second front, nil: none
+	OTLPEndpoint   string                                         // endpoint, empty: no telemetry
+	ControlSocket  string                                         // path of the control socket, empty: none
+	Version        string
+	Log            *slog.Logger
+	UpgradeCommand []string // what starts the next process of an upgrade: the binary's path, its arguments
+	HasMembership  bool     // ingresses tell each other who is there
 	// ControlReplicas are the addresses of the control group's replicas, none: there is no control group.
 	ControlReplicas []string
-	Limit           func(*limits.Limits)  // changes bounds as the program's own settings say, nil: none
+	OverrideLimits  func(*limits.Limits)  // changes bounds as the program's own settings say, nil: none
 	Signals         <-chan os.Signal      // SIGTERM and SIGINT end, SIGHUP reloads, SIGUSR2 upgrades
 	Hangups         <-chan os.Signal      // SIGHUP alone, nil: it comes with the others, which a crowd of it may crowd out
 	Notify          func(state ...string) // tells the service manager, see sd_notify(3)
@@ -204,12 +204,12 @@
 
 // assemble reads the configuration and builds all parts; nothing listens yet.
 func (d *Daemon) assemble() error {
-	cfg, err := d.o.Load()
+	cfg, err := d.o.LoadConfig()
 	if err != nil {
 		return err
 	}
-	if d.o.Limit != nil {
-		d.o.Limit(&cfg.Limits)
+	if d.o.OverrideLimits != nil {
+		d.o.OverrideLimits(&cfg.Limits)
 	}
 	d.log = d.log.With("name", cfg.Name)
 	if d.o.Embedded == nil {
@@ -223,8 +223,8 @@
 	var file openapi.File
 	var table *routes.Table
 	var stamp openapi.Stamp
-	if d.o.ReadFront != nil {
-		if file, err = d.o.ReadFront(); err != nil {
+	if d.o.ReadFrontFile != nil {
+		if file, err = d.o.ReadFrontFile(); err != nil {
 			return err
 		}
 		stamp = file.Stamp()
@@ -241,7 +241,7 @@
 	parts := core.Config{Decider: d.module, Upstreams: d.hosts, Counter: noCounter{}, Cluster: d, Log: d.log, Metrics: &d.figures,
 		DeadlineMargin: cfg.Limits.DeadlineMargin}
 	parts.RepeatWindows = core.RepeatWindows(cfg.Settings.Classes)
-	if d.o.OTLP != "" {
+	if d.o.OTLPEndpoint != "" {
 		if d.telemetry, err = newTelemetry(cfg, d.o, d.log); err != nil {
 			return err
 		}
@@ -290,7 +290,7 @@
 }
 
 func newTelemetry(cfg config.Config, o Options, log *slog.Logger) (*telemetry.Exporter, error) {
-	c := telemetry.Config{Endpoint: o.OTLP, Instance: cfg.Name, Version: o.Version, Log: log,
+	c := telemetry.Config{Endpoint: o.OTLPEndpoint, Instance: cfg.Name, Version: o.Version, Log: log,
 		Every: cfg.Limits.TelemetryInterval, Queue: cfg.Limits.TelemetryQueueLength, Settings: cfg.Settings}
 	return telemetry.New(c)
 }
--- a/internal/daemon/embedded.go
+++ b/internal/daemon/embedded.go
@@ -9,8 +9,8 @@
 // Embedded is one daemon among several of a process, as a test of a large fleet runs them. The runtime's process-wide
 // bounds are left alone for it, and it can be ended as a crash or the loss of its machine would end it.
 type Embedded struct {
-	// Reach tells whether messages to and from another member get through; nil: all do. It is called on the loop.
-	Reach func(member string) bool
+	// IsReachable tells whether messages to and from another member get through; nil: all do. It is called on the loop.
+	IsReachable func(member string) bool
 
 	mu       sync.Mutex
 	daemon   *Daemon       // nil before the start and after the end
@@ -20,7 +20,7 @@
 
 // NewEmbedded returns one for Options.
 func NewEmbedded(reach func(member string) bool) *Embedded {
-	return &Embedded{Reach: reach, released: make(chan struct{})}
+	return &Embedded{IsReachable: reach, released: make(chan struct{})}
 }
 
 // Kill ends the daemon at once and closes its descriptors, as the system does for a process that is killed. What
@@ -30,9 +30,9 @@
 	e.Release()
 }
 
-// Lose ends the daemon at once and leaves its descriptors open until Release, as the loss of a machine or of its
+// StopSilently ends the daemon at once and leaves its descriptors open until Release, as the loss of a machine or of its
 // network does: peers see no end of any connection, only silence.
-func (e *Embedded) Lose() { e.stop() }
+func (e *Embedded) StopSilently() { e.stop() }
 
 // Release closes the descriptors that Lose has left open. It may be called more than once.
 func (e *Embedded) Release() {
@@ -45,9 +45,9 @@
 	}
 }
 
-// Traffic tells how many bytes of messages between ingresses it has sent and received since its start. ok is false
+// MessageBytes tells how many bytes of messages between ingresses it has sent and received since its start. ok is false
 // when it does not run or answer.
-func (e *Embedded) Traffic() (sent, received uint64, ok bool) {
+func (e *Embedded) MessageBytes() (sent, received uint64, ok bool) {
 	d := e.running()
 	if d == nil {
 		return 0, 0, false
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -29,7 +29,7 @@
 func (d *Daemon) openMembers() error {
 	cfg, lim := d.cfg, d.cfg.Limits
 	switch {
-	case !d.o.Members || d.members != nil:
+	case !d.o.HasMembership || d.members != nil:
 		return nil
 	case cfg.PeerListen == "":
 		return errors.New("peer_listen is missing, and membership is enabled")
@@ -40,7 +40,7 @@
 	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, TickInterval: lim.MemberAckTimeout / 4, OnChange: d.membersChanged,
 		AppPrefix: versions.Mark, OnAppMessage: d.gossipReceived}
 	if d.o.Embedded != nil {
-		c.IsReachable = d.o.Embedded.Reach
+		c.IsReachable = d.o.Embedded.IsReachable
 	}
 	var roster []string
 	for i, addr := range cfg.Peers {
@@ -147,31 +147,31 @@
 }
 
 // view fills in what the control socket tells.
-func (d *Daemon) view(to Members) Members {
+func (d *Daemon) view(to MembershipStatus) MembershipStatus {
 	to.Name = d.cfg.Name
 	if s := d.settingsSource(); s != nil {
 		for _, doc := range s.Acting() {
-			to.Acting = append(to.Acting, doc.Number)
+			to.ActiveVersions = append(to.ActiveVersions, doc.Number)
 		}
-		to.Stale, to.CutOff = append(to.Stale, s.Stale()...), s.Alone(d.loop.Now())
+		to.StaleMembers, to.IsCutOff = append(to.StaleMembers, s.Stale()...), s.Alone(d.loop.Now())
 		for v, why := range s.Refused() {
-			to.Rejected = append(to.Rejected, fmt.Sprintf("%v: %s", v, why))
+			to.RejectedVersions = append(to.RejectedVersions, fmt.Sprintf("%v: %s", v, why))
 		}
 	}
 	if d.drainedSource() != nil {
-		to.Drained = append(to.Drained, d.agreement.drainedHosts()...)
+		to.DrainedHosts = append(to.DrainedHosts, d.agreement.drainedHosts()...)
 	}
-	to.Settled = d.settled(d.loop.Now())
+	to.IsSettled = d.settled(d.loop.Now())
 	m := d.members
 	if m == nil {
 		return to
 	}
 	v, c := m.Node().View(), m.Counts()
-	to.Enabled, to.Version = true, v.Version
-	to.Absent, to.Sent, to.Received, to.Dropped = append(to.Absent, m.told.Absent...), c.Sent, c.Received, c.Dropped
-	to.SentBytes, to.ReceivedBytes = c.SentBytes, c.ReceivedBytes
+	to.IsEnabled, to.ViewVersion = true, v.Version
+	to.AbsentMembers, to.MessagesSent, to.MessagesReceived, to.MessagesDropped = append(to.AbsentMembers, m.told.Absent...), c.Sent, c.Received, c.Dropped
+	to.BytesSent, to.BytesReceived = c.SentBytes, c.ReceivedBytes
 	for _, o := range v.Members {
-		to.Members = append(to.Members, Member{Name: o.Name, State: o.State.String(), Incarnation: o.Incarnation})
+		to.Members = append(to.Members, MemberStatus{Name: o.Name, State: o.State.String(), Incarnation: o.Incarnation})
 	}
 	return to
 }
--- a/internal/daemon/peer.go
+++ b/internal/daemon/peer.go
@@ -40,7 +40,7 @@
 	shareMemory(d.cfg.Limits, 2)
 	go func() {
 		end := os.NewFile(uintptr(theirs), "handover")
-		cmd := exec.Command(d.o.Command[0], d.o.Command[1:]...)
+		cmd := exec.Command(d.o.UpgradeCommand[0], d.o.UpgradeCommand[1:]...)
 		cmd.Env = append(os.Environ(), handover.Env+"=3")
 		cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = os.Stdout, os.Stderr, []*os.File{end}
 		err := cmd.Start()
@@ -122,7 +122,7 @@
 		p.report.Customers = m.Restored.GetCustomers()
 		p.handle(phase.Told{Message: phase.Restored})
 	case *pb.Envelope_Serving:
-		p.report.FreezeUS = (p.d.loop.Now() - p.frozenAt).Microseconds()
+		p.report.FreezeMicroseconds = (p.d.loop.Now() - p.frozenAt).Microseconds()
 		p.handle(phase.Told{Message: phase.Serving})
 	case *pb.Envelope_Refused:
 		p.handle(phase.Told{Message: phase.Refused, Text: m.Refused.GetReason()})
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -19,13 +19,13 @@
 type Progress struct {
 	Text string `json:"text,omitempty"`
 	// Of the last one.
-	Done      bool   `json:"done,omitempty"`
-	OK        bool   `json:"ok,omitempty"`
-	Pid       int    `json:"pid,omitempty"` // of the process that serves now
-	FreezeUS  int64  `json:"freeze_us,omitempty"`
-	Customers uint64 `json:"customers,omitempty"`
-	Clients   int    `json:"clients,omitempty"`   // connections handed over
-	Upstreams int    `json:"upstreams,omitempty"` // idle ones handed over
+	IsDone              bool   `json:"done,omitempty"`
+	Succeeded           bool   `json:"ok,omitempty"`
+	Pid                 int    `json:"pid,omitempty"` // of the process that serves now
+	FreezeMicroseconds  int64  `json:"freeze_us,omitempty"`
+	Customers           uint64 `json:"customers,omitempty"`
+	ClientConnections   int    `json:"clients,omitempty"`   // connections handed over
+	UpstreamConnections int    `json:"upstreams,omitempty"` // idle ones handed over
 }
 
 // predecessor carries out what the old process's machine wants.
@@ -55,13 +55,13 @@
 		return "an upgrade is under way"
 	case d.group == nil && d.members != nil && !d.members.Node().Settled(d.loop.Now()):
 		return "the membership has not settled"
-	case len(d.o.Command) == 0:
+	case len(d.o.UpgradeCommand) == 0:
 		return "the path of the binary is not known"
 	}
 	p := d.pred
 	p.tell, p.report = tell, Progress{}
 	p.machine.Beside = false
-	d.log.Info("upgrade begun", "binary", d.o.Command[0])
+	d.log.Info("upgrade begun", "binary", d.o.UpgradeCommand[0])
 	p.handle(phase.Asked{})
 	return ""
 }
@@ -151,14 +151,14 @@
 	case phase.SayFarewell:
 		p.farewell()
 	case phase.ReportDone:
-		p.report.Done, p.report.OK = true, true
-		d.log.Info("upgrade done", "pid", p.report.Pid, "freeze", time.Duration(p.report.FreezeUS)*time.Microsecond,
-			"customers", p.report.Customers, "clients", p.report.Clients, "upstreams", p.report.Upstreams)
+		p.report.IsDone, p.report.Succeeded = true, true
+		d.log.Info("upgrade done", "pid", p.report.Pid, "freeze", time.Duration(p.report.FreezeMicroseconds)*time.Microsecond,
+			"customers", p.report.Customers, "clients", p.report.ClientConnections, "upstreams", p.report.UpstreamConnections)
 		p.say(p.report)
 		p.tell = nil
 	case phase.ReportFailed:
 		d.log.Warn("upgrade failed; this process carries on", "cause", p.machine.Failure)
-		p.say(Progress{Text: p.machine.Failure, Done: true, Pid: os.Getpid()})
+		p.say(Progress{Text: p.machine.Failure, IsDone: true, Pid: os.Getpid()})
 		p.tell = nil
 		shareMemory(lim, 1)
 		p.ids = nil
@@ -267,11 +267,11 @@
 	p.send(&pb.Envelope{Body: &pb.Envelope_Commit{Commit: &pb.Commit{Clients: uint32(d.server.OpenConnections()),
 		Upstreams: uint32(d.hosts.OpenConnections())}}})
 	d.server.HandOver(func(st downstream.ConnState, fd int) {
-		p.report.Clients++
+		p.report.ClientConnections++
 		p.send(&pb.Envelope{Body: &pb.Envelope_Client{Client: handover.Client(st)}}, fd)
 	})
 	d.hosts.HandOver(func(host string, since time.Duration, fd int) {
-		p.report.Upstreams++
+		p.report.UpstreamConnections++
 		p.send(&pb.Envelope{Body: &pb.Envelope_Upstream{Upstream: &pb.UpstreamConnection{Host: host,
 			Since: int64(since)}}}, fd)
 	})
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -19,9 +19,9 @@
 func (d *Daemon) readAgain() {
 	was := d.told
 	go func() {
-		to, err := d.o.Reload(was)
-		if err == nil && d.o.Limit != nil {
-			d.o.Limit(&to.Limits)
+		to, err := d.o.ReloadConfig(was)
+		if err == nil && d.o.OverrideLimits != nil {
+			d.o.OverrideLimits(&to.Limits)
 		}
 		d.loop.Post(func() {
 			if err != nil {
--- a/internal/lab/chaos_test.go
+++ b/internal/lab/chaos_test.go
@@ -49,7 +49,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	require.NoError(t, daemon.Ask(ctx, f.world.Ingresses[member].Control, daemon.Command{Do: "leave", Member: gone},
+	require.NoError(t, daemon.SendCommand(ctx, f.world.Ingresses[member].Control, daemon.Command{Name: "leave", Member: gone},
 		func(line []byte) error { return json.Unmarshal(line, &p) }))
 	return p
 }
@@ -82,7 +82,7 @@
 		f.holds(t, o, "2", "dead")
 		m, err := f.members(o)
 		require.NoError(t, err)
-		require.Empty(t, m.Absent, "it may be cut off and go on sending")
+		require.Empty(t, m.AbsentMembers, "it may be cut off and go on sending")
 	}
 	require.NoError(t, f.world.Again(2))
 	require.NoError(t, f.agree())
@@ -131,12 +131,12 @@
 	f := three(t)
 	in := f.world.Ingresses[1]
 	left := f.leave(t, 1, "")
-	require.True(t, left.OK, left.Text)
+	require.True(t, left.Succeeded, left.Text)
 	<-in.Ended()
 	absent := func(o int) []int {
 		m, err := f.members(o)
 		require.NoError(t, err)
-		return m.Absent
+		return m.AbsentMembers
 	}
 	for _, o := range []int{0, 2} {
 		f.holds(t, o, "1", "left")
@@ -159,7 +159,7 @@
 	for _, o := range []int{1, 2} {
 		m, err := f.members(o)
 		require.NoError(t, err)
-		require.Empty(t, m.Absent)
+		require.Empty(t, m.AbsentMembers)
 	}
 	require.NoError(t, f.world.Again(0))
 	require.NoError(t, f.agree())
--- a/internal/lab/controlled_test.go
+++ b/internal/lab/controlled_test.go
@@ -76,15 +76,15 @@
 }
 
 // control is what an ingress tells of the control group.
-func (s *fleet) control(t *testing.T, member int) daemon.ControlStatus {
+func (s *fleet) control(t *testing.T, member int) daemon.ControlGroupStatus {
 	t.Helper()
 	var status daemon.Status
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	require.NoError(t, daemon.Ask(ctx, s.world.Ingresses[member].Control, daemon.Command{Do: "status"},
+	require.NoError(t, daemon.SendCommand(ctx, s.world.Ingresses[member].Control, daemon.Command{Name: "status"},
 		func(line []byte) error { return json.Unmarshal(line, &status) }))
-	require.NotNil(t, status.Control)
-	return *status.Control
+	require.NotNil(t, status.ControlGroup)
+	return *status.ControlGroup
 }
 
 // allSettled waits until each ingress holds both leases.
@@ -93,7 +93,7 @@
 	for i := range s.n {
 		require.NoError(t, until("both leases are held", func() bool {
 			c := s.control(t, i)
-			return c.Lease == "held" && c.Share
+			return c.SettingsLease == "held" && c.HoldsShareLease
 		}), "%d: %+v", i, s.control(t, i))
 	}
 }
--- a/internal/lab/faults_harness.go
+++ b/internal/lab/faults_harness.go
@@ -108,7 +108,7 @@
 	var s daemon.Status
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	err := daemon.Ask(ctx, b.ingress.Control, daemon.Command{Do: "status"}, func(line []byte) error { return json.Unmarshal(line, &s) })
+	err := daemon.SendCommand(ctx, b.ingress.Control, daemon.Command{Name: "status"}, func(line []byte) error { return json.Unmarshal(line, &s) })
 	if err == nil && s.Error != "" {
 		err = fmt.Errorf("status: %s", s.Error)
 	}
--- a/internal/lab/faults_requests.go
+++ b/internal/lab/faults_requests.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	b.extra["clients_handed"] = float64(got.Clients)
+	b.extra["clients_handed"] = float64(got.ClientConnections)
 	return finishRequests(conns, rests)
 }
 
--- a/internal/lab/freeze.go
+++ b/internal/lab/freeze.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return r, err
 	}
-	r.FreezeMS, r.NewMB = float64(got.FreezeUS)/1e3, resident(got.Pid)
+	r.FreezeMS, r.NewMB = float64(got.FreezeMicroseconds)/1e3, resident(got.Pid)
 	if int(got.Customers) < old.Customers {
 		r.Error = fmt.Sprintf("%d customers were known, %d have come over", old.Customers, got.Customers)
 	}
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -49,7 +49,7 @@
 				return fmt.Sprintf("%d holds %d %q", i, j, state[strconv.Itoa(j)])
 			}
 		}
-		if !m.Settled {
+		if !m.IsSettled {
 			return fmt.Sprintf("%d has not settled", i)
 		}
 	}
@@ -57,11 +57,11 @@
 }
 
 // members asks a member for its view.
-func (f *fleet) members(i int) (daemon.Members, error) {
-	var m daemon.Members
+func (f *fleet) members(i int) (daemon.MembershipStatus, error) {
+	var m daemon.MembershipStatus
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	err := daemon.Ask(ctx, f.world.Ingresses[i].Control, daemon.Command{Do: "members"},
+	err := daemon.SendCommand(ctx, f.world.Ingresses[i].Control, daemon.Command{Name: "members"},
 		func(line []byte) error { return json.Unmarshal(line, &m) })
 	return m, err
 }
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -99,8 +99,8 @@
 			r.Error = err.Error()
 			return
 		}
-		acting = append(acting, m.Acting)
-		for _, v := range m.Acting {
+		acting = append(acting, m.ActiveVersions)
+		for _, v := range m.ActiveVersions {
 			newest = max(newest, v)
 		}
 	}
@@ -119,8 +119,8 @@
 		last = ""
 		for i := range s.n {
 			m, err := s.members(i)
-			if err != nil || len(m.Acting) != 1 || m.Acting[0] != uint64(version) {
-				last = fmt.Sprintf("%d acts on %v %v", i, m.Acting, err)
+			if err != nil || len(m.ActiveVersions) != 1 || m.ActiveVersions[0] != uint64(version) {
+				last = fmt.Sprintf("%d acts on %v %v", i, m.ActiveVersions, err)
 			}
 		}
 		if last == "" {
--- a/internal/lab/rollout_test.go
+++ b/internal/lab/rollout_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	m, err := s.members(member)
 	require.NoError(t, err)
-	return m.Acting
+	return m.ActiveVersions
 }
 
 // act waits until members act on these versions.
@@ -180,8 +180,8 @@
 	require.NoError(t, until("the list is acted on", func() bool {
 		m, err := s.members(member)
 		require.NoError(t, err)
-		slices.Sort(m.Drained)
-		return slices.Equal(slices.Compact(m.Drained), hosts)
+		slices.Sort(m.DrainedHosts)
+		return slices.Equal(slices.Compact(m.DrainedHosts), hosts)
 	}))
 }
 
@@ -245,7 +245,7 @@
 	s.act(t, []uint64{1, 2}, 0, 1)
 	s.holds(t, 1, "2", "dead")
 	require.Equal(t, "member 0 is not dead here", s.leave(t, 1, "0").Text)
-	require.True(t, s.leave(t, 1, "2").OK)
+	require.True(t, s.leave(t, 1, "2").Succeeded)
 	s.act(t, []uint64{2}, 0, 1)
 }
 
@@ -261,7 +261,7 @@
 	s.act(t, []uint64{1}, 2)
 	m, err := s.members(2)
 	require.NoError(t, err)
-	require.Len(t, m.Rejected, 1)
+	require.Len(t, m.RejectedVersions, 1)
 	s.together(t)
 }
 
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -199,12 +199,12 @@
 	}
 	for m, in := range f.world.Ingresses {
 		ctx, cancel := context.WithTimeout(context.Background(), clientWait)
-		err := daemon.Ask(ctx, in.Control, daemon.Command{Do: "members"}, func(line []byte) error {
-			var view daemon.Members
+		err := daemon.SendCommand(ctx, in.Control, daemon.Command{Name: "members"}, func(line []byte) error {
+			var view daemon.MembershipStatus
 			if err := json.Unmarshal(line, &view); err != nil {
 				return err
 			}
-			bytes[m] = view.SentBytes + view.ReceivedBytes
+			bytes[m] = view.BytesSent + view.BytesReceived
 			return nil
 		})
 		cancel()
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -137,7 +137,7 @@
 	case actionKill:
 		p.members[m].stop((*daemon.Embedded).Kill)
 	case actionLose:
-		p.members[m].stop((*daemon.Embedded).Lose)
+		p.members[m].stop((*daemon.Embedded).StopSilently)
 	case actionChange:
 		return p.members[m].change(o.Version)
 	case actionTraffic:
@@ -198,13 +198,13 @@
 		return ""
 	}
 	options := daemon.Options{
-		Load:    func() (config.Config, error) { return config.Load(getenv) },
-		Reload:  func(was config.Config) (config.Config, error) { return config.Reload(getenv, was) },
-		Version: "hollow", Members: len(p.fleet.Replicas) == 0, Signals: member.signals, Getenv: getenv, Embedded: member.embedded,
+		LoadConfig:   func() (config.Config, error) { return config.Load(getenv) },
+		ReloadConfig: func(was config.Config) (config.Config, error) { return config.Reload(getenv, was) },
+		Version:      "hollow", HasMembership: len(p.fleet.Replicas) == 0, Signals: member.signals, Getenv: getenv, Embedded: member.embedded,
 		Notify: func(...string) {},
 		Log:    slog.New(eventHandler{m, func(e Event) { p.tell(notice{Event: &e}) }}),
 	}
-	if !options.Members {
+	if !options.HasMembership {
 		options.ControlReplicas = p.fleet.Replicas[m]
 	}
 	go func() {
@@ -253,5 +253,5 @@
 	if h == nil || h.signals == nil {
 		return 0, 0, false
 	}
-	return h.embedded.Traffic()
+	return h.embedded.MessageBytes()
 }
--- a/internal/lab/upgrade.go
+++ b/internal/lab/upgrade.go
@@ -196,9 +196,9 @@
 			b.Say("upgrade %d: %v", i+1, err)
 		} else {
 			r.Upgrades++
-			freezes = append(freezes, float64(got.FreezeUS)/1e3)
-			r.Upstreams += got.Upstreams
-			r.Clients += got.Clients
+			freezes = append(freezes, float64(got.FreezeMicroseconds)/1e3)
+			r.Upstreams += got.UpstreamConnections
+			r.Clients += got.ClientConnections
 		}
 		if err := b.waitIdle(); err != nil {
 			end()
