--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -18,8 +18,8 @@
 	return nil
 }
 
-// nameClasses has a count for each class of the settings.
-func (d *Daemon) nameClasses() {
+// addClassMetrics has a count for each class of the settings.
+func (d *Daemon) addClassMetrics() {
 	var names []string
 	for _, c := range d.cfg.Settings.Classes {
 		names = append(names, c.Name)
@@ -32,12 +32,12 @@
 
 // IsReady tells whether a client's request would be served here.
 func (o adminHandler) IsReady() bool {
-	return o.d.known() && o.d.server.IsAccepting()
+	return o.d.canServe() && o.d.server.IsAccepting()
 }
 
 // StatusDetails tells the version of the settings, where they have one.
 func (o adminHandler) StatusDetails() string {
-	f := o.d.version()
+	f := o.d.settingsVersions()
 	switch {
 	case f.NewestVersion == 0:
 		return ""
@@ -49,10 +49,10 @@
 	return fmt.Sprintf(" settings=%d", f.NewestVersion)
 }
 
-// version is what is told of the settings, and of the list of drained hosts: their versions, and whether all members
+// settingsVersions is what is told of the settings, and of the list of drained hosts: their versions, and whether all members
 // act on them.
-func (d *Daemon) version() (f figures.SettingsVersions) {
-	f = figures.SettingsVersions{NewestVersion: d.told.Version, OldestVersion: d.told.Version, ActiveVersions: 1, DrainedVersion: d.told.DrainedVersion}
+func (d *Daemon) settingsVersions() (f figures.SettingsVersions) {
+	f = figures.SettingsVersions{NewestVersion: d.loadedConfig.Version, OldestVersion: d.loadedConfig.Version, ActiveVersions: 1, DrainedVersion: d.loadedConfig.DrainedVersion}
 	if s := d.drainedSource(); s != nil {
 		f.DrainedVersion, f.DrainedStaleMembers = s.Newest().Number, len(s.Stale())
 	}
@@ -68,12 +68,12 @@
 	d := o.d
 	room = d.figures.AppendText(room, figures.Gauges{InFlight: d.core.CompleteRequests() + d.server.ActiveRelays(), ListedHosts: d.watcher.HostCount(),
 		AvoidedHosts: d.module.AvoidedServers(d.loop.Now())})
-	room = figures.AppendSettingsVersions(room, d.version())
-	if d.group != nil {
-		room = figures.AppendControlGroup(room, d.group.figures(d.loop.Now()))
+	room = figures.AppendSettingsVersions(room, d.settingsVersions())
+	if d.controlGroup != nil {
+		room = figures.AppendControlGroup(room, d.controlGroup.metrics(d.loop.Now()))
 	}
 	if d.members == nil {
 		return room
 	}
-	return figures.AppendMembership(room, d.present(d.loop.Now()))
+	return figures.AppendMembership(room, d.membershipMetrics(d.loop.Now()))
 }
--- a/internal/daemon/agreement.go
+++ b/internal/daemon/agreement.go
@@ -19,8 +19,8 @@
 	drainedDocument  = "drained"
 )
 
-// documentMost bounds a document, in bytes.
-const documentMost = 64 << 10
+// maxDocumentBytes bounds a document, in bytes.
+const maxDocumentBytes = 64 << 10
 
 // versionSource is where the versions of one document come from that this ingress acts on: the gossip between members,
 // or the control group.
@@ -43,23 +43,23 @@
 // operators drain. Either source is nil where the configuration has no version of that document.
 type agreement struct {
 	settings, drained versionSource
-	ready             bool // this ingress may serve: it has heard what others act on, or has waited for it
-	rejected          int
-	logged            map[string][]versions.Version // by document: the versions acted on, as last logged
+	isReady           bool // this ingress may serve: it has heard what others act on, or has waited for it
+	loggedRejections  int
+	loggedVersions    map[string][]versions.Version // by document: the versions acted on, as last logged
 }
 
-// sources are those that have a version.
-func (a *agreement) sources() (list []versionSource) {
+// sourcesWithVersion are those that have a version.
+func (a *agreement) sourcesWithVersion() (list []versionSource) {
 	for _, s := range []versionSource{a.settings, a.drained} {
-		if withVersion(s) != nil {
+		if nilWithoutVersion(s) != nil {
 			list = append(list, s)
 		}
 	}
 	return list
 }
 
-// withVersion is a source that has a version to act on, nil otherwise.
-func withVersion(s versionSource) versionSource {
+// nilWithoutVersion is a source that has a version to act on, nil otherwise.
+func nilWithoutVersion(s versionSource) versionSource {
 	if s == nil || len(s.Acting()) == 0 {
 		return nil
 	}
@@ -71,7 +71,7 @@
 	if d.agreement == nil {
 		return nil
 	}
-	return withVersion(d.agreement.settings)
+	return nilWithoutVersion(d.agreement.settings)
 }
 
 // drainedSource is that of the drained list; nil: there is none with a version.
@@ -79,7 +79,7 @@
 	if d.agreement == nil {
 		return nil
 	}
-	return withVersion(d.agreement.drained)
+	return nilWithoutVersion(d.agreement.drained)
 }
 
 // fileDocuments are the versions that a configuration has of its own: the settings', the drained list's. Number 0: none.
@@ -89,7 +89,7 @@
 
 // checkSettings tells why the text of a version of the settings can't be acted on here.
 func (d *Daemon) checkSettings(text []byte) error {
-	_, err := d.told.Under(text)
+	_, err := d.loadedConfig.Under(text)
 	return err
 }
 
@@ -110,19 +110,19 @@
 	return fmt.Errorf("no document %q", document)
 }
 
-// versionsChanged goes on under the versions to act on, when these are others than before.
-func (d *Daemon) versionsChanged() {
+// applyVersions goes on under the versions to act on, when these are others than before.
+func (d *Daemon) applyVersions() {
 	a := d.agreement
 	a.logRejected(d)
-	if s := d.settingsSource(); s != nil && d.actingChanged(s, "settings version") {
-		to, err := d.combined(d.told)
+	if s := d.settingsSource(); s != nil && d.updateActiveVersions(s, "settings version") {
+		to, err := d.combineVersions(d.loadedConfig)
 		if err != nil { // each was checked when it was taken
 			d.log.Error("settings version not acted on", "error", err)
 		} else {
-			d.follow(to)
+			d.applyConfig(to)
 		}
 	}
-	if s := d.drainedSource(); s != nil && d.actingChanged(s, "drained list version") {
+	if s := d.drainedSource(); s != nil && d.updateActiveVersions(s, "drained list version") {
 		d.watcher.SetDrained(a.drainedHosts())
 	}
 }
@@ -130,22 +130,22 @@
 // logRejected logs what was turned down, when there is more of it than before.
 func (a *agreement) logRejected(d *Daemon) {
 	rejected := 0
-	for _, s := range a.sources() {
+	for _, s := range a.sourcesWithVersion() {
 		rejected += len(s.Refused())
 	}
-	if rejected > a.rejected {
-		for _, s := range a.sources() {
+	if rejected > a.loggedRejections {
+		for _, s := range a.sourcesWithVersion() {
 			for v, why := range s.Refused() {
 				d.log.Error("settings version turned down", "of", s.Document(), "version", v.String(), "error", why)
 			}
 		}
 	}
-	a.rejected = rejected
+	a.loggedRejections = rejected
 }
 
-// actingChanged tells whether a source acts on other versions than before, and logs it. What it begins with, unless that
+// updateActiveVersions tells whether a source acts on other versions than before, and logs it. What it begins with, unless that
 // was none, is followed already.
-func (d *Daemon) actingChanged(s versionSource, message string) bool {
+func (d *Daemon) updateActiveVersions(s versionSource, message string) bool {
 	if !s.Changed() {
 		return false
 	}
@@ -153,12 +153,12 @@
 	for _, doc := range s.Acting() {
 		acting = append(acting, doc.Version)
 	}
-	was, begun := d.agreement.logged[s.Document()]
+	was, begun := d.agreement.loggedVersions[s.Document()]
 	if slices.Equal(acting, was) {
 		return false
 	}
-	d.agreement.logged[s.Document()] = acting
-	d.log.Info(message, "acting", numbers(acting), "newest", s.Newest().String())
+	d.agreement.loggedVersions[s.Document()] = acting
+	d.log.Info(message, "acting", joinNumbers(acting), "newest", s.Newest().String())
 	return begun
 }
 
@@ -171,7 +171,7 @@
 	return all
 }
 
-func numbers(list []versions.Version) string {
+func joinNumbers(list []versions.Version) string {
 	var texts []string
 	for _, v := range list {
 		texts = append(texts, strconv.FormatUint(v.Number, 10))
@@ -179,9 +179,9 @@
 	return strings.Join(texts, ",")
 }
 
-// combined is a configuration under all versions of the settings to act on together, the newest one's but for what is
+// combineVersions is a configuration under all versions of the settings to act on together, the newest one's but for what is
 // stricter in an older one.
-func (d *Daemon) combined(of config.Config) (to config.Config, err error) {
+func (d *Daemon) combineVersions(of config.Config) (to config.Config, err error) {
 	source := d.settingsSource()
 	if source == nil {
 		of.Settings, err = settings.Follow(d.cfg.Settings, of.Settings)
@@ -204,19 +204,19 @@
 	return to, err
 }
 
-// known tells whether requests may be served: the cluster is known, and so are the versions that others act on.
-func (d *Daemon) known() bool {
-	return d.watcher.IsReady() && (d.agreement == nil || d.agreement.ready)
+// canServe tells whether requests may be served: the cluster is canServe, and so are the versions that others act on.
+func (d *Daemon) canServe() bool {
+	return d.watcher.IsReady() && (d.agreement == nil || d.agreement.isReady)
 }
 
-// versionsKnown makes the ingress ready as far as its versions go.
-func (d *Daemon) versionsKnown(alone bool) {
-	d.agreement.ready = true
+// markVersionsKnown makes the ingress ready as far as its versions go.
+func (d *Daemon) markVersionsKnown(alone bool) {
+	d.agreement.isReady = true
 	d.log.Info("settings version heard", "alone", alone)
 }
 
-// follows tells why a version in a file can't follow the one in force; 0: it has none.
-func follows(field string, was, now versions.Doc) error {
+// checkNextVersion tells why a version in a file can't follow the one in force; 0: it has none.
+func checkNextVersion(field string, was, now versions.Doc) error {
 	switch {
 	case was.Number == 0:
 		return nil
@@ -229,10 +229,10 @@
 	return nil
 }
 
-// fileFollows tells why the versions of a file read again can't follow those in force: an older version never replaces
+// checkFileVersions tells why the versions of a file read again can't follow those in force: an older version never replaces
 // a newer one, nor one of the same number with another content.
-func (d *Daemon) fileFollows(to config.Config) error {
-	inForce, drainedInForce := fileDocuments(d.told)
+func (d *Daemon) checkFileVersions(to config.Config) error {
+	inForce, drainedInForce := fileDocuments(d.loadedConfig)
 	if s := d.settingsSource(); s != nil {
 		inForce = s.Newest()
 	}
@@ -240,24 +240,24 @@
 		drainedInForce = s.Newest()
 	}
 	set, drained := fileDocuments(to)
-	return errors.Join(follows("settings_version", inForce, set), follows("drained.version", drainedInForce, drained))
+	return errors.Join(checkNextVersion("settings_version", inForce, set), checkNextVersion("drained.version", drainedInForce, drained))
 }
 
-// offer is one version for one source.
-type offer struct {
+// versionOffer is one version for one source.
+type versionOffer struct {
 	source versionSource
 	doc    versions.Doc
 }
 
-// offerFile takes a configuration read again, as far as its versions go, and calls done with what to go on under, now or
+// offerFileVersions takes a configuration read again, as far as its versions go, and calls done with what to go on under, now or
 // once those versions are in force. On an error nothing is taken.
-func (d *Daemon) offerFile(to config.Config, done func(config.Config, error)) {
-	if err := d.fileFollows(to); err != nil {
+func (d *Daemon) offerFileVersions(to config.Config, done func(config.Config, error)) {
+	if err := d.checkFileVersions(to); err != nil {
 		done(to, err)
 		return
 	}
 	if d.settingsSource() == nil {
-		now, err := d.combined(to)
+		now, err := d.combineVersions(to)
 		if err == nil && d.drainedSource() == nil {
 			d.watcher.SetDrained(to.Drained)
 		}
@@ -266,7 +266,7 @@
 			return
 		}
 	}
-	offers := d.offersOf(to)
+	offers := d.fileOffers(to)
 	for _, o := range offers { // all or none: what can be wrong with the list alone is found out first
 		if err := o.source.Admissible(o.doc); err != nil {
 			done(to, fmt.Errorf("%s: %w", o.source.Document(), err))
@@ -281,14 +281,14 @@
 		if d.drainedSource() != nil {
 			d.watcher.SetDrained(d.agreement.drainedHosts())
 		}
-		done(d.combined(to))
+		done(d.combineVersions(to))
 	})
 }
 
-// offersOf are the versions of a configuration for which there is a source.
-func (d *Daemon) offersOf(c config.Config) (offers []offer) {
+// fileOffers are the versions of a configuration for which there is a source.
+func (d *Daemon) fileOffers(c config.Config) (offers []versionOffer) {
 	set, drained := fileDocuments(c)
-	for _, o := range []offer{{d.agreement.settings, set}, {d.agreement.drained, drained}} {
+	for _, o := range []versionOffer{{d.agreement.settings, set}, {d.agreement.drained, drained}} {
 		if o.source != nil && o.doc.Number != 0 {
 			offers = append(offers, o)
 		}
@@ -297,7 +297,7 @@
 }
 
 // offerAll offers one after the other, and ends with the first that fails.
-func offerAll(offers []offer, done func(error)) {
+func offerAll(offers []versionOffer, done func(error)) {
 	if len(offers) == 0 {
 		done(nil)
 		return
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -67,61 +67,61 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// control is the socket's server. Each client has a goroutine of its own.
-type control struct {
-	d     *Daemon
-	ln    *net.UnixListener
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
+// controlServer is the socket's server. Each client has a goroutine of its own.
+type controlServer struct {
+	d        *Daemon
+	listener *net.UnixListener
+	mu       sync.Mutex
+	conns    map[net.Conn]struct{}
 }
 
 const (
-	commandTime = 5 * time.Second // for a command to come
-	controlMost = 16              // clients at a time
+	commandTimeout    = 5 * time.Second // for a command to come
+	maxControlClients = 16              // clients at a time
 )
 
 // openControl puts our socket where the settings say. A name that another of this ingress's processes has
 // there becomes ours in one step, so that there is always one.
 func (d *Daemon) openControl() error {
-	if d.o.ControlSocket == "" {
+	if d.options.ControlSocket == "" {
 		return nil
 	}
-	if d.succ == nil && d.control == nil { // at a start, another daemon's socket is not to be taken
-		if c, err := net.DialTimeout("unix", d.o.ControlSocket, time.Second); err == nil {
+	if d.asSuccessor == nil && d.controlServer == nil { // at a start, another daemon's socket is not to be taken
+		if c, err := net.DialTimeout("unix", d.options.ControlSocket, time.Second); err == nil {
 			_ = c.Close()
-			return fmt.Errorf("control: another daemon answers at %s", d.o.ControlSocket)
+			return fmt.Errorf("control: another daemon answers at %s", d.options.ControlSocket)
 		}
 	}
-	temporary := filepath.Join(filepath.Dir(d.o.ControlSocket), "."+filepath.Base(d.o.ControlSocket)+"."+strconv.Itoa(os.Getpid()))
+	temporary := filepath.Join(filepath.Dir(d.options.ControlSocket), "."+filepath.Base(d.options.ControlSocket)+"."+strconv.Itoa(os.Getpid()))
 	_ = os.Remove(temporary) // of an earlier process with our number
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
 	ln.SetUnlinkOnClose(false)
-	if err := errors.Join(os.Chmod(temporary, 0o600), os.Rename(temporary, d.o.ControlSocket)); err != nil {
+	if err := errors.Join(os.Chmod(temporary, 0o600), os.Rename(temporary, d.options.ControlSocket)); err != nil {
 		return fmt.Errorf("control: %w", errors.Join(err, ln.Close()))
 	}
-	d.control.close()
-	d.control = &control{d: d, ln: ln, conns: map[net.Conn]struct{}{}}
-	go d.control.run()
+	d.controlServer.close()
+	d.controlServer = &controlServer{d: d, listener: ln, conns: map[net.Conn]struct{}{}}
+	go d.controlServer.run()
 	return nil
 }
 
 // close takes no more clients; those that are there are still answered. It is safe on nil.
-func (c *control) close() {
+func (c *controlServer) close() {
 	if c != nil {
-		_ = c.ln.Close()
+		_ = c.listener.Close()
 	}
 }
 
-// finish closes, and waits a moment for those who have an answer on its way. It is safe on nil.
-func (c *control) finish() {
+// closeAndWait closes, and waits a moment for those who have an answer on its way. It is safe on nil.
+func (c *controlServer) closeAndWait() {
 	if c == nil {
 		return
 	}
 	c.close()
-	for end := time.Now().Add(flushMost); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(endFlushTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		c.mu.Lock()
 		n := len(c.conns)
 		c.mu.Unlock()
@@ -131,14 +131,14 @@
 	}
 }
 
-func (c *control) run() {
+func (c *controlServer) run() {
 	for {
-		conn, err := c.ln.Accept()
+		conn, err := c.listener.Accept()
 		if err != nil {
 			return
 		}
 		c.mu.Lock()
-		full := len(c.conns) >= controlMost
+		full := len(c.conns) >= maxControlClients
 		if !full {
 			c.conns[conn] = struct{}{}
 		}
@@ -159,8 +159,8 @@
 	}
 }
 
-func (c *control) serve(conn net.Conn) {
-	_ = conn.SetReadDeadline(time.Now().Add(commandTime))
+func (c *controlServer) serve(conn net.Conn) {
+	_ = conn.SetReadDeadline(time.Now().Add(commandTimeout))
 	line, err := bufio.NewReaderSize(conn, 4096).ReadSlice('\n')
 	if err != nil {
 		return
@@ -176,11 +176,11 @@
 		_ = out.Encode(c.status())
 	case "members":
 		m := MembershipStatus{Members: []MemberStatus{}, AbsentMembers: []int{}, ActiveVersions: []uint64{}, StaleMembers: []string{}, RejectedVersions: []string{}, DrainedHosts: []string{}}
-		_ = out.Encode(onLoop(c.d, m, func() MembershipStatus { return c.d.view(m) }))
+		_ = out.Encode(onLoop(c.d, m, func() MembershipStatus { return c.d.membershipStatus(m) }))
 	case "leave":
 		leave := c.d.leave
 		if cmd.Member != "" {
-			leave = func() string { return c.d.goneForGood(cmd.Member) }
+			leave = func() string { return c.d.forceLeave(cmd.Member) }
 		}
 		why := onLoop(c.d, "the daemon does not answer", leave)
 		_ = out.Encode(Progress{Text: why, IsDone: true, Succeeded: why == "", Pid: os.Getpid()})
@@ -210,14 +210,14 @@
 	}
 }
 
-func (c *control) status() Status {
+func (c *controlServer) status() Status {
 	d := c.d
 	return onLoop(d, Status{Error: "the daemon does not answer"}, func() Status {
-		s := Status{Name: d.cfg.Name, Version: d.o.Version, Pid: os.Getpid(), Phase: d.pred.machine.State.String(),
-			Streams: d.core.OpenStreams(), Connections: d.server.OpenConnections(), Upstreams: d.hosts.OpenConnections(),
-			Customers: d.module.CustomerCount(), ControlGroup: d.controlStatus()}
-		if d.trial() {
-			s.Phase = d.succ.machine.State.String()
+		s := Status{Name: d.cfg.Name, Version: d.options.Version, Pid: os.Getpid(), Phase: d.asPredecessor.machine.State.String(),
+			Streams: d.core.OpenStreams(), Connections: d.server.OpenConnections(), Upstreams: d.upstreams.OpenConnections(),
+			Customers: d.module.CustomerCount(), ControlGroup: d.controlGroupStatus()}
+		if d.isTakingOver() {
+			s.Phase = d.asSuccessor.machine.State.String()
 		}
 		return s
 	})
@@ -230,7 +230,7 @@
 	select {
 	case t := <-ch:
 		return t
-	case <-time.After(commandTime):
+	case <-time.After(commandTimeout):
 		return silent
 	}
 }
--- a/internal/daemon/controlgroup.go
+++ b/internal/daemon/controlgroup.go
@@ -14,129 +14,129 @@
 // controlGroup is the daemon's part in the control group: the versions that are in force come from it, and the leases
 // that it grants tell whether this ingress may use its share of joint budgets.
 type controlGroup struct {
-	d       *Daemon
-	member  *controlgroup.Member
-	client  *controlclient.Client
-	share   bool                        // as the module was last notified
-	lease   controlgroup.LeaseState     // as last logged
-	files   []controlgroup.Document     // versions that this process began with
-	inForce map[string]versions.Version // newest of each document, as far as the group has told
-	seeded  bool                        // the files' versions were proposed where the group had none or older ones
-	waiting map[proposal]*waiters
-	// resumed: this process had taken part before, and a successor since. It goes on under the versions that it acted
+	d                *Daemon
+	member           *controlgroup.Member
+	client           *controlclient.Client
+	usesShare        bool                        // as the module was last notified
+	loggedLease      controlgroup.LeaseState     // as last logged
+	fileVersions     []controlgroup.Document     // versions that this process began with
+	newestInForce    map[string]versions.Version // newest of each document, as far as the group has told
+	hasProposedFiles bool                        // the files' versions were proposed where the group had none or older ones
+	pending          map[proposalKey]*pendingProposal
+	// isResumed: this process had taken part before, and a successor since. It goes on under the versions that it acted
 	// on until it holds a lease.
-	resumed bool
+	isResumed bool
 }
 
 // openControlGroup connects to the control group, where the program's settings name its replicas. Until a lease is
 // granted this ingress has no share of joint budgets.
 func (d *Daemon) openControlGroup() {
-	if len(d.o.ControlReplicas) == 0 || d.group != nil {
+	if len(d.options.ControlReplicas) == 0 || d.controlGroup != nil {
 		return
 	}
 	now := d.loop.Now()
-	g := &controlGroup{d: d, share: true, inForce: map[string]versions.Version{}, waiting: map[proposal]*waiters{}}
+	g := &controlGroup{d: d, usesShare: true, newestInForce: map[string]versions.Version{}, pending: map[proposalKey]*pendingProposal{}}
 	g.openAgreement()
 	g.member = controlgroup.NewMember(controlgroup.MemberConfig{
 		ID: controlgroup.MemberID(d.cfg.Settings.Index),
 		// A later process must have the higher incarnation.
 		Incarnation: controlgroup.Incarnation(max(1, time.Now().UnixMilli())),
-		First:       g.files, Check: d.checkDocument, ReadyWait: d.cfg.Limits.ControlReadyTimeout}, now)
-	d.group = g
-	g.notifyShare(false, d.core.Enqueue)
-	g.client = controlclient.Open(d.loop, d.cfg.Limits, d.log, controlclient.Config{Replicas: d.o.ControlReplicas,
+		First:       g.fileVersions, Check: d.checkDocument, ReadyWait: d.cfg.Limits.ControlReadyTimeout}, now)
+	d.controlGroup = g
+	g.setShare(false, d.core.Enqueue)
+	g.client = controlclient.Open(d.loop, d.cfg.Limits, d.log, controlclient.Config{Replicas: d.options.ControlReplicas,
 		Number: d.cfg.Settings.Index, Seed: d.cfg.Seed + uint64(d.cfg.Settings.Index), Member: observedMember{g.member, g},
-		Changed: g.changed})
-	d.loop.OnTurnStart(g.turnStart)
-	g.changed(now)
+		Changed: g.handleChange})
+	d.loop.OnTurnStart(g.checkShare)
+	g.handleChange(now)
 }
 
 // openAgreement begins with the versions of the file, or with the newest that this process has acted on. Documents of
 // which the file has no version are followed, too, once the group has one.
 func (g *controlGroup) openAgreement() {
 	d := g.d
-	a := &agreement{logged: map[string][]versions.Version{}}
-	if d.agreed != nil {
-		a.logged, a.ready, g.resumed = d.agreed.logged, d.agreed.ready, true
+	a := &agreement{loggedVersions: map[string][]versions.Version{}}
+	if d.savedAgreement != nil {
+		a.loggedVersions, a.isReady, g.isResumed = d.savedAgreement.loggedVersions, d.savedAgreement.isReady, true
 	}
 	set, drained := fileDocuments(d.cfg)
 	for document, first := range map[string]versions.Doc{settingsDocument: set, drainedDocument: drained} {
-		if d.agreed != nil {
-			first = d.agreed.newest[document]
+		if d.savedAgreement != nil {
+			first = d.savedAgreement.newestVersions[document]
 		}
 		if first.Number > 0 {
-			g.files = append(g.files, controlgroup.Document{Name: document, Version: first})
+			g.fileVersions = append(g.fileVersions, controlgroup.Document{Name: document, Version: first})
 		} else {
-			a.logged[document] = []versions.Version{} // it begins with none
+			a.loggedVersions[document] = []versions.Version{} // it begins with none
 		}
 	}
 	a.settings, a.drained = controlSource{g, settingsDocument}, controlSource{g, drainedDocument}
 	d.agreement = a
 }
 
-// agreed is what a process remembers of the agreement when a successor takes its place, in case it has to go on.
-type agreed struct {
-	newest map[string]versions.Doc
-	logged map[string][]versions.Version
-	ready  bool
+// savedAgreement is what a process remembers of the agreement when a successor takes its place, in case it has to go on.
+type savedAgreement struct {
+	newestVersions map[string]versions.Doc
+	loggedVersions map[string][]versions.Version
+	isReady        bool
 }
 
 // observedMember notes which versions the group says are in force.
 type observedMember struct {
 	*controlgroup.Member
-	g *controlGroup
+	group *controlGroup
 }
 
 // Received hands a message on to the member.
 func (m observedMember) Received(msg controlgroup.Message, now time.Duration) ([]controlgroup.Message, error) {
 	answers, err := m.Member.Received(msg, now)
 	if list, ok := msg.(controlgroup.InForce); ok && err == nil && len(list.Versions) > 0 {
-		m.g.inForce[list.Document] = list.Versions[len(list.Versions)-1]
+		m.group.newestInForce[list.Document] = list.Versions[len(list.Versions)-1]
 	}
 	return answers, err
 }
 
-// turnStart runs before any request of the turn reaches the module: a lease that ran out while this process was stopped
+// checkShare runs before any request of the turn reaches the module: a lease that ran out while this process was stopped
 // must not be used by what queued up in the meantime.
-func (g *controlGroup) turnStart(now time.Duration) {
-	if g.share && !g.member.HoldsShare(now) {
-		g.notifyShare(false, g.d.core.EnqueueFirst)
+func (g *controlGroup) checkShare(now time.Duration) {
+	if g.usesShare && !g.member.HoldsShare(now) {
+		g.setShare(false, g.d.core.EnqueueFirst)
 	}
 	g.logLease(now)
 }
 
-// changed follows what the member tells: share, versions, lease, readiness and the ends of proposals.
-func (g *controlGroup) changed(now time.Duration) {
+// handleChange follows what the member tells: share, versions, lease, readiness and the ends of proposals.
+func (g *controlGroup) handleChange(now time.Duration) {
 	d := g.d
-	if d.group != g || g.client == nil { // given up, or not open yet
+	if d.controlGroup != g || g.client == nil { // given up, or not open yet
 		return
 	}
-	if holds := g.member.HoldsShare(now); holds != g.share {
-		g.notifyShare(holds, d.core.Enqueue)
+	if holds := g.member.HoldsShare(now); holds != g.usesShare {
+		g.setShare(holds, d.core.Enqueue)
 	}
 	held := g.member.LeaseState(now) == controlgroup.LeaseHeld
 	if held {
-		g.resumed = false
+		g.isResumed = false
 	}
-	if !g.resumed {
-		d.versionsChanged()
+	if !g.isResumed {
+		d.applyVersions()
 	}
 	g.logLease(now)
-	if !d.agreement.ready && g.member.Ready(now) {
-		d.versionsKnown(!held)
+	if !d.agreement.isReady && g.member.Ready(now) {
+		d.markVersionsKnown(!held)
 	}
 	if held {
-		g.seed()
+		g.proposeFileVersions()
 	}
-	g.endProposals()
+	g.finishProposals()
 }
 
-// notifyShare has the module use this ingress's share of joint budgets, or not.
-func (g *controlGroup) notifyShare(holds bool, tell func(admission.Event)) {
-	if holds == g.share {
+// setShare has the module use this ingress's share of joint budgets, or not.
+func (g *controlGroup) setShare(holds bool, tell func(admission.Event)) {
+	if holds == g.usesShare {
 		return
 	}
-	g.share = holds
+	g.usesShare = holds
 	ev := admission.FleetChanged{IsUncertain: !holds}
 	tell(ev)
 	g.d.log.Info("share of joint budgets", "settled", holds, "counted_out", fmt.Sprint(ev.Absent))
@@ -145,10 +145,10 @@
 // logLease logs each change of the lease's state.
 func (g *controlGroup) logLease(now time.Duration) {
 	state := g.member.LeaseState(now)
-	if state == g.lease {
+	if state == g.loggedLease {
 		return
 	}
-	g.lease = state
+	g.loggedLease = state
 	level := g.d.log.Info
 	if state != controlgroup.LeaseHeld {
 		level = g.d.log.Warn
@@ -157,23 +157,23 @@
 }
 
 // newestSettings is the number of the newest version of the settings that is acted on, 0: they have none.
-func (g *controlGroup) newestSettings() uint64 { return g.d.version().NewestVersion }
+func (g *controlGroup) newestSettings() uint64 { return g.d.settingsVersions().NewestVersion }
 
-// giveUpControlGroup gives up this process's share and then its leases, so that the next process of this ingress gets
+// releaseShareAndLeases gives up this process's share and then its leases, so that the next process of this ingress gets
 // them at once. Done is called when the group can know; nil: nobody waits.
-func (d *Daemon) giveUpControlGroup(done func()) {
-	if g := d.group; g != nil {
-		g.notifyShare(false, d.core.Enqueue)
+func (d *Daemon) releaseShareAndLeases(done func()) {
+	if g := d.controlGroup; g != nil {
+		g.setShare(false, d.core.Enqueue)
 		for d.core.HasPendingEvents() { // the module is to know before the group does
 			d.core.Turn(d.loop.Now())
 		}
 	}
-	d.endControlGroup(done)
+	d.releaseLeases(done)
 }
 
-// endControlGroup gives up the leases of a process that uses its share no more.
-func (d *Daemon) endControlGroup(done func()) {
-	g := d.group
+// releaseLeases gives up the leases of a process that uses its share no more.
+func (d *Daemon) releaseLeases(done func()) {
+	g := d.controlGroup
 	if g == nil {
 		if done != nil {
 			done()
@@ -181,29 +181,29 @@
 		return
 	}
 	d.loop.OnTurnStart(nil)
-	d.group = nil
-	g.failProposals(errClosed)
+	d.controlGroup = nil
+	g.failProposals(errLeasesReleased)
 	g.client.GiveUp(done)
 }
 
 // suspendControlGroup gives up for a successor, and remembers what to go on with should that one fail.
 func (d *Daemon) suspendControlGroup() {
-	if d.group == nil {
+	if d.controlGroup == nil {
 		return
 	}
-	d.agreed = &agreed{newest: map[string]versions.Doc{}, logged: d.agreement.logged, ready: d.agreement.ready}
-	for _, s := range d.agreement.sources() {
-		d.agreed.newest[s.Document()] = s.Newest()
+	d.savedAgreement = &savedAgreement{newestVersions: map[string]versions.Doc{}, loggedVersions: d.agreement.loggedVersions, isReady: d.agreement.isReady}
+	for _, s := range d.agreement.sourcesWithVersion() {
+		d.savedAgreement.newestVersions[s.Document()] = s.Newest()
 	}
-	d.giveUpControlGroup(nil)
+	d.releaseShareAndLeases(nil)
 	d.agreement = nil
 }
 
-// settled tells whether this ingress takes its share of joint budgets.
-func (d *Daemon) settled(now time.Duration) bool {
+// usesShare tells whether this ingress takes its share of joint budgets.
+func (d *Daemon) usesShare(now time.Duration) bool {
 	switch {
-	case d.group != nil:
-		return d.group.member.HoldsShare(now)
+	case d.controlGroup != nil:
+		return d.controlGroup.member.HoldsShare(now)
 	case d.members != nil:
 		return d.members.Node().Settled(now)
 	}
@@ -219,9 +219,9 @@
 	SettingsVersion uint64 `json:"version"` // newest of the settings acted on; 0: they have none
 }
 
-// controlStatus is nil without a control group.
-func (d *Daemon) controlStatus() *ControlGroupStatus {
-	g, now := d.group, d.loop.Now()
+// controlGroupStatus is nil without a control group.
+func (d *Daemon) controlGroupStatus() *ControlGroupStatus {
+	g, now := d.controlGroup, d.loop.Now()
 	if g == nil {
 		return nil
 	}
@@ -229,23 +229,23 @@
 		HoldsShareLease: g.member.HoldsShare(now), Term: g.member.Term(), SettingsVersion: g.newestSettings()}
 }
 
-// figures are those that stand at the control group.
-func (g *controlGroup) figures(now time.Duration) figures.ControlGroup {
+// metrics are those that stand at the control group.
+func (g *controlGroup) metrics(now time.Duration) figures.ControlGroup {
 	counts := g.client.Counts()
 	return figures.ControlGroup{IsConnected: g.client.Replica() != "", HoldsSettingsLease: g.member.LeaseState(now) == controlgroup.LeaseHeld,
 		HoldsShareLease: g.member.HoldsShare(now), Term: g.member.Term(), Connections: counts.Connections, BytesSent: counts.Sent,
 		BytesReceived: counts.Received}
 }
 
-// seed proposes the versions of this ingress's files once, where the group has none of a document or an older one: so the
+// proposeFileVersions proposes the versions of this ingress's files once, where the group has none of a document or an older one: so the
 // first files of a fleet come in force, and one that was changed while its ingress was down counts as one read by SIGHUP.
-func (g *controlGroup) seed() {
-	if g.seeded {
+func (g *controlGroup) proposeFileVersions() {
+	if g.hasProposedFiles {
 		return
 	}
-	g.seeded = true
-	for _, file := range g.files {
-		if newest, ok := g.inForce[file.Name]; ok && newest.Number >= file.Version.Number {
+	g.hasProposedFiles = true
+	for _, file := range g.fileVersions {
+		if newest, ok := g.newestInForce[file.Name]; ok && newest.Number >= file.Version.Number {
 			continue
 		}
 		controlSource{g, file.Name}.propose(file.Version, func(err error) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -59,22 +59,22 @@
 	if err != nil {
 		return err
 	}
-	d := &Daemon{o: o, loop: l, log: o.Log, reload: make(chan struct{}, 1)}
-	d.pred = &predecessor{d: d}
-	fd, err := inherited(o.Getenv)
+	d := &Daemon{options: o, loop: l, log: o.Log, frontReload: make(chan struct{}, 1)}
+	d.asPredecessor = &predecessorRole{d: d}
+	fd, err := inheritedConnection(o.Getenv)
 	if err != nil {
 		return err
 	}
 	if fd < 0 {
-		if fd, err = d.predecessor(); err != nil {
+		if fd, err = d.connectToPredecessor(); err != nil {
 			return err
 		}
-		d.beside = fd >= 0
+		d.isReplacement = fd >= 0
 	}
 	if fd >= 0 {
-		err = d.succeed(fd)
+		err = d.startAsSuccessor(fd)
 	} else {
-		err = d.begin()
+		err = d.start()
 	}
 	if err != nil {
 		return err
@@ -85,19 +85,19 @@
 		}
 		go func() {
 			for s := range signals {
-				d.signal(s)
+				d.handleSignal(s)
 			}
 		}()
 	}
 	o.Embedded.attach(d)
-	err = errors.Join(d.loop.Run(d), d.fault)
+	err = errors.Join(d.loop.Run(d), d.runError)
 	if o.Embedded == nil {
-		d.endControlGroup(nil) // nothing is sent on any more, however it came to the end
+		d.releaseLeases(nil) // nothing is sent on any more, however it came to the end
 	}
 	o.Embedded.detach(d.loop)
-	d.control.finish()
+	d.controlServer.closeAndWait()
 	if d.telemetry != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), flushMost)
+		ctx, cancel := context.WithTimeout(context.Background(), endFlushTimeout)
 		defer cancel()
 		if err := d.telemetry.Shutdown(ctx); err != nil {
 			d.log.Warn("telemetry not flushed", "error", err)
@@ -106,51 +106,51 @@
 	return err
 }
 
-// flushMost is how long the end of the process may wait for telemetry.
-const flushMost = 150 * time.Millisecond
+// endFlushTimeout is how long the end of the process may wait for telemetry.
+const endFlushTimeout = 150 * time.Millisecond
 
 // Daemon is the program's parts, wired together. All but what is said to be otherwise belongs to the loop.
 type Daemon struct {
-	o         Options
-	telemetry *telemetry.Exporter // nil unless an endpoint is set
-	reload    chan struct{}
-	loop      *loop.Loop
-	cfg       config.Config
-	told      config.Config // as last read and taken
-	reloads   int           // asked for and not done; one is read at a time
-	log       *slog.Logger
-	module    *admission.Gateway
-	core      *core.Core
-	server    *downstream.Server
-	hosts     *upstream.Pool
-	counter   *counter.Client // nil where there is none
-	watcher   *discovery.Watcher
-	fronts    []opening
-	control   *control
-	admin     *mgmt.Endpoint // nil where operators have none
-	members   *members       // nil where ingresses do not talk
-	group     *controlGroup  // nil where there is none, or while another process has this one's place
-	agreement *agreement     // nil where no versions are agreed on with others
-	agreed    *agreed        // from the last time that another process took this one's place
-	figures   figures.Metrics
-	awaits    *loop.Source // where a successor is awaited, nil: nowhere
-	beside    bool         // somebody else has started us as a successor
-	draining  bool
-	leaves    bool          // the planned end is for good
-	leaving   bool          // nothing is open any more
-	stallTold time.Duration // when it was last logged that the process stood still
-	fault     error
+	options             Options
+	telemetry           *telemetry.Exporter // nil unless an endpoint is set
+	frontReload         chan struct{}
+	loop                *loop.Loop
+	cfg                 config.Config
+	loadedConfig        config.Config // as last read and taken
+	pendingReloads      int           // asked for and not done; one is read at a time
+	log                 *slog.Logger
+	module              *admission.Gateway
+	core                *core.Core
+	server              *downstream.Server
+	upstreams           *upstream.Pool
+	counter             *counter.Client // nil where there is none
+	watcher             *discovery.Watcher
+	fronts              []listeningFront
+	controlServer       *controlServer
+	admin               *mgmt.Endpoint  // nil where operators have none
+	members             *members        // nil where ingresses do not talk
+	controlGroup        *controlGroup   // nil where there is none, or while another process has this one's place
+	agreement           *agreement      // nil where no versions are agreed on with others
+	savedAgreement      *savedAgreement // from the last time that another process took this one's place
+	figures             figures.Metrics
+	successorListener   *loop.Source // where a successor is awaited, nil: nowhere
+	isReplacement       bool         // somebody else has started us as a successor
+	isDraining          bool
+	isLeavingMembership bool          // the planned end is for good
+	hasDrained          bool          // nothing is open any more
+	stallLoggedAt       time.Duration // when it was last logged that the process stood still
+	runError            error
 
-	pred *predecessor // our part in an upgrade that replaces us
-	succ *successor   // our part in the upgrade that started us, nil if none did
+	asPredecessor *predecessorRole // our part in an upgrade that replaces us
+	asSuccessor   *successorRole   // our part in the upgrade that started us, nil if none did
 }
 
-// opening is a front and where it listens.
-type opening struct {
-	addr   string
-	front  downstream.Handler
-	ready  func()
-	follow func(admission.Settings)
+// listeningFront is a front and where it listens.
+type listeningFront struct {
+	addr           string
+	handler        downstream.Handler
+	onServing      func()
+	updateSettings func(admission.Settings)
 }
 
 // noCounter stands where a deployment has none; the module does not call it there.
@@ -158,41 +158,41 @@
 
 func (noCounter) Add(string, float64, time.Duration) {}
 
-// begin starts without a predecessor.
-func (d *Daemon) begin() error {
+// start starts without a predecessor.
+func (d *Daemon) start() error {
 	if err := d.assemble(); err != nil {
 		return err
 	}
 	for _, f := range d.fronts {
-		if err := d.server.Listen(f.addr, f.front); err != nil {
+		if err := d.server.Listen(f.addr, f.handler); err != nil {
 			return err
 		}
 	}
 	for _, f := range d.fronts {
-		f.ready()
+		f.onServing()
 	}
-	if err := errors.Join(d.openControl(), d.openAdmin(), d.openMembers()); err != nil {
+	if err := errors.Join(d.openControl(), d.openAdmin(), d.joinMembership()); err != nil {
 		return err
 	}
 	d.openControlGroup()
-	d.await()
-	d.log.Info("serving", "version", d.o.Version, "listen", d.cfg.Listen)
-	d.o.Notify("READY=1")
+	d.listenForSuccessor()
+	d.log.Info("serving", "version", d.options.Version, "listen", d.cfg.Listen)
+	d.options.Notify("READY=1")
 	return nil
 }
 
-// bound keeps the runtime within the machine: one core, and memory collected hard before the platform
+// limitRuntime keeps the runtime within the machine: one core, and memory collected hard before the platform
 // would kill the process. The live heap is small: to collect at twice its size costs little time, and the
 // heap has its final size within seconds, so that growth that does not stop is seen for what it is.
-func bound(cfg config.Config) {
+func limitRuntime(cfg config.Config) {
 	runtime.GOMAXPROCS(max(1, int(cfg.Cores)))
 	debug.SetGCPercent(100)
-	shareMemory(cfg.Limits, 1)
+	setMemoryLimit(cfg.Limits, 1)
 }
 
-// shareMemory sets the heap's soft limit: alone to six tenths of what this ingress may have, and while an upgrade
+// setMemoryLimit sets the heap's soft limit: alone to six tenths of what this ingress may have, and while an upgrade
 // is under way, when two processes live on that, to less than a half for each.
-func shareMemory(lim limits.Limits, processes int) {
+func setMemoryLimit(lim limits.Limits, processes int) {
 	tenths := int64(6)
 	if processes > 1 {
 		tenths = 4
@@ -204,18 +204,18 @@
 
 // assemble reads the configuration and builds all parts; nothing listens yet.
 func (d *Daemon) assemble() error {
-	cfg, err := d.o.LoadConfig()
+	cfg, err := d.options.LoadConfig()
 	if err != nil {
 		return err
 	}
-	if d.o.OverrideLimits != nil {
-		d.o.OverrideLimits(&cfg.Limits)
+	if d.options.OverrideLimits != nil {
+		d.options.OverrideLimits(&cfg.Limits)
 	}
 	d.log = d.log.With("name", cfg.Name)
-	if d.o.Embedded == nil {
-		bound(cfg)
+	if d.options.Embedded == nil {
+		limitRuntime(cfg)
 	}
-	d.told = cfg
+	d.loadedConfig = cfg
 	// Every refusal tells when to come back, also where clients are not known to heed it.
 	cfg.Settings.CanSendRetryAfter = true
 	d.cfg = cfg
@@ -223,8 +223,8 @@
 	var file openapi.File
 	var table *routes.Table
 	var stamp openapi.Stamp
-	if d.o.ReadFrontFile != nil {
-		if file, err = d.o.ReadFrontFile(); err != nil {
+	if d.options.ReadFrontFile != nil {
+		if file, err = d.options.ReadFrontFile(); err != nil {
 			return err
 		}
 		stamp = file.Stamp()
@@ -236,28 +236,28 @@
 		return err
 	}
 	l := d.loop
-	d.hosts = upstream.New(l, cfg.Limits, d.log, &d.figures.UpstreamRequests)
-	d.nameClasses()
-	parts := core.Config{Decider: d.module, Upstreams: d.hosts, Counter: noCounter{}, Cluster: d, Log: d.log, Metrics: &d.figures,
+	d.upstreams = upstream.New(l, cfg.Limits, d.log, &d.figures.UpstreamRequests)
+	d.addClassMetrics()
+	parts := core.Config{Decider: d.module, Upstreams: d.upstreams, Counter: noCounter{}, Cluster: d, Log: d.log, Metrics: &d.figures,
 		DeadlineMargin: cfg.Limits.DeadlineMargin}
 	parts.RepeatWindows = core.RepeatWindows(cfg.Settings.Classes)
-	if d.o.OTLPEndpoint != "" {
-		if d.telemetry, err = newTelemetry(cfg, d.o, d.log); err != nil {
+	if d.options.OTLPEndpoint != "" {
+		if d.telemetry, err = newTelemetry(cfg, d.options, d.log); err != nil {
 			return err
 		}
 		parts.Observer = d.telemetry
 	}
 	d.core = core.New(parts)
-	d.hosts.SetSink(d.core)
+	d.upstreams.SetSink(d.core)
 	if cfg.Settings.HasCounter {
 		d.openCounter(cfg.Counter)
 		d.core.SetCounter(d.counter)
 	}
-	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.hosts, cfg.Known, cfg.Seed)
+	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.upstreams, cfg.Known, cfg.Seed)
 	d.watcher.SetDrained(cfg.Drained)
 	d.server = downstream.New(l, cfg.Limits, d.log)
-	first := platform.New(d.core, cfg.Settings, d.known)
-	d.fronts = append(d.fronts, opening{cfg.Listen, first, func() {}, first.Follow})
+	first := platform.New(d.core, cfg.Settings, d.canServe)
+	d.fronts = append(d.fronts, listeningFront{cfg.Listen, first, func() {}, first.Follow})
 	if table != nil {
 		d.fronts = append(d.fronts, d.secondFront(file, table, stamp))
 	}
@@ -271,15 +271,15 @@
 }
 
 // secondFront is the front that a file describes, beside the platform's.
-func (d *Daemon) secondFront(file openapi.File, table *routes.Table, stamp openapi.Stamp) opening {
+func (d *Daemon) secondFront(file openapi.File, table *routes.Table, stamp openapi.Stamp) listeningFront {
 	f := openapi.New(d.core, d.cfg.Settings, file, table, d.watcher.IsReady, d.log)
 	settings := &atomic.Pointer[admission.Settings]{} // read by the reloader's goroutine
 	start := d.cfg.Settings
 	settings.Store(&start)
-	return opening{file.Listen, f, func() {
+	return listeningFront{file.Listen, f, func() {
 		d.log.Info("second front", "listen", file.Listen, "routes", len(table.All()))
 		if file.Description != "" {
-			r := openapi.Reloader{File: file, Settings: settings.Load, Log: d.log, Every: time.Second, Kick: d.reload,
+			r := openapi.Reloader{File: file, Settings: settings.Load, Log: d.log, Every: time.Second, Kick: d.frontReload,
 				Swap: func(t *routes.Table) { d.loop.Post(func() { f.Swap(t) }) }}
 			go r.Run(stamp)
 		}
@@ -295,11 +295,11 @@
 	return telemetry.New(c)
 }
 
-// signal runs on the signals' goroutine. What a signal asks for is decided on the loop's.
-func (d *Daemon) signal(s os.Signal) {
+// handleSignal runs on the signals' goroutine. What a handleSignal asks for is decided on the loop's.
+func (d *Daemon) handleSignal(s os.Signal) {
 	switch s {
 	case syscall.SIGHUP:
-		d.loop.Post(d.reloadAsked)
+		d.loop.Post(d.handleReloadRequest)
 	case syscall.SIGUSR2:
 		d.loop.Post(func() {
 			if why := d.upgrade(func(Progress) {}); why != "" {
@@ -307,30 +307,32 @@
 			}
 		})
 	default:
-		d.loop.Post(d.endAsked)
+		d.loop.Post(d.handleEndRequest)
 	}
 }
 
-// trial tells whether the upgrade that started us is not over.
-func (d *Daemon) trial() bool { return d.succ != nil && d.succ.machine.State != phase.Independent }
+// isTakingOver tells whether the upgrade that started us is not over.
+func (d *Daemon) isTakingOver() bool {
+	return d.asSuccessor != nil && d.asSuccessor.machine.State != phase.Independent
+}
 
-func (d *Daemon) endAsked() {
-	if d.trial() {
-		d.succ.told = true
-		d.succ.handle(phase.EndAsked{})
+func (d *Daemon) handleEndRequest() {
+	if d.isTakingOver() {
+		d.asSuccessor.isEndRequested = true
+		d.asSuccessor.handle(phase.EndAsked{})
 		return
 	}
-	d.pred.handle(phase.EndAsked{})
+	d.asPredecessor.handle(phase.EndAsked{})
 }
 
-func (d *Daemon) reloadAsked() {
-	if d.trial() {
-		d.succ.handle(phase.ReloadAsked{})
+func (d *Daemon) handleReloadRequest() {
+	if d.isTakingOver() {
+		d.asSuccessor.handle(phase.ReloadAsked{})
 		return
 	}
-	d.pred.handle(phase.ReloadAsked{})
-	if !d.pred.machine.Committed() {
-		d.reconfigure()
+	d.asPredecessor.handle(phase.ReloadAsked{})
+	if !d.asPredecessor.machine.Committed() {
+		d.reloadConfig()
 	}
 }
 
@@ -342,24 +344,24 @@
 	if d.core == nil { // a successor that has not been told whose place it takes
 		return 0
 	}
-	d.noteStall(now)
+	d.logStall(now)
 	next := d.core.Turn(now)
-	d.pred.turn(now)
-	if d.server.ListenersClosed() && d.core.OpenStreams() == 0 && d.server.OpenConnections() == 0 && !d.leaving {
-		d.leaving = true
+	d.asPredecessor.endTurn(now)
+	if d.server.ListenersClosed() && d.core.OpenStreams() == 0 && d.server.OpenConnections() == 0 && !d.hasDrained {
+		d.hasDrained = true
 		d.log.Info("drained")
-		d.sayLeave(func() { d.giveUpControlGroup(d.loop.Stop) })
+		d.announceLeave(func() { d.releaseShareAndLeases(d.loop.Stop) })
 	}
 	return next
 }
 
-// stallEvery: a process that stands still again and again says so that often.
-const stallEvery = 10 * time.Second
+// stallLogInterval: a process that stands still again and again says so that often.
+const stallLogInterval = 10 * time.Second
 
-// noteStall tells the operator that the process stood still: stopped, or without a processor.
-func (d *Daemon) noteStall(now time.Duration) {
-	if late := d.loop.MaxReadDelay(); late > 0 && now-d.stallTold > stallEvery {
-		d.stallTold = now
+// logStall tells the operator that the process stood still: stopped, or without a processor.
+func (d *Daemon) logStall(now time.Duration) {
+	if late := d.loop.MaxReadDelay(); late > 0 && now-d.stallLoggedAt > stallLogInterval {
+		d.stallLoggedAt = now
 		d.log.Warn("process stood still", "at_most", late)
 	}
 }
@@ -367,19 +369,19 @@
 // drain is the planned end: new connections are taken a while longer, since the front notices late;
 // every answer closes its connection; then the listener closes, and with the last answer the daemon ends.
 func (d *Daemon) drain() {
-	if d.draining {
+	if d.isDraining {
 		return
 	}
-	d.draining = true
-	d.o.Notify("STOPPING=1")
+	d.isDraining = true
+	d.options.Notify("STOPPING=1")
 	d.log.Info("draining", "streams", d.core.OpenStreams(), "connections", d.server.OpenConnections())
 	d.server.Drain()
 	d.loop.After(d.cfg.Limits.DrainAcceptPeriod, d.server.CloseListeners)
-	d.endInTime()
+	d.scheduleForcedEnd()
 }
 
 // fail ends the process with an error.
 func (d *Daemon) fail(format string, args ...any) {
-	d.fault = fmt.Errorf(format, args...)
+	d.runError = fmt.Errorf(format, args...)
 	d.loop.Stop()
 }
--- a/internal/daemon/embedded.go
+++ b/internal/daemon/embedded.go
@@ -12,10 +12,10 @@
 	// IsReachable tells whether messages to and from another member get through; nil: all do. It is called on the loop.
 	IsReachable func(member string) bool
 
-	mu       sync.Mutex
-	daemon   *Daemon       // nil before the start and after the end
-	stopped  bool          // it is to end, also where it has not begun
-	released chan struct{} // closed when a machine that was lost gives up its descriptors
+	mu              sync.Mutex
+	daemon          *Daemon       // nil before the start and after the end
+	isStopRequested bool          // it is to end, also where it has not begun
+	released        chan struct{} // closed when a machine that was lost gives up its descriptors
 }
 
 // NewEmbedded returns one for Options.
@@ -75,7 +75,7 @@
 func (e *Embedded) stop() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.stopped = true; e.daemon != nil {
+	if e.isStopRequested = true; e.daemon != nil {
 		e.daemon.loop.Post(e.daemon.loop.Stop)
 	}
 }
@@ -87,7 +87,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.daemon = d; e.stopped {
+	if e.daemon = d; e.isStopRequested {
 		d.loop.Stop()
 	}
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -18,18 +18,18 @@
 // and what of joint budgets is ours goes to the module as one event when it changes.
 type members struct {
 	*peers.Transport
-	me     string
-	gossip *gossip // nil where no versions are agreed on by it
-	told   admission.FleetChanged
-	states map[string]membership.State // as last logged,
-	logged uint64                      // in this version of the view
+	self          string
+	gossip        *gossip // nil where no versions are agreed on by it
+	reportedShare admission.FleetChanged
+	loggedStates  map[string]membership.State // as last logged,
+	loggedView    uint64                      // in this version of the view
 }
 
-// openMembers joins the others, where the program's settings say so.
-func (d *Daemon) openMembers() error {
+// joinMembership joins the others, where the program's settings say so.
+func (d *Daemon) joinMembership() error {
 	cfg, lim := d.cfg, d.cfg.Limits
 	switch {
-	case !d.o.HasMembership || d.members != nil:
+	case !d.options.HasMembership || d.members != nil:
 		return nil
 	case cfg.PeerListen == "":
 		return errors.New("peer_listen is missing, and membership is enabled")
@@ -37,10 +37,10 @@
 		return fmt.Errorf("peers holds %d addresses, and there are %d ingresses", len(cfg.Peers), cfg.Settings.Gateways)
 	}
 	me, now := cfg.Settings.Index, d.loop.Now()
-	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, TickInterval: lim.MemberAckTimeout / 4, OnChange: d.membersChanged,
-		AppPrefix: versions.Mark, OnAppMessage: d.gossipReceived}
-	if d.o.Embedded != nil {
-		c.IsReachable = d.o.Embedded.IsReachable
+	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, TickInterval: lim.MemberAckTimeout / 4, OnChange: d.handleMembershipChange,
+		AppPrefix: versions.Mark, OnAppMessage: d.receiveGossip}
+	if d.options.Embedded != nil {
+		c.IsReachable = d.options.Embedded.IsReachable
 	}
 	var roster []string
 	for i, addr := range cfg.Peers {
@@ -57,33 +57,33 @@
 		Seed: cfg.Seed + uint64(me), Period: lim.MemberProbeInterval, AckWithin: lim.MemberAckTimeout, SuspectFor: lim.MemberSuspicionTimeout,
 		// Whoever asks for an upgrade is turned down while this process is not settled; a process that the platform
 		// starts beside another can't be.
-		Assured: d.succ != nil && !d.beside,
+		Assured: d.asSuccessor != nil && !d.isReplacement,
 		Helpers: lim.MemberIndirectProbes, Carry: lim.MemberUpdatesPerMessage, Least: cfg.Settings.Gateways}, now)
 	node.Roster(roster, now)
-	m := &members{me: strconv.Itoa(me), states: map[string]membership.State{}}
+	m := &members{self: strconv.Itoa(me), loggedStates: map[string]membership.State{}}
 	d.members = m
 	var err error
 	if m.Transport, err = peers.Open(d.loop, lim, d.log, node, c); err != nil {
 		d.members = nil
 		return err
 	}
-	if len(d.o.ControlReplicas) == 0 {
+	if len(d.options.ControlReplicas) == 0 {
 		d.openGossip(now)
 	}
-	d.membersChanged(now)
+	d.handleMembershipChange(now)
 	return nil
 }
 
-// openMembersAgain is for a process that takes another's place: it serves whether or not it can talk.
-func (d *Daemon) openMembersAgain() {
-	if err := d.openMembers(); err != nil {
+// rejoinMembership is for a process that takes another's place: it serves whether or not it can talk.
+func (d *Daemon) rejoinMembership() {
+	if err := d.joinMembership(); err != nil {
 		d.log.Error("membership not joined", "error", err)
 		d.core.Enqueue(admission.FleetChanged{IsUncertain: true})
 	}
 }
 
-// closeMembers says and hears no more.
-func (d *Daemon) closeMembers() {
+// closeMembership says and hears no more.
+func (d *Daemon) closeMembership() {
 	if d.members != nil {
 		if d.members.gossip != nil {
 			d.agreement = nil
@@ -93,33 +93,33 @@
 	}
 }
 
-// membersChanged tells the module of a change in what is ours, and the operator of each member's change of state.
-func (d *Daemon) membersChanged(now time.Duration) {
+// handleMembershipChange tells the module of a change in what is ours, and the operator of each member's change of state.
+func (d *Daemon) handleMembershipChange(now time.Duration) {
 	m := d.members
 	if m == nil || m.Transport == nil {
 		return
 	}
 	if m.gossip != nil {
-		d.gossipTick(now)
+		d.tickGossip(now)
 	}
-	if len(d.o.ControlReplicas) == 0 { // else the group grants the share
-		d.shareChanged(now)
+	if len(d.options.ControlReplicas) == 0 { // else the group grants the share
+		d.updateShare(now)
 	}
 	view := m.Node().View()
-	if view.Version == m.logged {
+	if view.Version == m.loggedView {
 		return
 	}
-	m.logged = view.Version
+	m.loggedView = view.Version
 	for _, o := range view.Members {
-		if was := m.states[o.Name]; was != o.State {
-			m.states[o.Name] = o.State
+		if was := m.loggedStates[o.Name]; was != o.State {
+			m.loggedStates[o.Name] = o.State
 			d.log.Info("member", "member", o.Name, "state", o.State.String(), "was", was.String(), "incarnation", o.Incarnation)
 		}
 	}
 }
 
-// shareChanged tells the module of a change in who shares joint budgets, by the view of the membership.
-func (d *Daemon) shareChanged(now time.Duration) {
+// updateShare tells the module of a change in who shares joint budgets, by the view of the membership.
+func (d *Daemon) updateShare(now time.Duration) {
 	m := d.members
 	ev := admission.FleetChanged{IsUncertain: !m.Node().Settled(now)}
 	for _, name := range m.Node().Absent(now) {
@@ -127,18 +127,18 @@
 			ev.Absent = append(ev.Absent, i)
 		}
 	}
-	if ev.IsUncertain != m.told.IsUncertain || !slices.Equal(ev.Absent, m.told.Absent) {
-		m.told = ev
+	if ev.IsUncertain != m.reportedShare.IsUncertain || !slices.Equal(ev.Absent, m.reportedShare.Absent) {
+		m.reportedShare = ev
 		d.core.Enqueue(ev)
 		d.log.Info("share of joint budgets", "settled", !ev.IsUncertain, "counted_out", fmt.Sprint(ev.Absent))
 	}
 }
 
-// present is what the admin endpoint tells.
-func (d *Daemon) present(now time.Duration) figures.Membership {
+// membershipMetrics is what the admin endpoint tells.
+func (d *Daemon) membershipMetrics(now time.Duration) figures.Membership {
 	m := d.members
 	v, c := m.Node().View(), m.Counts()
-	f := figures.Membership{ViewVersion: v.Version, AbsentMembers: len(m.told.Absent), IsSettled: d.settled(now), MessagesSent: c.Sent, MessagesReceived: c.Received,
+	f := figures.Membership{ViewVersion: v.Version, AbsentMembers: len(m.reportedShare.Absent), IsSettled: d.usesShare(now), MessagesSent: c.Sent, MessagesReceived: c.Received,
 		MessagesDropped: c.Dropped}
 	for _, s := range membership.States {
 		f.States = append(f.States, figures.StateCount{Name: s.String(), Members: v.Count(s)})
@@ -146,8 +146,8 @@
 	return f
 }
 
-// view fills in what the control socket tells.
-func (d *Daemon) view(to MembershipStatus) MembershipStatus {
+// membershipStatus fills in what the control socket tells.
+func (d *Daemon) membershipStatus(to MembershipStatus) MembershipStatus {
 	to.Name = d.cfg.Name
 	if s := d.settingsSource(); s != nil {
 		for _, doc := range s.Acting() {
@@ -161,14 +161,14 @@
 	if d.drainedSource() != nil {
 		to.DrainedHosts = append(to.DrainedHosts, d.agreement.drainedHosts()...)
 	}
-	to.IsSettled = d.settled(d.loop.Now())
+	to.IsSettled = d.usesShare(d.loop.Now())
 	m := d.members
 	if m == nil {
 		return to
 	}
 	v, c := m.Node().View(), m.Counts()
 	to.IsEnabled, to.ViewVersion = true, v.Version
-	to.AbsentMembers, to.MessagesSent, to.MessagesReceived, to.MessagesDropped = append(to.AbsentMembers, m.told.Absent...), c.Sent, c.Received, c.Dropped
+	to.AbsentMembers, to.MessagesSent, to.MessagesReceived, to.MessagesDropped = append(to.AbsentMembers, m.reportedShare.Absent...), c.Sent, c.Received, c.Dropped
 	to.BytesSent, to.BytesReceived = c.SentBytes, c.ReceivedBytes
 	for _, o := range v.Members {
 		to.Members = append(to.Members, MemberStatus{Name: o.Name, State: o.State.String(), Incarnation: o.Incarnation})
@@ -178,8 +178,8 @@
 
 // Leaving says so this often, so far apart: each time some hear it, and they tell the others.
 const (
-	leaveTimes = 5
-	leaveEvery = 60 * time.Millisecond
+	leaveRepeats  = 5
+	leaveInterval = 60 * time.Millisecond
 )
 
 // leave begins a planned end that is for good: the others share what was ours.
@@ -187,16 +187,16 @@
 	switch {
 	case d.members == nil:
 		return "membership is not enabled"
-	case d.pred.machine.UnderWay() || d.trial():
+	case d.asPredecessor.machine.UnderWay() || d.isTakingOver():
 		return "an upgrade is under way"
 	}
-	d.leaves = true
+	d.isLeavingMembership = true
 	d.drain()
 	return ""
 }
 
-// goneForGood has a member that is dead here be left for all, as an operator knows it to be.
-func (d *Daemon) goneForGood(name string) string {
+// forceLeave has a member that is dead here be left for all, as an operator knows it to be.
+func (d *Daemon) forceLeave(name string) string {
 	m := d.members
 	if m == nil {
 		return "membership is not enabled"
@@ -204,22 +204,22 @@
 	for _, o := range m.Node().View().Members {
 		if o.Name == name && o.State == membership.Dead {
 			m.ForceLeave(name)
-			d.membersChanged(d.loop.Now())
+			d.handleMembershipChange(d.loop.Now())
 			return ""
 		}
 	}
 	return fmt.Sprintf("member %s is not dead here", name)
 }
 
-// sayLeave tells the others, once nothing is open here any more, and then goes on to the end.
-func (d *Daemon) sayLeave(end func()) {
-	if !d.leaves || d.members == nil {
+// announceLeave tells the others, once nothing is open here any more, and then goes on to the end.
+func (d *Daemon) announceLeave(end func()) {
+	if !d.isLeavingMembership || d.members == nil {
 		end()
 		return
 	}
 	d.log.Info("left")
-	for i := range leaveTimes {
-		d.loop.After(time.Duration(i)*leaveEvery, d.members.Leave)
+	for i := range leaveRepeats {
+		d.loop.After(time.Duration(i)*leaveInterval, d.members.Leave)
 	}
-	d.loop.After(leaveTimes*leaveEvery, end)
+	d.loop.After(leaveRepeats*leaveInterval, end)
 }
--- a/internal/daemon/peer.go
+++ b/internal/daemon/peer.go
@@ -12,35 +12,35 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// peer is one successor, however it ends.
-type peer struct {
-	p    *predecessor
-	conn *handover.Conn
-	cmd  *exec.Cmd
-	lost bool // nothing more comes from it
+// successorProcess is one successor, however it ends.
+type successorProcess struct {
+	role   *predecessorRole
+	conn   *handover.Conn
+	cmd    *exec.Cmd
+	isLost bool // nothing more comes from it
 }
 
 // spawn starts what lies at the binary's path now. To start a process may take milliseconds, so it is done
 // beside the loop.
-func (p *predecessor) spawn() {
+func (p *predecessorRole) spawn() {
 	d := p.d
 	ours, theirs, err := handover.Pair()
 	if err != nil {
 		d.loop.After(0, func() { p.handle(phase.SpawnFailed{Why: err.Error()}) })
 		return
 	}
-	r := &peer{p: p}
+	r := &successorProcess{role: p}
 	if r.conn, err = handover.New(d.loop, d.cfg.Limits, ours, r); err != nil {
 		loop.CloseFD(ours)
 		loop.CloseFD(theirs)
 		d.loop.After(0, func() { p.handle(phase.SpawnFailed{Why: err.Error()}) })
 		return
 	}
-	p.peer = r
-	shareMemory(d.cfg.Limits, 2)
+	p.successor = r
+	setMemoryLimit(d.cfg.Limits, 2)
 	go func() {
 		end := os.NewFile(uintptr(theirs), "handover")
-		cmd := exec.Command(d.o.UpgradeCommand[0], d.o.UpgradeCommand[1:]...)
+		cmd := exec.Command(d.options.UpgradeCommand[0], d.options.UpgradeCommand[1:]...)
 		cmd.Env = append(os.Environ(), handover.Env+"=3")
 		cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = os.Stdout, os.Stderr, []*os.File{end}
 		err := cmd.Start()
@@ -48,8 +48,8 @@
 		if err != nil {
 			d.loop.Post(func() {
 				r.conn.Close()
-				if p.peer == r {
-					p.peer = nil
+				if p.successor == r {
+					p.successor = nil
 					p.handle(phase.SpawnFailed{Why: err.Error()})
 				}
 			})
@@ -57,25 +57,25 @@
 		}
 		d.loop.Post(func() {
 			r.cmd = cmd
-			if p.peer != r || !p.machine.UnderWay() { // given up before it was there
+			if p.successor != r || !p.machine.UnderWay() { // given up before it was there
 				_ = cmd.Process.Kill()
 			}
 		})
 		_ = cmd.Wait() // what matters of its end is in the state
 		how := cmd.ProcessState.String()
-		d.loop.Post(func() { r.gone(how) })
+		d.loop.Post(func() { r.handleExit(how) })
 	}()
 }
 
-// gone: the process has ended, for certain. What it had still said is heard first.
-func (r *peer) gone(how string) {
-	if !r.lost {
+// handleExit: the process has ended, for certain. What it had still said is heard first.
+func (r *successorProcess) handleExit(how string) {
+	if !r.isLost {
 		r.conn.Drain()
 	}
-	r.lost = true
-	if r.p.peer == r {
-		r.p.handle(phase.PeerGone{How: how})
-		r.p.peer = nil
+	r.isLost = true
+	if r.role.successor == r {
+		r.role.handle(phase.PeerGone{How: how})
+		r.role.successor = nil
 	}
 	r.conn.Close()
 }
@@ -83,46 +83,46 @@
 // Lost: the new process has closed its end, or can't be understood. Whoever has closed it would serve beside
 // us if we took that for its death, so it is made sure. After Farewell it serves alone and closes its end, while this
 // process may not have ended yet: it is left to serve then.
-func (r *peer) Lost(err error) {
-	r.lost = true
-	if r.p.peer != r || r.p.machine.State == phase.Over {
+func (r *successorProcess) Lost(err error) {
+	r.isLost = true
+	if r.role.successor != r || r.role.machine.State == phase.Over {
 		return
 	}
 	if !errors.Is(err, io.EOF) {
-		r.p.handle(phase.Garbled{Why: err.Error()})
+		r.role.handle(phase.Garbled{Why: err.Error()})
 	}
-	if r.cmd != nil && (errors.Is(err, io.EOF) || !r.p.machine.Committed()) {
+	if r.cmd != nil && (errors.Is(err, io.EOF) || !r.role.machine.Committed()) {
 		_ = r.cmd.Process.Kill()
 	}
-	if r.p.machine.Beside && errors.Is(err, io.EOF) { // it has ended, or begins by itself
-		r.gone("it has closed its end")
+	if r.role.machine.Beside && errors.Is(err, io.EOF) { // it has ended, or begins by itself
+		r.handleExit("it has closed its end")
 	}
 }
 
 // Message takes one of the new process's.
-func (r *peer) Message(e *pb.Envelope, fds []int) {
+func (r *successorProcess) Message(e *pb.Envelope, fds []int) {
 	for _, fd := range fds { // it has none to give
 		loop.CloseFD(fd)
 	}
-	p := r.p
-	if p.peer != r {
+	p := r.role
+	if p.successor != r {
 		return
 	}
 	switch m := e.GetBody().(type) {
 	case *pb.Envelope_Hello:
-		p.report.Pid = int(m.Hello.GetPid())
+		p.result.Pid = int(m.Hello.GetPid())
 		p.handle(phase.Told{Message: phase.Hello, Protocol: int(m.Hello.GetProtocol())})
 	case *pb.Envelope_Prepared:
 		p.handle(phase.Told{Message: phase.Prepared})
 	case *pb.Envelope_CaughtUp:
-		if len(p.ids) == 0 {
+		if len(p.customersToCopy) == 0 {
 			p.handle(phase.Copied{})
 		}
 	case *pb.Envelope_Restored:
-		p.report.Customers = m.Restored.GetCustomers()
+		p.result.Customers = m.Restored.GetCustomers()
 		p.handle(phase.Told{Message: phase.Restored})
 	case *pb.Envelope_Serving:
-		p.report.FreezeMicroseconds = (p.d.loop.Now() - p.frozenAt).Microseconds()
+		p.result.FreezeMicroseconds = (p.d.loop.Now() - p.frozenAt).Microseconds()
 		p.handle(phase.Told{Message: phase.Serving})
 	case *pb.Envelope_Refused:
 		p.handle(phase.Told{Message: phase.Refused, Text: m.Refused.GetReason()})
--- a/internal/daemon/peer_test.go
+++ b/internal/daemon/peer_test.go
@@ -27,7 +27,7 @@
 	events, err := loop.New()
 	require.NoError(t, err)
 	bounds := limits.Limits{MaxHandoverMessageBytes: 1 << 20, DrainFlushPeriod: time.Second}
-	p := &predecessor{d: &Daemon{loop: events, log: slog.New(slog.DiscardHandler), cfg: config.Config{Limits: bounds}}}
+	p := &predecessorRole{d: &Daemon{loop: events, log: slog.New(slog.DiscardHandler), cfg: config.Config{Limits: bounds}}}
 	ours, theirs, err := handover.Pair()
 	require.NoError(t, err)
 
@@ -35,8 +35,8 @@
 	input, err := successor.StdinPipe()
 	require.NoError(t, err)
 	require.NoError(t, successor.Start())
-	p.peer = &peer{p: p, cmd: successor}
-	p.peer.conn, err = handover.New(events, bounds, ours, p.peer)
+	p.successor = &successorProcess{role: p, cmd: successor}
+	p.successor.conn, err = handover.New(events, bounds, ours, p.successor)
 	require.NoError(t, err)
 
 	p.machine.State = phase.Emptying
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -28,64 +28,64 @@
 	UpstreamConnections int    `json:"upstreams,omitempty"` // idle ones handed over
 }
 
-// predecessor carries out what the old process's machine wants.
-type predecessor struct {
-	d       *Daemon
-	machine phase.Old
-	timer   *loop.Timer
-	tell    func(Progress)
+// predecessorRole carries out what the old process's machine wants.
+type predecessorRole struct {
+	d          *Daemon
+	machine    phase.Old
+	phaseTimer *loop.Timer
+	onProgress func(Progress)
 
-	peer      *peer
-	ids       []uint64      // of customers still to be copied ahead
-	since     time.Duration // who has asked since then is copied again,
-	unsettled []uint64      // as are those of whom something was open then
-	freezing  bool          // the snapshot is taken when this turn's events are handled
-	frozenAt  time.Duration
-	report    Progress
+	successor         *successorProcess
+	customersToCopy   []uint64      // of customers still to be copied ahead
+	copyStartedAt     time.Duration // who has asked since then is copied again,
+	activeAtCopyStart []uint64      // as are those of whom something was open then
+	isSnapshotDue     bool          // the snapshot is taken when this turn's events are handled
+	frozenAt          time.Duration
+	result            Progress
 }
 
 // upgrade begins one, and tells why it does not.
 func (d *Daemon) upgrade(tell func(Progress)) string {
 	switch {
-	case d.trial():
+	case d.isTakingOver():
 		return "the upgrade that started this process is not over"
-	case d.draining:
+	case d.isDraining:
 		return "the ingress is ending"
-	case d.pred.machine.UnderWay():
+	case d.asPredecessor.machine.UnderWay():
 		return "an upgrade is under way"
-	case d.group == nil && d.members != nil && !d.members.Node().Settled(d.loop.Now()):
+	case d.controlGroup == nil && d.members != nil && !d.members.Node().Settled(d.loop.Now()):
 		return "the membership has not settled"
-	case len(d.o.UpgradeCommand) == 0:
+	case len(d.options.UpgradeCommand) == 0:
 		return "the path of the binary is not known"
 	}
-	p := d.pred
-	p.tell, p.report = tell, Progress{}
+	p := d.asPredecessor
+	p.onProgress, p.result = tell, Progress{}
 	p.machine.Beside = false
-	d.log.Info("upgrade begun", "binary", d.o.UpgradeCommand[0])
+	d.log.Info("upgrade begun", "binary", d.options.UpgradeCommand[0])
 	p.handle(phase.Asked{})
 	return ""
 }
 
-func (p *predecessor) handle(ev phase.Event) {
+func (p *predecessorRole) handle(ev phase.Event) {
 	was := p.machine.State
 	actions := p.machine.Handle(ev)
 	if is := p.machine.State; is != was && is != phase.Idle && is != phase.Over {
-		p.say(Progress{Text: is.String()})
+		p.reportProgress(Progress{Text: is.String()})
 	}
 	for _, a := range actions {
-		p.do(a)
+		p.execute(a)
 	}
 }
 
-func (p *predecessor) say(progress Progress) {
-	if p.tell != nil {
-		p.tell(progress)
+func (p *predecessorRole) reportProgress(progress Progress) {
+	if p.onProgress != nil {
+		p.onProgress(progress)
 	}
 }
 
-func (p *predecessor) send(e *pb.Envelope, fds ...int) {
-	if p.peer != nil {
-		p.peer.conn.Send(e, fds...)
+func (p *predecessorRole) send(e *pb.Envelope, fds ...int) {
+	if p.successor != nil {
+		p.successor.conn.Send(e, fds...)
 		return
 	}
 	for _, fd := range fds { // a successor that was to end has ended first: there is nobody to go on with it
@@ -93,7 +93,7 @@
 	}
 }
 
-func (p *predecessor) do(a phase.Action) {
+func (p *predecessorRole) execute(a phase.Action) {
 	d := p.d
 	lim := d.cfg.Limits
 	switch a {
@@ -104,34 +104,34 @@
 	case phase.StartClock:
 		most := map[phase.OldState]time.Duration{phase.Starting: lim.HelloTimeout, phase.Preparing: lim.PrepareTimeout,
 			phase.Copying: lim.CopyTimeout, phase.Frozen: lim.FreezeTimeout, phase.Probation: lim.ProbationPeriod}[p.machine.State]
-		p.timer = d.loop.After(most, func() { p.handle(phase.TimeUp{}) })
+		p.phaseTimer = d.loop.After(most, func() { p.handle(phase.TimeUp{}) })
 	case phase.StopClock:
-		p.timer.Stop()
+		p.phaseTimer.Stop()
 	case phase.SendWelcome:
-		p.send(&pb.Envelope{Body: &pb.Envelope_Welcome{Welcome: &pb.Welcome{Protocol: phase.Protocol, Version: d.o.Version,
+		p.send(&pb.Envelope{Body: &pb.Envelope_Welcome{Welcome: &pb.Welcome{Protocol: phase.Protocol, Version: d.options.Version,
 			Name: d.cfg.Name, Listeners: d.server.ListenerAddresses()}}})
 	case phase.CopyAhead:
-		p.since, p.ids, p.unsettled = d.loop.Now(), d.module.Customers(0), d.module.ActiveCustomers()
-		p.copyAhead()
+		p.copyStartedAt, p.customersToCopy, p.activeAtCopyStart = d.loop.Now(), d.module.Customers(0), d.module.ActiveCustomers()
+		p.copyCustomers()
 	case phase.Freeze:
 		p.frozenAt = d.loop.Now()
 		d.server.Suspend()
 	case phase.SendSnapshot:
-		p.freezing = true
+		p.isSnapshotDue = true
 	case phase.SendCommit:
 		p.commit()
 	case phase.Unfreeze:
-		p.freezing = false
+		p.isSnapshotDue = false
 		d.core.CancelHandover()
 		d.server.Resume()
 	case phase.SendAbort:
 		p.send(&pb.Envelope{Body: &pb.Envelope_Abort{Abort: &pb.Abort{Reason: p.machine.Failure}}})
 	case phase.Kill:
-		if p.peer != nil && p.peer.cmd != nil {
-			_ = p.peer.cmd.Process.Kill() // it may have ended already
+		if p.successor != nil && p.successor.cmd != nil {
+			_ = p.successor.cmd.Process.Kill() // it may have ended already
 		}
-		if r := p.peer; r != nil && p.machine.Beside { // it begins by itself once it has heard, or sees the end
-			p.peer = nil
+		if r := p.successor; r != nil && p.machine.Beside { // it begins by itself once it has heard, or sees the end
+			p.successor = nil
 			r.conn.WhenDry(r.conn.Close)
 			d.loop.After(lim.DrainFlushPeriod, r.conn.Close)
 		}
@@ -147,26 +147,26 @@
 		d.drain()
 	case phase.EndOwn:
 		d.log.Info("ending what is left", "streams", d.core.OpenStreams(), "connections", d.server.OpenConnections())
-		d.endInTime()
+		d.scheduleForcedEnd()
 	case phase.SayFarewell:
-		p.farewell()
+		p.sendFarewell()
 	case phase.ReportDone:
-		p.report.IsDone, p.report.Succeeded = true, true
-		d.log.Info("upgrade done", "pid", p.report.Pid, "freeze", time.Duration(p.report.FreezeMicroseconds)*time.Microsecond,
-			"customers", p.report.Customers, "clients", p.report.ClientConnections, "upstreams", p.report.UpstreamConnections)
-		p.say(p.report)
-		p.tell = nil
+		p.result.IsDone, p.result.Succeeded = true, true
+		d.log.Info("upgrade done", "pid", p.result.Pid, "freeze", time.Duration(p.result.FreezeMicroseconds)*time.Microsecond,
+			"customers", p.result.Customers, "clients", p.result.ClientConnections, "upstreams", p.result.UpstreamConnections)
+		p.reportProgress(p.result)
+		p.onProgress = nil
 	case phase.ReportFailed:
 		d.log.Warn("upgrade failed; this process carries on", "cause", p.machine.Failure)
-		p.say(Progress{Text: p.machine.Failure, IsDone: true, Pid: os.Getpid()})
-		p.tell = nil
-		shareMemory(lim, 1)
-		p.ids = nil
+		p.reportProgress(Progress{Text: p.machine.Failure, IsDone: true, Pid: os.Getpid()})
+		p.onProgress = nil
+		setMemoryLimit(lim, 1)
+		p.customersToCopy = nil
 	}
 }
 
-// inherited reads it: -1 where no other process has started this one.
-func inherited(getenv func(string) string) (int, error) {
+// inheritedConnection reads it: -1 where no other process has started this one.
+func inheritedConnection(getenv func(string) string) (int, error) {
 	text := getenv(handover.Env)
 	if text == "" {
 		return -1, nil
@@ -178,28 +178,28 @@
 	return fd, nil
 }
 
-// copyAhead sends customers as long as not too much waits, and goes on when all of it is on its way.
-func (p *predecessor) copyAhead() {
+// copyCustomers sends customers as long as not too much waits, and goes on when all of it is on its way.
+func (p *predecessorRole) copyCustomers() {
 	if p.machine.State != phase.Copying {
 		return
 	}
-	for len(p.ids) > 0 && p.peer.conn.Waiting() < p.d.cfg.Limits.MaxHandoverQueueBytes {
-		n := min(len(p.ids), customersOnce)
-		p.customers(p.ids[:n])
-		p.ids = p.ids[n:]
+	for len(p.customersToCopy) > 0 && p.successor.conn.Waiting() < p.d.cfg.Limits.MaxHandoverQueueBytes {
+		n := min(len(p.customersToCopy), customersPerMessage)
+		p.sendCustomers(p.customersToCopy[:n])
+		p.customersToCopy = p.customersToCopy[n:]
 	}
-	if len(p.ids) == 0 {
-		p.ids = nil
+	if len(p.customersToCopy) == 0 {
+		p.customersToCopy = nil
 		p.send(&pb.Envelope{Body: &pb.Envelope_Mark{Mark: &pb.Mark{}}})
 		return
 	}
-	p.peer.conn.WhenDry(p.copyAhead)
+	p.successor.conn.WhenDry(p.copyCustomers)
 }
 
-// customersOnce are put into one message.
-const customersOnce = 128
+// customersPerMessage are put into one message.
+const customersPerMessage = 128
 
-func (p *predecessor) customers(ids []uint64) {
+func (p *predecessorRole) sendCustomers(ids []uint64) {
 	m := &pb.Customers{}
 	for _, id := range ids {
 		if c, ok := p.d.module.Customer(id); ok {
@@ -209,15 +209,15 @@
 	p.send(&pb.Envelope{Body: &pb.Envelope_Customers{Customers: m}})
 }
 
-// turn ends a turn of the loop: only then has the module seen all that the core has.
-func (p *predecessor) turn(now time.Duration) {
-	if p.freezing {
+// endTurn ends a endTurn of the loop: only then has the module seen all that the core has.
+func (p *predecessorRole) endTurn(now time.Duration) {
+	if p.isSnapshotDue {
 		for p.d.core.HasPendingEvents() {
 			p.d.core.Turn(now)
 		}
-		p.freezing = false
-		if p.peer != nil {
-			p.snapshot()
+		p.isSnapshotDue = false
+		if p.successor != nil {
+			p.sendSnapshot()
 		}
 	}
 	if p.machine.Committed() && p.d.core.TrackedStreams() == 0 && p.d.server.OpenConnections() == 0 {
@@ -225,14 +225,14 @@
 	}
 }
 
-// snapshot sends the state: whoever may have changed since they were copied once more, what is open, the listeners.
-func (p *predecessor) snapshot() {
+// sendSnapshot sends the state: whoever may have changed since they were copied once more, what is open, the listeners.
+func (p *predecessorRole) sendSnapshot() {
 	d := p.d
-	ids := append(d.module.Customers(p.since), p.unsettled...)
-	p.unsettled = nil
+	ids := append(d.module.Customers(p.copyStartedAt), p.activeAtCopyStart...)
+	p.activeAtCopyStart = nil
 	for len(ids) > 0 {
-		n := min(len(ids), customersOnce)
-		p.customers(ids[:n])
+		n := min(len(ids), customersPerMessage)
+		p.sendCustomers(ids[:n])
 		ids = ids[n:]
 	}
 	state, err := d.module.State()
@@ -253,10 +253,10 @@
 }
 
 // commit: the new process serves. Our connections follow, each when nothing is owed on it.
-func (p *predecessor) commit() {
+func (p *predecessorRole) commit() {
 	d := p.d
-	d.dismiss()
-	d.closeMembers()       // the new process goes on under our name
+	d.stopListeningForSuccessor()
+	d.closeMembership()    // the new process goes on under our name
 	if !p.machine.Beside { // else it has an admin endpoint of its own, and ours still tells of this process
 		d.admin.Close()
 		d.admin = nil
@@ -265,13 +265,13 @@
 	d.core.CommitHandover()
 	d.suspendControlGroup()
 	p.send(&pb.Envelope{Body: &pb.Envelope_Commit{Commit: &pb.Commit{Clients: uint32(d.server.OpenConnections()),
-		Upstreams: uint32(d.hosts.OpenConnections())}}})
+		Upstreams: uint32(d.upstreams.OpenConnections())}}})
 	d.server.HandOver(func(st downstream.ConnState, fd int) {
-		p.report.ClientConnections++
+		p.result.ClientConnections++
 		p.send(&pb.Envelope{Body: &pb.Envelope_Client{Client: handover.Client(st)}}, fd)
 	})
-	d.hosts.HandOver(func(host string, since time.Duration, fd int) {
-		p.report.UpstreamConnections++
+	d.upstreams.HandOver(func(host string, since time.Duration, fd int) {
+		p.result.UpstreamConnections++
 		p.send(&pb.Envelope{Body: &pb.Envelope_Upstream{Upstream: &pb.UpstreamConnection{Host: host,
 			Since: int64(since)}}}, fd)
 	})
@@ -281,52 +281,52 @@
 	if d.counter != nil {
 		d.counter.Drain(released)
 	}
-	d.o.Notify("MAINPID=" + strconv.Itoa(p.report.Pid))
+	d.options.Notify("MAINPID=" + strconv.Itoa(p.result.Pid))
 }
 
 // reclaim takes the listeners back from a successor that has died.
-func (p *predecessor) reclaim() {
+func (p *predecessorRole) reclaim() {
 	d := p.d
 	d.module.Reclaim(d.loop.Now())
 	d.core.CancelHandover()
-	d.hosts.StopHandOver()
+	d.upstreams.StopHandOver()
 	if d.counter != nil {
 		d.counter.Resume()
 	}
 	d.server.Resume()
-	shareMemory(d.cfg.Limits, 1)
-	d.await()
+	setMemoryLimit(d.cfg.Limits, 1)
+	d.listenForSuccessor()
 	if err := errors.Join(d.openControl(), d.openAdmin()); err != nil {
 		d.log.Warn("control socket not opened", "error", err)
 	}
-	d.openMembersAgain()
+	d.rejoinMembership()
 	d.openControlGroup()
-	d.o.Notify("MAINPID=" + strconv.Itoa(os.Getpid()))
+	d.options.Notify("MAINPID=" + strconv.Itoa(os.Getpid()))
 	d.log.Error("listeners taken back", "cause", p.machine.Failure)
 }
 
-func (p *predecessor) farewell() {
+func (p *predecessorRole) sendFarewell() {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Farewell{Farewell: &pb.Farewell{}}})
 	p.d.log.Info("handed over")
-	if p.peer == nil {
+	if p.successor == nil {
 		p.d.loop.Stop()
 		return
 	}
-	p.peer.conn.WhenDry(p.d.loop.Stop)
+	p.successor.conn.WhenDry(p.d.loop.Stop)
 	p.d.loop.After(p.d.cfg.Limits.DrainFlushPeriod, p.d.loop.Stop)
 }
 
 // AttemptStarted and the two after it make the predecessor the core's witness.
-func (p *predecessor) AttemptStarted(stream uint64, host string, at time.Duration) {
+func (p *predecessorRole) AttemptStarted(stream uint64, host string, at time.Duration) {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Sent{Sent: &pb.Sent{Stream: stream, Host: host, At: int64(at)}}})
 }
 
 // AttemptEnded passes on how an upstream request ended.
-func (p *predecessor) AttemptEnded(ev admission.AttemptEnded, at time.Duration) {
+func (p *predecessorRole) AttemptEnded(ev admission.AttemptEnded, at time.Duration) {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Attempt{Attempt: handover.Attempt(ev, at)}})
 }
 
 // StreamDone passes on that a stream is over.
-func (p *predecessor) StreamDone(stream uint64, at time.Duration) {
+func (p *predecessorRole) StreamDone(stream uint64, at time.Duration) {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Done{Done: &pb.StreamDone{Stream: stream, At: int64(at)}}})
 }
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -16,69 +16,69 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// successor carries out what the new process's machine wants.
-type successor struct {
-	d       *Daemon
-	machine phase.New
-	conn    *handover.Conn
-	timer   *loop.Timer
+// successorRole carries out what the new process's machine wants.
+type successorRole struct {
+	d          *Daemon
+	machine    phase.New
+	conn       *handover.Conn
+	phaseTimer *loop.Timer
 
-	welcome   *pb.Welcome
-	bound     map[string]int // listeners that the old process does not have, by address
-	snapshot  *pb.Snapshot
-	listeners []int // that came with it
-	commit    *pb.Commit
-	customers uint64
-	told      bool // we were told to end
+	welcome        *pb.Welcome
+	listenerFDs    map[string]int // listeners that the old process does not have, by address
+	snapshot       *pb.Snapshot
+	snapshotFDs    []int // that came with it
+	commit         *pb.Commit
+	customerCount  uint64
+	isEndRequested bool // we were told to end
 }
 
-// greetMost bounds the time until Welcome: limits are known only once the configuration has been read.
-const greetMost = 5 * time.Second
+// welcomeTimeout bounds the time until Welcome: limits are known only once the configuration has been read.
+const welcomeTimeout = 5 * time.Second
 
-// succeed starts as the successor of the process at the other end of a descriptor.
-func (d *Daemon) succeed(fd int) error {
+// startAsSuccessor starts as the successor of the process at the other end of a descriptor.
+func (d *Daemon) startAsSuccessor(fd int) error {
 	if err := os.Unsetenv(handover.Env); err != nil { // it is not for processes that this one starts
 		return fmt.Errorf("%s: %w", handover.Env, err)
 	}
-	s := &successor{d: d, bound: map[string]int{}}
+	s := &successorRole{d: d, listenerFDs: map[string]int{}}
 	// Only this connection's own bound is needed before the configuration is read.
-	conn, err := handover.New(d.loop, limits.Limits{MaxHandoverMessageBytes: greetBytes}, fd, s)
+	conn, err := handover.New(d.loop, limits.Limits{MaxHandoverMessageBytes: maxSuccessorMessageBytes}, fd, s)
 	if err != nil {
 		return err
 	}
-	s.conn, d.succ = conn, s
-	s.timer = d.loop.After(greetMost, func() { s.handle(phase.TimeUp{}) })
-	if d.beside {
-		d.loop.After(besideMost, s.late)
+	s.conn, d.asSuccessor = conn, s
+	s.phaseTimer = d.loop.After(welcomeTimeout, func() { s.handle(phase.TimeUp{}) })
+	if d.isReplacement {
+		d.loop.After(replacementTimeout, s.handleLatePredecessor)
 	}
-	s.send(&pb.Envelope{Body: &pb.Envelope_Hello{Hello: &pb.Hello{Protocol: phase.Protocol, Version: d.o.Version,
+	s.send(&pb.Envelope{Body: &pb.Envelope_Hello{Hello: &pb.Hello{Protocol: phase.Protocol, Version: d.options.Version,
 		Pid: int64(os.Getpid())}}})
 	return nil
 }
 
-const greetBytes = 64 << 20
+const maxSuccessorMessageBytes = 64 << 20
 
-// late ends waiting for a predecessor that somebody else runs. It is not waited for even where only its word could
+// handleLatePredecessor ends waiting for a predecessor that somebody else runs. It is not waited for even where only its word could
 // tell whether we serve: should we, after all, it sees our end of the connection closed and serves on.
-func (s *successor) late() {
+func (s *successorRole) handleLatePredecessor() {
 	if s.machine.Serves() || s.machine.State == phase.Ended {
 		return
 	}
 	s.handle(phase.TimeUp{})
 	if s.machine.State == phase.Holding {
-		s.d.startOver("the old process has said nothing while holding")
+		s.d.restartStandalone("the old process has said nothing while holding")
 	}
 }
 
-func (s *successor) send(e *pb.Envelope) { s.conn.Send(e) }
+func (s *successorRole) send(e *pb.Envelope) { s.conn.Send(e) }
 
-func (s *successor) handle(ev phase.Event) {
+func (s *successorRole) handle(ev phase.Event) {
 	for _, a := range s.machine.Handle(ev) {
-		s.do(a)
+		s.execute(a)
 	}
 }
 
-func (s *successor) do(a phase.Action) {
+func (s *successorRole) execute(a phase.Action) {
 	d := s.d
 	switch a {
 	case phase.Prepare:
@@ -92,7 +92,7 @@
 		}
 		s.handle(phase.RestoredAll{})
 	case phase.SendRestored:
-		s.send(&pb.Envelope{Body: &pb.Envelope_Restored{Restored: &pb.Restored{Customers: s.customers}}})
+		s.send(&pb.Envelope{Body: &pb.Envelope_Restored{Restored: &pb.Restored{Customers: s.customerCount}}})
 	case phase.Serve:
 		s.serve()
 	case phase.SendServing:
@@ -104,26 +104,26 @@
 	case phase.Drain:
 		d.drain()
 	case phase.Forget:
-		s.forget()
+		s.finishAlone()
 	case phase.ReloadOwn:
-		d.reconfigure()
+		d.reloadConfig()
 	case phase.Exit:
-		if d.beside && s.told {
+		if d.isReplacement && s.isEndRequested {
 			d.loop.Stop()
 			return
 		}
-		if d.beside {
-			d.startOver(s.machine.Failure)
+		if d.isReplacement {
+			d.restartStandalone(s.machine.Failure)
 			return
 		}
 		d.fail("upgrade not taken over: %s", s.machine.Failure)
 	case phase.StopClock:
-		s.timer.Stop()
+		s.phaseTimer.Stop()
 	}
 }
 
 // Lost: the old process has ended, or can't be understood.
-func (s *successor) Lost(err error) {
+func (s *successorRole) Lost(err error) {
 	if errors.Is(err, io.EOF) {
 		s.handle(phase.PeerGone{})
 		return
@@ -132,7 +132,7 @@
 }
 
 // Message takes one of the old process's.
-func (s *successor) Message(e *pb.Envelope, fds []int) {
+func (s *successorRole) Message(e *pb.Envelope, fds []int) {
 	d := s.d
 	restored := s.snapshot != nil && s.machine.State != phase.Ended
 	now := d.loop.Now()
@@ -152,7 +152,7 @@
 			s.send(&pb.Envelope{Body: &pb.Envelope_CaughtUp{CaughtUp: &pb.CaughtUp{}}})
 		}
 	case *pb.Envelope_Snapshot:
-		s.snapshot, s.listeners = m.Snapshot, fds
+		s.snapshot, s.snapshotFDs = m.Snapshot, fds
 		fds = nil
 		s.handle(phase.Told{Message: phase.Snapshot})
 	case *pb.Envelope_Commit:
@@ -169,7 +169,7 @@
 		}
 	case *pb.Envelope_Upstream:
 		if len(fds) == 1 && s.machine.Serves() {
-			if err := d.hosts.AdoptConnection(m.Upstream.GetHost(), time.Duration(m.Upstream.GetSince()), fds[0]); err != nil {
+			if err := d.upstreams.AdoptConnection(m.Upstream.GetHost(), time.Duration(m.Upstream.GetSince()), fds[0]); err != nil {
 				d.log.Warn("upstream connection not taken over", "error", err)
 			}
 			fds = nil
@@ -192,7 +192,7 @@
 			d.core.PredecessorStreamDone(m.Done.GetStream())
 		}
 	case *pb.Envelope_CounterReleased:
-		s.wholeCounter()
+		s.useAllCounterConns()
 	case *pb.Envelope_Settled:
 		s.handle(phase.Told{Message: phase.Settled})
 	case *pb.Envelope_Reload:
@@ -210,14 +210,14 @@
 
 // prepare builds all parts. Listeners of the old process will come; others are opened here, where a failure
 // still costs nothing.
-func (s *successor) prepare() {
+func (s *successorRole) prepare() {
 	d := s.d
 	if err := d.assemble(); err != nil {
 		s.handle(phase.Unfit{Why: err.Error()})
 		return
 	}
-	shareMemory(d.cfg.Limits, 2)
-	if d.beside { // its admin endpoint is its own, and tells that it is not ready yet
+	setMemoryLimit(d.cfg.Limits, 2)
+	if d.isReplacement { // its admin endpoint is its own, and tells that it is not ready yet
 		if err := d.openAdmin(); err != nil {
 			s.handle(phase.Unfit{Why: err.Error()})
 			return
@@ -241,18 +241,18 @@
 			s.handle(phase.Unfit{Why: err.Error()})
 			return
 		}
-		s.bound[f.addr] = fd
+		s.listenerFDs[f.addr] = fd
 	}
-	s.timer.Stop()
-	s.timer = d.loop.After(d.cfg.Limits.PrepareTimeout+d.cfg.Limits.CopyTimeout, func() { s.handle(phase.TimeUp{}) })
+	s.phaseTimer.Stop()
+	s.phaseTimer = d.loop.After(d.cfg.Limits.PrepareTimeout+d.cfg.Limits.CopyTimeout, func() { s.handle(phase.TimeUp{}) })
 	s.awaitCluster()
 }
 
-// clusterEvery is how often it is looked whether discovery has spoken.
-const clusterEvery = 2 * time.Millisecond
+// clusterPollInterval is how often it is looked whether discovery has spoken.
+const clusterPollInterval = 2 * time.Millisecond
 
 // awaitCluster: ready with discovery's list; or without, after the time in which a start is, too.
-func (s *successor) awaitCluster() {
+func (s *successorRole) awaitCluster() {
 	if s.machine.State != phase.Building {
 		return
 	}
@@ -260,68 +260,68 @@
 		s.handle(phase.Ready{})
 		return
 	}
-	s.d.loop.After(clusterEvery, s.awaitCluster)
+	s.d.loop.After(clusterPollInterval, s.awaitCluster)
 }
 
 // restore puts the old process's state in place.
-func (s *successor) restore() error {
+func (s *successorRole) restore() error {
 	d := s.d
 	names := s.snapshot.GetListeners()
-	if len(names) != len(s.listeners) {
-		return fmt.Errorf("%d listeners were told of and %d have come", len(names), len(s.listeners))
+	if len(names) != len(s.snapshotFDs) {
+		return fmt.Errorf("%d listeners were told of and %d have come", len(names), len(s.snapshotFDs))
 	}
 	d.loop.SetClockOffset(time.Duration(s.snapshot.GetClockOffset()))
 	if err := d.module.Restore(handover.FromGateway(s.snapshot.GetGateway())); err != nil {
 		return err
 	}
-	s.customers = uint64(d.module.CustomerCount())
+	s.customerCount = uint64(d.module.CustomerCount())
 	now := d.loop.Now()
 	open := handover.FromOpen(s.snapshot)
 	d.core.Restore(now, open, d.module.Adopt(now))
 	d.watcher.Adopt(handover.FromHosts(s.snapshot))
-	for i, fd := range s.listeners {
-		at := slices.IndexFunc(d.fronts, func(f opening) bool { return f.addr == names[i] })
+	for i, fd := range s.snapshotFDs {
+		at := slices.IndexFunc(d.fronts, func(f listeningFront) bool { return f.addr == names[i] })
 		if at < 0 { // the configuration has dropped it
 			loop.CloseFD(fd)
 			continue
 		}
-		s.bound[names[i]] = fd
+		s.listenerFDs[names[i]] = fd
 	}
 	for _, f := range d.fronts {
-		if err := d.server.AdoptListener(s.bound[f.addr], f.addr, f.front); err != nil {
+		if err := d.server.AdoptListener(s.listenerFDs[f.addr], f.addr, f.handler); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *successor) serve() {
+func (s *successorRole) serve() {
 	d := s.d
 	d.server.SetPredecessorConnections(int(s.commit.GetClients()))
-	d.hosts.SetPredecessorConnections(int(s.commit.GetUpstreams()))
+	d.upstreams.SetPredecessorConnections(int(s.commit.GetUpstreams()))
 	d.server.Resume()
 	for _, f := range d.fronts {
-		f.ready()
+		f.onServing()
 	}
 	if err := errors.Join(d.openControl(), d.openAdmin()); err != nil {
 		d.log.Warn("control socket not opened", "error", err)
 	}
-	d.openMembersAgain()
+	d.rejoinMembership()
 	d.openControlGroup()
-	d.await()
-	d.log.Info("taken over", "version", d.o.Version, "from", s.welcome.GetVersion(), "listen", d.cfg.Listen,
-		"customers", s.customers, "streams", d.core.PredecessorStreams(), "clock", d.loop.ClockOffset())
-	d.o.Notify("READY=1", "MAINPID="+strconv.Itoa(os.Getpid()))
+	d.listenForSuccessor()
+	d.log.Info("taken over", "version", d.options.Version, "from", s.welcome.GetVersion(), "listen", d.cfg.Listen,
+		"customers", s.customerCount, "streams", d.core.PredecessorStreams(), "clock", d.loop.ClockOffset())
+	d.options.Notify("READY=1", "MAINPID="+strconv.Itoa(os.Getpid()))
 }
 
-func (s *successor) wholeCounter() {
+func (s *successorRole) useAllCounterConns() {
 	if d := s.d; d.counter != nil {
 		d.counter.Resize(d.cfg.Limits.CounterConns)
 	}
 }
 
-// forget goes on alone: the old process is gone, and with it all that it still had.
-func (s *successor) forget() {
+// finishAlone goes on alone: the old process is gone, and with it all that it still had.
+func (s *successorRole) finishAlone() {
 	d := s.d
 	if n := d.core.PredecessorStreams(); n > 0 {
 		d.log.Warn("the old process has ended with open streams", "streams", n)
@@ -329,8 +329,8 @@
 	d.core.Execute(d.module.PredecessorGone(d.loop.Now()))
 	d.core.PredecessorExited()
 	d.server.SetPredecessorConnections(0)
-	d.hosts.SetPredecessorConnections(0)
-	s.wholeCounter()
-	shareMemory(d.cfg.Limits, 1)
+	d.upstreams.SetPredecessorConnections(0)
+	s.useAllCounterConns()
+	setMemoryLimit(d.cfg.Limits, 1)
 	s.conn.Close()
 }
