--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -7,7 +7,7 @@
 	"ferryfront.example/ferryfront/internal/net/mgmt"
 )
 
-// openAdmin opens the admin endpoint where the configuration has one.
+// openAdmin opens the admin endpoint, if the configuration has one and it is not open yet.
 func (d *Daemon) openAdmin() (err error) {
 	if d.cfg.Mgmt == "" || d.admin != nil {
 		return nil
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// addClassMetrics has a count for each class of the settings.
+// addClassMetrics adds the metrics of each class of the settings.
 func (d *Daemon) addClassMetrics() {
 	var names []string
 	for _, c := range d.cfg.Settings.Classes {
@@ -27,53 +27,53 @@
 	d.figures.AddClasses(names)
 }
 
-// adminHandler answers operators for a daemon.
+// adminHandler answers the requests of the admin endpoint. It runs on the loop's goroutine.
 type adminHandler struct{ d *Daemon }
 
-// IsReady tells whether a client's request would be served here.
-func (o adminHandler) IsReady() bool {
-	return o.d.canServe() && o.d.server.IsAccepting()
+// IsReady reports whether this process would serve a client's request.
+func (h adminHandler) IsReady() bool {
+	return h.d.canServe() && h.d.server.IsAccepting()
 }
 
-// StatusDetails tells the version of the settings, where they have one.
-func (o adminHandler) StatusDetails() string {
-	f := o.d.settingsVersions()
+// StatusDetails returns the version of the settings and its state among the ingresses, or nothing without a version.
+func (h adminHandler) StatusDetails() string {
+	v := h.d.settingsVersions()
 	switch {
-	case f.NewestVersion == 0:
+	case v.NewestVersion == 0:
 		return ""
-	case f.IsCutOff:
-		return fmt.Sprintf(" settings=%d cut off", f.NewestVersion)
-	case f.ActiveVersions > 1 || f.StaleMembers > 0:
-		return fmt.Sprintf(" settings=%d not agreed, from %d", f.NewestVersion, f.OldestVersion)
+	case v.IsCutOff:
+		return fmt.Sprintf(" settings=%d cut off", v.NewestVersion)
+	case v.ActiveVersions > 1 || v.StaleMembers > 0:
+		return fmt.Sprintf(" settings=%d not agreed, from %d", v.NewestVersion, v.OldestVersion)
 	}
-	return fmt.Sprintf(" settings=%d", f.NewestVersion)
+	return fmt.Sprintf(" settings=%d", v.NewestVersion)
 }
 
-// settingsVersions is what is told of the settings, and of the list of drained hosts: their versions, and whether all members
-// act on them.
-func (d *Daemon) settingsVersions() (f figures.SettingsVersions) {
-	f = figures.SettingsVersions{NewestVersion: d.loadedConfig.Version, OldestVersion: d.loadedConfig.Version, ActiveVersions: 1, DrainedVersion: d.loadedConfig.DrainedVersion}
+// settingsVersions returns the state of the versions of the settings and of the drained list: those of the
+// configuration file if the ingresses agree on none.
+func (d *Daemon) settingsVersions() (v figures.SettingsVersions) {
+	v = figures.SettingsVersions{NewestVersion: d.loadedConfig.Version, OldestVersion: d.loadedConfig.Version, ActiveVersions: 1, DrainedVersion: d.loadedConfig.DrainedVersion}
 	if s := d.drainedSource(); s != nil {
-		f.DrainedVersion, f.DrainedStaleMembers = s.Newest().Number, len(s.Stale())
+		v.DrainedVersion, v.DrainedStaleMembers = s.Newest().Number, len(s.Stale())
 	}
 	if s := d.settingsSource(); s != nil {
-		f.NewestVersion, f.OldestVersion, f.ActiveVersions = s.Newest().Number, s.Acting()[0].Number, len(s.Acting())
-		f.StaleMembers, f.RejectedVersions, f.IsCutOff = len(s.Stale()), len(s.Refused()), s.Alone(d.loop.Now())
+		v.NewestVersion, v.OldestVersion, v.ActiveVersions = s.Newest().Number, s.Acting()[0].Number, len(s.Acting())
+		v.StaleMembers, v.RejectedVersions, v.IsCutOff = len(s.Stale()), len(s.Refused()), s.Alone(d.loop.Now())
 	}
-	return f
+	return v
 }
 
-// AppendMetrics appends the figures as they stand.
-func (o adminHandler) AppendMetrics(room []byte) []byte {
-	d := o.d
-	room = d.figures.AppendText(room, figures.Gauges{InFlight: d.core.CompleteRequests() + d.server.ActiveRelays(), ListedHosts: d.watcher.HostCount(),
+// AppendMetrics appends the current metrics to a buffer, in the text format of Prometheus.
+func (h adminHandler) AppendMetrics(buffer []byte) []byte {
+	d := h.d
+	buffer = d.figures.AppendText(buffer, figures.Gauges{InFlight: d.core.CompleteRequests() + d.server.ActiveRelays(), ListedHosts: d.watcher.HostCount(),
 		AvoidedHosts: d.module.AvoidedServers(d.loop.Now())})
-	room = figures.AppendSettingsVersions(room, d.settingsVersions())
+	buffer = figures.AppendSettingsVersions(buffer, d.settingsVersions())
 	if d.controlGroup != nil {
-		room = figures.AppendControlGroup(room, d.controlGroup.metrics(d.loop.Now()))
+		buffer = figures.AppendControlGroup(buffer, d.controlGroup.metrics(d.loop.Now()))
 	}
 	if d.members == nil {
-		return room
+		return buffer
 	}
-	return figures.AppendMembership(room, d.membershipMetrics(d.loop.Now()))
+	return figures.AppendMembership(buffer, d.membershipMetrics(d.loop.Now()))
 }
--- a/internal/daemon/agreement.go
+++ b/internal/daemon/agreement.go
@@ -13,42 +13,51 @@
 	"ferryfront.example/ferryfront/internal/versions"
 )
 
-// The documents that all ingresses agree on, as they are named among them.
+// Names of the documents that all ingresses agree on, as messages between ingresses and with control replicas have them.
 const (
 	settingsDocument = "settings"
 	drainedDocument  = "drained"
 )
 
-// maxDocumentBytes bounds a document, in bytes.
+// maxDocumentBytes is the maximum size of a version's text, in bytes.
 const maxDocumentBytes = 64 << 10
 
-// versionSource is where the versions of one document come from that this ingress acts on: the gossip between members,
-// or the control group.
+// versionSource supplies the active versions of one document: those whose rules this ingress applies, all of them
+// together. The versions come from the gossip between ingresses or from the control group.
 type versionSource interface {
+	// Document returns the name of the document.
 	Document() string
-	Acting() []versions.Doc // oldest first; none: there is no version of the document yet
-	Newest() versions.Doc   // the last of them; number 0: none
-	Changed() bool          // once: whether they are others than when it was last asked
+	// Acting returns the active versions, oldest first. Empty: the document has no version yet.
+	Acting() []versions.Doc
+	// Newest returns the newest active version. Number 0: there is none.
+	Newest() versions.Doc
+	// Changed reports whether the active versions have changed since its last call.
+	Changed() bool
+	// Refused returns the versions that this ingress rejected, each with the reason.
 	Refused() map[versions.Version]string
-	Stale() []string              // other members not known to act on the newest
-	Alone(now time.Duration) bool // whoever else decides on versions is not heard
+	// Stale returns the other ingresses that are not known to apply the newest version.
+	Stale() []string
+	// Alone reports whether this ingress is cut off from whoever else decides on versions.
+	Alone(now time.Duration) bool
 
-	// Admissible tells why a version that came to this ingress can't be offered now, nil: it can, as far as is known
-	// here. Offer proposes it; done is called once, with nil when it is in force.
+	// Admissible returns why a version that came to this ingress can't be offered now. Nil: nothing known to this ingress
+	// is against it.
 	Admissible(doc versions.Doc) error
+	// Offer proposes a version. done is called once: with nil when the version is in force, else with the reason.
 	Offer(doc versions.Doc, done func(error))
 }
 
-// agreement is the daemon's part in the agreement on versions: of the settings, and of the list of hosts that the
-// operators drain. Either source is nil where the configuration has no version of that document.
+// agreement is the daemon's part in the agreement on versions of the settings and of the drained list, which names the
+// hosts that the operators drain. With gossip, a source is nil if the configuration has no version of its document.
 type agreement struct {
 	settings, drained versionSource
-	isReady           bool // this ingress may serve: it has heard what others act on, or has waited for it
-	loggedRejections  int
-	loggedVersions    map[string][]versions.Version // by document: the versions acted on, as last logged
+	// isReady is set once this ingress knows the versions that others apply, or has waited long enough for them.
+	isReady          bool
+	loggedRejections int                           // number of rejected versions at the last check
+	loggedVersions   map[string][]versions.Version // active versions by document, as last logged
 }
 
-// sourcesWithVersion are those that have a version.
+// sourcesWithVersion returns the sources whose document has a version.
 func (a *agreement) sourcesWithVersion() (list []versionSource) {
 	for _, s := range []versionSource{a.settings, a.drained} {
 		if nilWithoutVersion(s) != nil {
@@ -58,7 +67,7 @@
 	return list
 }
 
-// nilWithoutVersion is a source that has a version to act on, nil otherwise.
+// nilWithoutVersion returns the source, or nil if its document has no version.
 func nilWithoutVersion(s versionSource) versionSource {
 	if s == nil || len(s.Acting()) == 0 {
 		return nil
@@ -66,7 +75,8 @@
 	return s
 }
 
-// settingsSource is that of the settings; nil: there is none with a version, and each ingress goes by its own file.
+// settingsSource returns the source of the settings, or nil if they have no version. Each ingress then applies its own
+// file.
 func (d *Daemon) settingsSource() versionSource {
 	if d.agreement == nil {
 		return nil
@@ -74,7 +84,7 @@
 	return nilWithoutVersion(d.agreement.settings)
 }
 
-// drainedSource is that of the drained list; nil: there is none with a version.
+// drainedSource returns the source of the drained list, or nil if the list has no version.
 func (d *Daemon) drainedSource() versionSource {
 	if d.agreement == nil {
 		return nil
@@ -82,24 +92,25 @@
 	return nilWithoutVersion(d.agreement.drained)
 }
 
-// fileDocuments are the versions that a configuration has of its own: the settings', the drained list's. Number 0: none.
-func fileDocuments(c config.Config) (set, drained versions.Doc) {
+// fileDocuments returns the versions of the settings and of the drained list in a configuration file. Number 0: the file
+// has none.
+func fileDocuments(c config.Config) (settingsDoc, drainedDoc versions.Doc) {
 	return versions.NewDoc(c.Version, c.Shared), versions.NewDoc(c.DrainedVersion, c.DrainedText())
 }
 
-// checkSettings tells why the text of a version of the settings can't be acted on here.
+// checkSettings returns why this ingress can't apply the text of a version of the settings.
 func (d *Daemon) checkSettings(text []byte) error {
 	_, err := d.loadedConfig.Under(text)
 	return err
 }
 
-// checkDrained tells why the text of a version of the drained list can't be acted on.
+// checkDrained returns why the text of a version of the drained list can't be applied.
 func checkDrained(text []byte) error {
 	_, err := config.ReadDrained(text)
 	return err
 }
 
-// checkDocument tells why a text of a document can't be acted on here.
+// checkDocument returns why this ingress can't apply the text of a version of a document.
 func (d *Daemon) checkDocument(document string, text []byte) error {
 	switch document {
 	case settingsDocument:
@@ -110,16 +121,16 @@
 	return fmt.Errorf("no document %q", document)
 }
 
-// applyVersions goes on under the versions to act on, when these are others than before.
+// applyVersions applies the active versions if they have changed.
 func (d *Daemon) applyVersions() {
 	a := d.agreement
 	a.logRejected(d)
 	if s := d.settingsSource(); s != nil && d.updateActiveVersions(s, "settings version") {
-		to, err := d.combineVersions(d.loadedConfig)
-		if err != nil { // each was checked when it was taken
+		next, err := d.combineVersions(d.loadedConfig)
+		if err != nil { // unexpected: each version was checked before it became active
 			d.log.Error("settings version not acted on", "error", err)
 		} else {
-			d.applyConfig(to)
+			d.applyConfig(next)
 		}
 	}
 	if s := d.drainedSource(); s != nil && d.updateActiveVersions(s, "drained list version") {
@@ -127,7 +138,7 @@
 	}
 }
 
-// logRejected logs what was turned down, when there is more of it than before.
+// logRejected logs all rejected versions if there are more than at the last check.
 func (a *agreement) logRejected(d *Daemon) {
 	rejected := 0
 	for _, s := range a.sourcesWithVersion() {
@@ -135,42 +146,44 @@
 	}
 	if rejected > a.loggedRejections {
 		for _, s := range a.sourcesWithVersion() {
-			for v, why := range s.Refused() {
-				d.log.Error("settings version turned down", "of", s.Document(), "version", v.String(), "error", why)
+			for version, reason := range s.Refused() {
+				d.log.Error("settings version turned down", "of", s.Document(), "version", version.String(), "error", reason)
 			}
 		}
 	}
 	a.loggedRejections = rejected
 }
 
-// updateActiveVersions tells whether a source acts on other versions than before, and logs it. What it begins with, unless that
-// was none, is followed already.
+// updateActiveVersions logs the active versions of a source if they have changed, and reports whether they must be
+// applied. The first versions of a source come from the file and are applied already, so for them it returns false. A
+// source that begins without versions has an empty entry in loggedVersions, and its first version must be applied.
 func (d *Daemon) updateActiveVersions(s versionSource, message string) bool {
 	if !s.Changed() {
 		return false
 	}
-	var acting []versions.Version
+	var active []versions.Version
 	for _, doc := range s.Acting() {
-		acting = append(acting, doc.Version)
+		active = append(active, doc.Version)
 	}
-	was, begun := d.agreement.loggedVersions[s.Document()]
-	if slices.Equal(acting, was) {
+	previous, hasPrevious := d.agreement.loggedVersions[s.Document()]
+	if slices.Equal(active, previous) {
 		return false
 	}
-	d.agreement.loggedVersions[s.Document()] = acting
-	d.log.Info(message, "acting", joinNumbers(acting), "newest", s.Newest().String())
-	return begun
+	d.agreement.loggedVersions[s.Document()] = active
+	d.log.Info(message, "acting", joinNumbers(active), "newest", s.Newest().String())
+	return hasPrevious
 }
 
-// drainedHosts are those that any version acted on drains: a drain holds from the first version that names it.
+// drainedHosts returns the hosts that any active version drains: a drain holds from the first version that names it.
 func (a *agreement) drainedHosts() (all []string) {
 	for _, doc := range a.drained.Acting() {
-		hosts, _ := config.ReadDrained(doc.Text) // it was checked when it was taken
+		hosts, _ := config.ReadDrained(doc.Text) // it was checked before it became active
 		all = append(all, hosts...)
 	}
 	return all
 }
 
+// joinNumbers returns the numbers of versions, separated by commas.
 func joinNumbers(list []versions.Version) string {
 	var texts []string
 	for _, v := range list {
@@ -179,59 +192,62 @@
 	return strings.Join(texts, ",")
 }
 
-// combineVersions is a configuration under all versions of the settings to act on together, the newest one's but for what is
-// stricter in an older one.
-func (d *Daemon) combineVersions(of config.Config) (to config.Config, err error) {
+// combineVersions returns a configuration under all active versions of the settings. The newest version counts, except
+// where an older one is stricter. Without versions the configuration's own settings count.
+func (d *Daemon) combineVersions(base config.Config) (combined config.Config, err error) {
 	source := d.settingsSource()
 	if source == nil {
-		of.Settings, err = settings.Follow(d.cfg.Settings, of.Settings)
-		return of, err
+		base.Settings, err = settings.Follow(d.cfg.Settings, base.Settings)
+		return base, err
 	}
 	for i, doc := range source.Acting() {
-		c, err := of.Under(doc.Text)
+		version, err := base.Under(doc.Text)
 		if err != nil {
-			return to, err
+			return combined, err
 		}
 		if i > 0 {
-			c.Settings = settings.Stricter(to.Settings, c.Settings)
+			version.Settings = settings.Stricter(combined.Settings, version.Settings)
 		}
-		to = c
+		combined = version
 	}
-	most := to.Limits.DrainTimeout // of the bounds, what follows from settings; the others are as the program's own say
-	to.Limits = of.Limits
-	to.Limits.DrainTimeout = most
-	to.Settings, err = settings.Follow(d.cfg.Settings, to.Settings)
-	return to, err
+	// DrainTimeout follows from the settings. The other limits stay as the program's own settings have them.
+	drainTimeout := combined.Limits.DrainTimeout
+	combined.Limits = base.Limits
+	combined.Limits.DrainTimeout = drainTimeout
+	combined.Settings, err = settings.Follow(d.cfg.Settings, combined.Settings)
+	return combined, err
 }
 
-// canServe tells whether requests may be served: the cluster is canServe, and so are the versions that others act on.
+// canServe reports whether requests may be served: the cluster's hosts are known, and the agreement on versions is
+// ready.
 func (d *Daemon) canServe() bool {
 	return d.watcher.IsReady() && (d.agreement == nil || d.agreement.isReady)
 }
 
-// markVersionsKnown makes the ingress ready as far as its versions go.
-func (d *Daemon) markVersionsKnown(alone bool) {
+// markVersionsKnown marks the agreement on versions ready. isAlone is only logged: this ingress is cut off from whoever
+// else decides on versions, and has stopped waiting for them.
+func (d *Daemon) markVersionsKnown(isAlone bool) {
 	d.agreement.isReady = true
-	d.log.Info("settings version heard", "alone", alone)
+	d.log.Info("settings version heard", "alone", isAlone)
 }
 
-// checkNextVersion tells why a version in a file can't follow the one in force; 0: it has none.
-func checkNextVersion(field string, was, now versions.Doc) error {
+// checkNextVersion returns why the version in a file can't replace the one in force. Any can if none is in force.
+func checkNextVersion(field string, inForce, next versions.Doc) error {
 	switch {
-	case was.Number == 0:
+	case inForce.Number == 0:
 		return nil
-	case now.Number == 0:
-		return fmt.Errorf("%s is missing, and %d is in force", field, was.Number)
+	case next.Number == 0:
+		return fmt.Errorf("%s is missing, and %d is in force", field, inForce.Number)
 	}
-	if err := was.Follows(now.Version); err != nil {
+	if err := inForce.Follows(next.Version); err != nil {
 		return fmt.Errorf("%s: %w", field, err)
 	}
 	return nil
 }
 
-// checkFileVersions tells why the versions of a file read again can't follow those in force: an older version never replaces
-// a newer one, nor one of the same number with another content.
-func (d *Daemon) checkFileVersions(to config.Config) error {
+// checkFileVersions returns why the versions in a reloaded file can't replace those in force. An older version never
+// replaces a newer one, and a version's content can't change under the same number.
+func (d *Daemon) checkFileVersions(reloaded config.Config) error {
 	inForce, drainedInForce := fileDocuments(d.loadedConfig)
 	if s := d.settingsSource(); s != nil {
 		inForce = s.Newest()
@@ -239,56 +255,57 @@
 	if s := d.drainedSource(); s != nil {
 		drainedInForce = s.Newest()
 	}
-	set, drained := fileDocuments(to)
-	return errors.Join(checkNextVersion("settings_version", inForce, set), checkNextVersion("drained.version", drainedInForce, drained))
+	settingsDoc, drainedDoc := fileDocuments(reloaded)
+	return errors.Join(checkNextVersion("settings_version", inForce, settingsDoc), checkNextVersion("drained.version", drainedInForce, drainedDoc))
 }
 
-// versionOffer is one version for one source.
+// versionOffer is a version to offer to a source.
 type versionOffer struct {
 	source versionSource
 	doc    versions.Doc
 }
 
-// offerFileVersions takes a configuration read again, as far as its versions go, and calls done with what to go on under, now or
-// once those versions are in force. On an error nothing is taken.
-func (d *Daemon) offerFileVersions(to config.Config, done func(config.Config, error)) {
-	if err := d.checkFileVersions(to); err != nil {
-		done(to, err)
+// offerFileVersions offers the versions in a reloaded configuration to their sources. It calls done with the
+// configuration to apply: at once, or when the versions are in force. If a check finds an error in any version, nothing
+// is offered. If a source fails an offer, done gets the error, and offers made before stay made.
+func (d *Daemon) offerFileVersions(reloaded config.Config, done func(config.Config, error)) {
+	if err := d.checkFileVersions(reloaded); err != nil {
+		done(reloaded, err)
 		return
 	}
 	if d.settingsSource() == nil {
-		now, err := d.combineVersions(to)
+		combined, err := d.combineVersions(reloaded)
 		if err == nil && d.drainedSource() == nil {
-			d.watcher.SetDrained(to.Drained)
+			d.watcher.SetDrained(reloaded.Drained)
 		}
 		if err != nil || d.agreement == nil {
-			done(now, err)
+			done(combined, err)
 			return
 		}
 	}
-	offers := d.fileOffers(to)
-	for _, o := range offers { // all or none: what can be wrong with the list alone is found out first
+	offers := d.fileOffers(reloaded)
+	for _, o := range offers { // all are checked first: an error in the drained list alone must prevent every offer
 		if err := o.source.Admissible(o.doc); err != nil {
-			done(to, fmt.Errorf("%s: %w", o.source.Document(), err))
+			done(reloaded, fmt.Errorf("%s: %w", o.source.Document(), err))
 			return
 		}
 	}
 	offerAll(offers, func(err error) {
 		if err != nil {
-			done(to, err)
+			done(reloaded, err)
 			return
 		}
 		if d.drainedSource() != nil {
 			d.watcher.SetDrained(d.agreement.drainedHosts())
 		}
-		done(d.combineVersions(to))
+		done(d.combineVersions(reloaded))
 	})
 }
 
-// fileOffers are the versions of a configuration for which there is a source.
+// fileOffers returns the offers for the versions in a configuration that have a source.
 func (d *Daemon) fileOffers(c config.Config) (offers []versionOffer) {
-	set, drained := fileDocuments(c)
-	for _, o := range []versionOffer{{d.agreement.settings, set}, {d.agreement.drained, drained}} {
+	settingsDoc, drainedDoc := fileDocuments(c)
+	for _, o := range []versionOffer{{d.agreement.settings, settingsDoc}, {d.agreement.drained, drainedDoc}} {
 		if o.source != nil && o.doc.Number != 0 {
 			offers = append(offers, o)
 		}
@@ -296,7 +313,7 @@
 	return offers
 }
 
-// offerAll offers one after the other, and ends with the first that fails.
+// offerAll makes the offers one after the other. done is called after the last, or with the first error.
 func offerAll(offers []versionOffer, done func(error)) {
 	if len(offers) == 0 {
 		done(nil)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,7 @@
-// Package daemon wires the parts of an ingress together and takes it through its life: start, reload, upgrade
-// and end.
+// Package daemon wires the parts of one ingress process together and controls its lifecycle: start, configuration
+// reload, handover to or from another process of the same ingress, drain and exit. Run owns the event loop, and all
+// state of a Daemon belongs to the loop's goroutine unless a comment says otherwise. The package decides nothing about
+// requests; package admission does.
 package daemon
 
 import (
@@ -32,28 +34,45 @@
 	"ferryfront.example/ferryfront/internal/telemetry"
 )
 
-// Options are what a daemon is started with.
+// Options configures a daemon.
 type Options struct {
-	LoadConfig     func() (config.Config, error)                  // reads the configuration for a start
-	ReloadConfig   func(was config.Config) (config.Config, error) // reads it again while running
-	ReadFrontFile  func() (openapi.File, error)                   // reads the file of a second front, nil: none
-	OTLPEndpoint   string                                         // endpoint, empty: no telemetry
-	ControlSocket  string                                         // path of the control socket, empty: none
-	Version        string
-	Log            *slog.Logger
-	UpgradeCommand []string // what starts the next process of an upgrade: the binary's path, its arguments
-	HasMembership  bool     // ingresses tell each other who is there
-	// ControlReplicas are the addresses of the control group's replicas, none: there is no control group.
+	// LoadConfig reads the configuration at the start of the process.
+	LoadConfig func() (config.Config, error)
+	// ReloadConfig reads the configuration again while the daemon runs. It is called outside the loop's goroutine.
+	ReloadConfig func(previous config.Config) (config.Config, error)
+	// ReadFrontFile reads the file of the second front. Nil: there is no second front.
+	ReadFrontFile func() (openapi.File, error)
+	// OTLPEndpoint is the URL to which telemetry is exported. Empty: none is.
+	OTLPEndpoint string
+	// ControlSocket is the path of the control socket. Empty: there is none.
+	ControlSocket string
+	// Version is the program's version, as logs and the control socket show it.
+	Version string
+	Log     *slog.Logger
+	// UpgradeCommand is the path and the arguments of the binary that an upgrade starts. Empty: upgrades are refused.
+	UpgradeCommand []string
+	// HasMembership enables the membership protocol between ingresses.
+	HasMembership bool
+	// ControlReplicas are the addresses of the control group's replicas. Empty: there is no control group.
 	ControlReplicas []string
-	OverrideLimits  func(*limits.Limits)  // changes bounds as the program's own settings say, nil: none
-	Signals         <-chan os.Signal      // SIGTERM and SIGINT end, SIGHUP reloads, SIGUSR2 upgrades
-	Hangups         <-chan os.Signal      // SIGHUP alone, nil: it comes with the others, which a crowd of it may crowd out
-	Notify          func(state ...string) // tells the service manager, see sd_notify(3)
-	Getenv          func(string) string   // environment
-	Embedded        *Embedded             // where the process holds other daemons, too; nil: it has the process to itself
+	// OverrideLimits applies the program's own settings to the limits of a configuration. Nil: there are none.
+	OverrideLimits func(*limits.Limits)
+	// Signals delivers SIGTERM and SIGINT (drain and exit), SIGUSR2 (upgrade) and SIGHUP (reload).
+	Signals <-chan os.Signal
+	// Hangups delivers SIGHUP alone, so that many of them can't displace another signal from Signals. Nil: SIGHUP comes
+	// with Signals.
+	Hangups <-chan os.Signal
+	// Notify sends state to the service manager; see sd_notify(3).
+	Notify func(state ...string)
+	// Getenv reads the environment.
+	Getenv func(string) string
+	// Embedded is set where several daemons share the process. Nil: the daemon has the process to itself.
+	Embedded *Embedded
 }
 
-// Run runs a daemon until its end. A process that was started by another's upgrade takes that one's place.
+// Run runs a daemon and returns when it has ended. The process first tries to take over from a running process of the
+// same ingress: the one that started it in an upgrade, or the one that it is to replace. Run returns an error if the
+// start, the handover or the loop fails.
 func Run(o Options) error {
 	l, err := loop.New()
 	if err != nil {
@@ -92,7 +111,7 @@
 	o.Embedded.attach(d)
 	err = errors.Join(d.loop.Run(d), d.runError)
 	if o.Embedded == nil {
-		d.releaseLeases(nil) // nothing is sent on any more, however it came to the end
+		d.releaseLeases(nil) // the loop has ended, so no request uses the share any more
 	}
 	o.Embedded.detach(d.loop)
 	d.controlServer.closeAndWait()
@@ -106,59 +125,70 @@
 	return err
 }
 
-// endFlushTimeout is how long the end of the process may wait for telemetry.
+// endFlushTimeout bounds each wait at the exit of the process: for answers on the control socket and for telemetry.
 const endFlushTimeout = 150 * time.Millisecond
 
-// Daemon is the program's parts, wired together. All but what is said to be otherwise belongs to the loop.
+// Daemon is one ingress process with all its parts. Its state belongs to the loop's goroutine.
 type Daemon struct {
-	options             Options
-	telemetry           *telemetry.Exporter // nil unless an endpoint is set
-	frontReload         chan struct{}
-	loop                *loop.Loop
-	cfg                 config.Config
-	loadedConfig        config.Config // as last read and taken
-	pendingReloads      int           // asked for and not done; one is read at a time
-	log                 *slog.Logger
-	module              *admission.Gateway
-	core                *core.Core
-	server              *downstream.Server
-	upstreams           *upstream.Pool
-	counter             *counter.Client // nil where there is none
-	watcher             *discovery.Watcher
-	fronts              []listeningFront
-	controlServer       *controlServer
-	admin               *mgmt.Endpoint  // nil where operators have none
-	members             *members        // nil where ingresses do not talk
-	controlGroup        *controlGroup   // nil where there is none, or while another process has this one's place
-	agreement           *agreement      // nil where no versions are agreed on with others
-	savedAgreement      *savedAgreement // from the last time that another process took this one's place
-	figures             figures.Metrics
-	successorListener   *loop.Source // where a successor is awaited, nil: nowhere
-	isReplacement       bool         // somebody else has started us as a successor
+	options     Options
+	telemetry   *telemetry.Exporter // nil: no endpoint is set
+	frontReload chan struct{}       // tells the second front's reloader, on a goroutine of its own, to reload
+	loop        *loop.Loop
+
+	// cfg is the configuration in force: the one read at the start with the settings and the drain timeout of all
+	// active versions combined.
+	cfg config.Config
+	// loadedConfig is the configuration as last read and accepted.
+	loadedConfig config.Config
+	// pendingReloads counts the requested reloads that have not finished. They run one at a time.
+	pendingReloads int
+
+	log           *slog.Logger
+	module        *admission.Gateway // the decision module
+	core          *core.Core
+	server        *downstream.Server
+	upstreams     *upstream.Pool
+	counter       *counter.Client // client of the shared counter; nil: there is none
+	watcher       *discovery.Watcher
+	fronts        []listeningFront
+	controlServer *controlServer // nil: no control socket was opened
+	admin         *mgmt.Endpoint // nil: no admin endpoint is open
+
+	members        *members        // nil: membership is off, or was closed for a successor
+	controlGroup   *controlGroup   // nil: there is none, or this process has released its leases
+	agreement      *agreement      // nil: this ingress agrees on no versions with others
+	savedAgreement *savedAgreement // state when the last successor took over; nil: none has
+	figures        figures.Metrics
+
+	// successorListener accepts replacements that the platform starts. Nil: it is closed.
+	successorListener *loop.Source
+	// isReplacement is set if the platform started this process next to its predecessor.
+	isReplacement       bool
 	isDraining          bool
-	isLeavingMembership bool          // the planned end is for good
-	hasDrained          bool          // nothing is open any more
-	stallLoggedAt       time.Duration // when it was last logged that the process stood still
-	runError            error
+	isLeavingMembership bool          // after the drain the other ingresses take over this one's share
+	hasDrained          bool          // the listeners, all streams and all connections are closed
+	stallLoggedAt       time.Duration // loop time of the last log of a stall
+	runError            error         // returned by Run
 
-	asPredecessor *predecessorRole // our part in an upgrade that replaces us
-	asSuccessor   *successorRole   // our part in the upgrade that started us, nil if none did
+	asPredecessor *predecessorRole // handovers to a successor
+	asSuccessor   *successorRole   // handover from a predecessor; nil: there was none
 }
 
-// listeningFront is a front and where it listens.
+// listeningFront is a front and the address that it listens on.
 type listeningFront struct {
 	addr           string
 	handler        downstream.Handler
-	onServing      func()
+	onServing      func() // called once the process serves
 	updateSettings func(admission.Settings)
 }
 
-// noCounter stands where a deployment has none; the module does not call it there.
+// noCounter takes the place of the shared counter in a deployment without one. The module does not call it there.
 type noCounter struct{}
 
 func (noCounter) Add(string, float64, time.Duration) {}
 
-// start starts without a predecessor.
+// start starts the daemon without a predecessor. It fails if the configuration can't be used or an address can't be
+// opened.
 func (d *Daemon) start() error {
 	if err := d.assemble(); err != nil {
 		return err
@@ -181,28 +211,28 @@
 	return nil
 }
 
-// limitRuntime keeps the runtime within the machine: one core, and memory collected hard before the platform
-// would kill the process. The live heap is small: to collect at twice its size costs little time, and the
-// heap has its final size within seconds, so that growth that does not stop is seen for what it is.
+// limitRuntime keeps the Go runtime within the configured cores and memory, so that the garbage collector works harder
+// before the platform would kill the process. The live heap is small, so collecting at twice its size costs little
+// time. The heap then reaches its final size within seconds, and a leak can be told from the growth after a start.
 func limitRuntime(cfg config.Config) {
 	runtime.GOMAXPROCS(max(1, int(cfg.Cores)))
 	debug.SetGCPercent(100)
 	setMemoryLimit(cfg.Limits, 1)
 }
 
-// setMemoryLimit sets the heap's soft limit: alone to six tenths of what this ingress may have, and while an upgrade
-// is under way, when two processes live on that, to less than a half for each.
-func setMemoryLimit(lim limits.Limits, processes int) {
+// setMemoryLimit sets the runtime's soft memory limit to six tenths of the ingress's memory. During a handover two
+// processes share that memory, and each gets less than half of it.
+func setMemoryLimit(bounds limits.Limits, processes int) {
 	tenths := int64(6)
 	if processes > 1 {
 		tenths = 4
 	}
-	if mb := lim.MemoryMB; mb > 0 {
+	if mb := bounds.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb) << 20 * tenths / 10)
 	}
 }
 
-// assemble reads the configuration and builds all parts; nothing listens yet.
+// assemble reads the configuration and builds all parts. Nothing listens yet.
 func (d *Daemon) assemble() error {
 	cfg, err := d.options.LoadConfig()
 	if err != nil {
@@ -216,10 +246,10 @@
 		limitRuntime(cfg)
 	}
 	d.loadedConfig = cfg
-	// Every refusal tells when to come back, also where clients are not known to heed it.
+	// Every rejection carries a Retry-After, whether or not the configuration says that clients honor it.
 	cfg.Settings.CanSendRetryAfter = true
 	d.cfg = cfg
-	// A front's file that is refused ends the start before anything is opened.
+	// An invalid file of the second front fails the start before anything is opened.
 	var file openapi.File
 	var table *routes.Table
 	var stamp openapi.Stamp
@@ -256,26 +286,26 @@
 	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.upstreams, cfg.Known, cfg.Seed)
 	d.watcher.SetDrained(cfg.Drained)
 	d.server = downstream.New(l, cfg.Limits, d.log)
-	first := platform.New(d.core, cfg.Settings, d.canServe)
-	d.fronts = append(d.fronts, listeningFront{cfg.Listen, first, func() {}, first.Follow})
+	platformFront := platform.New(d.core, cfg.Settings, d.canServe)
+	d.fronts = append(d.fronts, listeningFront{cfg.Listen, platformFront, func() {}, platformFront.Follow})
 	if table != nil {
 		d.fronts = append(d.fronts, d.secondFront(file, table, stamp))
 	}
 	return nil
 }
 
-// openCounter makes the client of the shared counter.
+// openCounter creates the client of the shared counter.
 func (d *Daemon) openCounter(addr string) {
 	d.counter = counter.New(d.loop, d.cfg.Limits, d.log, addr)
 	d.counter.SetSink(d.core)
 }
 
-// secondFront is the front that a file describes, beside the platform's.
+// secondFront returns the front that a file describes; it serves next to the platform's front.
 func (d *Daemon) secondFront(file openapi.File, table *routes.Table, stamp openapi.Stamp) listeningFront {
 	f := openapi.New(d.core, d.cfg.Settings, file, table, d.watcher.IsReady, d.log)
-	settings := &atomic.Pointer[admission.Settings]{} // read by the reloader's goroutine
-	start := d.cfg.Settings
-	settings.Store(&start)
+	settings := &atomic.Pointer[admission.Settings]{} // the reloader's goroutine reads it
+	initial := d.cfg.Settings
+	settings.Store(&initial)
 	return listeningFront{file.Listen, f, func() {
 		d.log.Info("second front", "listen", file.Listen, "routes", len(table.All()))
 		if file.Description != "" {
@@ -289,21 +319,22 @@
 	}}
 }
 
+// newTelemetry starts the export of telemetry to the endpoint of the options.
 func newTelemetry(cfg config.Config, o Options, log *slog.Logger) (*telemetry.Exporter, error) {
 	c := telemetry.Config{Endpoint: o.OTLPEndpoint, Instance: cfg.Name, Version: o.Version, Log: log,
 		Every: cfg.Limits.TelemetryInterval, Queue: cfg.Limits.TelemetryQueueLength, Settings: cfg.Settings}
 	return telemetry.New(c)
 }
 
-// handleSignal runs on the signals' goroutine. What a handleSignal asks for is decided on the loop's.
+// handleSignal runs on the goroutine that receives signals. The loop's goroutine decides what to do about each.
 func (d *Daemon) handleSignal(s os.Signal) {
 	switch s {
 	case syscall.SIGHUP:
 		d.loop.Post(d.handleReloadRequest)
 	case syscall.SIGUSR2:
 		d.loop.Post(func() {
-			if why := d.upgrade(func(Progress) {}); why != "" {
-				d.log.Warn("upgrade not begun", "cause", why)
+			if reason := d.upgrade(func(Progress) {}); reason != "" {
+				d.log.Warn("upgrade not begun", "cause", reason)
 			}
 		})
 	default:
@@ -311,11 +342,12 @@
 	}
 }
 
-// isTakingOver tells whether the upgrade that started us is not over.
+// isTakingOver reports whether the handover from this process's predecessor is not finished.
 func (d *Daemon) isTakingOver() bool {
 	return d.asSuccessor != nil && d.asSuccessor.machine.State != phase.Independent
 }
 
+// handleEndRequest passes a request to end the process to its role in a handover.
 func (d *Daemon) handleEndRequest() {
 	if d.isTakingOver() {
 		d.asSuccessor.isEndRequested = true
@@ -325,6 +357,7 @@
 	d.asPredecessor.handle(phase.EndAsked{})
 }
 
+// handleReloadRequest reloads the configuration, here or, once a successor serves, there.
 func (d *Daemon) handleReloadRequest() {
 	if d.isTakingOver() {
 		d.asSuccessor.handle(phase.ReloadAsked{})
@@ -336,12 +369,13 @@
 	}
 }
 
-// Refetch asks discovery for the whole list.
+// Refetch asks discovery for the whole list of hosts.
 func (d *Daemon) Refetch() { d.watcher.Refetch() }
 
-// Turn ends a turn of the loop.
+// Turn does what is due at the end of a turn of the loop. It returns the time of the next turn that the core needs, or 0
+// if it needs none.
 func (d *Daemon) Turn(now time.Duration) time.Duration {
-	if d.core == nil { // a successor that has not been told whose place it takes
+	if d.core == nil { // a successor that has received no Welcome has no parts yet
 		return 0
 	}
 	d.logStall(now)
@@ -355,19 +389,20 @@
 	return next
 }
 
-// stallLogInterval: a process that stands still again and again says so that often.
+// stallLogInterval is the minimum time between two logs of a stall.
 const stallLogInterval = 10 * time.Second
 
-// logStall tells the operator that the process stood still: stopped, or without a processor.
+// logStall logs that the process stalled: it was stopped, or got no processor.
 func (d *Daemon) logStall(now time.Duration) {
-	if late := d.loop.MaxReadDelay(); late > 0 && now-d.stallLoggedAt > stallLogInterval {
+	if delay := d.loop.MaxReadDelay(); delay > 0 && now-d.stallLoggedAt > stallLogInterval {
 		d.stallLoggedAt = now
-		d.log.Warn("process stood still", "at_most", late)
+		d.log.Warn("process stood still", "at_most", delay)
 	}
 }
 
-// drain is the planned end: new connections are taken a while longer, since the front notices late;
-// every answer closes its connection; then the listener closes, and with the last answer the daemon ends.
+// drain begins the planned end of the process. New connections are accepted for DrainAcceptPeriod more, since whatever
+// sends clients here learns of the drain late, and every answer closes its connection. Then the listeners close, and
+// the daemon ends after the last answer, or DrainTimeout after the drain began.
 func (d *Daemon) drain() {
 	if d.isDraining {
 		return
@@ -380,7 +415,7 @@
 	d.scheduleForcedEnd()
 }
 
-// fail ends the process with an error.
+// fail stops the loop; Run then returns an error with the text.
 func (d *Daemon) fail(format string, args ...any) {
 	d.runError = fmt.Errorf(format, args...)
 	d.loop.Stop()
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -6,80 +6,82 @@
 	"ferryfront.example/ferryfront/internal/config"
 )
 
-// reloadConfig takes the configuration as it reads now, whole or not at all: where discovery and the counter are,
-// and the settings. It is read on a goroutine of its own, one at a time, so that of two files the later counts. One
-// that can't be used changes nothing, and what would need a restart is only told. A planned end does not stop it,
-// since what is open then still needs it.
+// reloadConfig reads the configuration again and applies the addresses of discovery and the counter and the settings,
+// all or nothing. A configuration that can't be used changes nothing, and fields that need a restart are only logged. A
+// drain does not stop reloads, since open streams still need the configuration.
 func (d *Daemon) reloadConfig() {
 	if d.pendingReloads++; d.pendingReloads == 1 {
 		d.startReload()
 	}
 }
 
+// startReload reads the configuration on a goroutine of its own. Only one runs at a time, so that of two files the later
+// one counts.
 func (d *Daemon) startReload() {
-	was := d.loadedConfig
+	previous := d.loadedConfig
 	go func() {
-		to, err := d.options.ReloadConfig(was)
+		reloaded, err := d.options.ReloadConfig(previous)
 		if err == nil && d.options.OverrideLimits != nil {
-			d.options.OverrideLimits(&to.Limits)
+			d.options.OverrideLimits(&reloaded.Limits)
 		}
 		d.loop.Post(func() {
 			if err != nil {
-				d.finishReload(was, to, err)
+				d.finishReload(previous, reloaded, err)
 				return
 			}
-			d.offerFileVersions(to, func(to config.Config, err error) { d.finishReload(was, to, err) })
+			d.offerFileVersions(reloaded, func(next config.Config, err error) { d.finishReload(previous, next, err) })
 		})
 		select {
 		case d.frontReload <- struct{}{}:
-		default: // one is waiting already
+		default: // a reload of the second front is due already
 		}
 	}()
 }
 
-// finishReload ends one reading, and begins the next if one was asked for meanwhile.
-func (d *Daemon) finishReload(was, to config.Config, err error) {
+// finishReload applies a reloaded configuration or logs why it can't be used, and starts the next reload if one was
+// requested meanwhile.
+func (d *Daemon) finishReload(previous, next config.Config, err error) {
 	if err != nil {
 		d.figures.ReconfigFailed++
 		d.log.Error("configuration not reloaded", "error", err)
 	} else {
-		d.applyReload(was, to)
+		d.applyReload(previous, next)
 	}
 	if d.pendingReloads--; d.pendingReloads > 0 {
 		d.startReload()
 	}
 }
 
-// applyReload goes on under a configuration that was found good.
-func (d *Daemon) applyReload(was, to config.Config) {
+// applyReload applies a reloaded configuration that was found valid.
+func (d *Daemon) applyReload(previous, next config.Config) {
 	d.figures.ReconfigOK++
-	d.log.Info("configuration reloaded", "discovery", to.Discovery, "counter", to.Counter,
-		"classes", len(to.Settings.Classes))
-	if names := was.Changed(to); len(names) > 0 {
+	d.log.Info("configuration reloaded", "discovery", next.Discovery, "counter", next.Counter,
+		"classes", len(next.Settings.Classes))
+	if names := previous.Changed(next); len(names) > 0 {
 		d.log.Warn("changed configuration needs a restart", "fields", strings.Join(names, ","))
 	}
-	d.loadedConfig = to
-	d.applyConfig(to)
+	d.loadedConfig = next
+	d.applyConfig(next)
 }
 
-// applyConfig goes on under other settings, and addresses.
-func (d *Daemon) applyConfig(to config.Config) {
-	to.Settings.CanSendRetryAfter = true // as at the start
-	d.cfg.Settings, d.cfg.Limits.DrainTimeout = to.Settings, to.Limits.DrainTimeout
+// applyConfig passes the settings, the drain timeout and the addresses of a configuration to all parts.
+func (d *Daemon) applyConfig(next config.Config) {
+	next.Settings.CanSendRetryAfter = true // as at the start
+	d.cfg.Settings, d.cfg.Limits.DrainTimeout = next.Settings, next.Limits.DrainTimeout
 	d.addClassMetrics()
-	d.core.UpdateSettings(d.loop.Now(), to.Settings)
+	d.core.UpdateSettings(d.loop.Now(), next.Settings)
 	for _, f := range d.fronts {
-		f.updateSettings(to.Settings)
+		f.updateSettings(next.Settings)
 	}
 	if d.telemetry != nil {
-		d.telemetry.Follow(to.Settings)
+		d.telemetry.Follow(next.Settings)
 	}
-	d.watcher.SetAddr(to.Discovery)
+	d.watcher.SetAddr(next.Discovery)
 	switch {
 	case d.counter != nil:
-		d.counter.SetAddr(to.Counter)
-	case to.Settings.HasCounter: // there was none before
-		d.openCounter(to.Counter)
+		d.counter.SetAddr(next.Counter)
+	case next.Settings.HasCounter: // the settings had no counter before
+		d.openCounter(next.Counter)
 		d.core.SetCounter(d.counter)
 	}
 }
--- a/internal/daemon/beside.go
+++ b/internal/daemon/replacement.go
@@ -13,26 +13,27 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// A replacement that somebody else has begun: the platform starts the next process beside this one, with the same
-// addresses but another admin endpoint. They meet at a socket in $TMPDIR and hand over as in an upgrade. Whatever comes
-// between, the new process starts anew, by itself, and both listen at the clients' address until the old one is told to
-// end.
+// Replacement by the platform: the platform, not this daemon, starts the next process next to the running one, with the
+// same addresses but another admin endpoint. The two processes connect through a socket in $TMPDIR and hand over as in
+// an upgrade. If anything goes wrong, the new process restarts itself without a predecessor. Then both listen on the
+// clients' address until the platform tells the old one to end.
 
-// standaloneEnv tells a process that it has tried to take over and is to begin by itself.
+// standaloneEnv is the environment variable that tells a process to start without a predecessor, since it has already
+// tried to take over.
 const standaloneEnv = "FERRYFRONT_ALONE"
 
-// replacementTimeout is the time for a predecessor to hand over, the platform's for a new process to be ready (6 s) with room
-// to begin by itself.
+// replacementTimeout bounds the handover to a replacement. It is less than the 6 s in which the platform expects a new
+// process to be ready, so that there is time left to start without a predecessor.
 const replacementTimeout = 3 * time.Second
 
-// connectToPredecessor connects to the process whose place this one is to take. It returns -1 where there is none, or none
-// to meet. A configuration that can't be read ends the start here as anywhere.
+// connectToPredecessor connects to the running process of this ingress and returns the descriptor, or -1 if there is
+// none that can be reached. It fails only if the configuration can't be read.
 func (d *Daemon) connectToPredecessor() (int, error) {
 	dir := d.options.Getenv("TMPDIR")
 	if dir == "" || d.options.Getenv(standaloneEnv) != "" {
 		return -1, nil
 	}
-	name := d.options.Getenv("GW_NAME") // it goes before what the file says, which need not be read twice then
+	name := d.options.Getenv("GW_NAME") // it overrides the file's name, so the file need not be read twice
 	if name == "" {
 		cfg, err := d.options.LoadConfig()
 		if err != nil {
@@ -50,7 +51,8 @@
 	return fd, nil
 }
 
-// listenForSuccessor lets the next process meet this one. Without a folder, or sockets of that kind, it will listen beside us.
+// listenForSuccessor opens the socket in $TMPDIR through which a replacement connects. Where it can't be opened, the
+// replacement starts without a predecessor and listens next to this process.
 func (d *Daemon) listenForSuccessor() {
 	dir := d.options.Getenv("TMPDIR")
 	if dir == "" {
@@ -67,18 +69,19 @@
 	}
 }
 
-// stopListeningForSuccessor meets nobody any more.
+// stopListeningForSuccessor closes the socket for replacements. It does nothing if the socket is closed.
 func (d *Daemon) stopListeningForSuccessor() {
 	d.successorListener.Close()
 	d.successorListener = nil
 }
 
-// successorAcceptor is told of who has come.
+// successorAcceptor accepts connections of replacements. It is the loop's handler of the socket.
 type successorAcceptor struct{ d *Daemon }
 
-// Ready begins to hand over, unless that can't be now. Who is turned away sees the end of the connection.
-func (m successorAcceptor) Ready(uint32) {
-	d := m.d
+// Ready accepts a replacement and begins the handover. It closes the connection if no handover can begin now: during
+// another one, or while the process drains.
+func (a successorAcceptor) Ready(uint32) {
+	d := a.d
 	fd, err := handover.Accept(d.successorListener.FD())
 	if err != nil {
 		return
@@ -100,17 +103,18 @@
 	p.handle(phase.Asked{})
 }
 
-// restartStandalone begins this process anew, by itself: nothing was taken over, and what was built for it goes with the
-// old image. Both processes may listen at the clients' address.
-func (d *Daemon) restartStandalone(why string) {
-	d.log.Warn("not taken over; beginning beside the old process", "cause", why)
-	signal.Ignore(syscall.SIGHUP) // until the new image hears it, it would end the process
+// restartStandalone executes the program again in this process, to start without a predecessor. Nothing was taken over,
+// and the parts that were built vanish with the old image. Both processes may listen on the clients' address.
+func (d *Daemon) restartStandalone(reason string) {
+	d.log.Warn("not taken over; beginning beside the old process", "cause", reason)
+	signal.Ignore(syscall.SIGHUP) // by default it would end the process until the new image handles it
 	err := syscall.Exec("/proc/self/exe", os.Args, append(os.Environ(), standaloneEnv+"=1"))
-	d.runError = fmt.Errorf("begin anew: %w", err)
+	d.runError = fmt.Errorf("restart without a predecessor: %w", err)
 	d.loop.Stop()
 }
 
-// scheduleForcedEnd ends what is still open when the time of a planned end is up, and then the process.
+// scheduleForcedEnd ends the streams that are still open after DrainTimeout, and the process DrainFlushPeriod later,
+// once their answers had time to be sent.
 func (d *Daemon) scheduleForcedEnd() {
 	d.loop.After(d.cfg.Limits.DrainTimeout, func() {
 		if open := d.core.OpenStreams(); open > 0 {
