--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -14,123 +14,133 @@
 	"time"
 )
 
-// The control socket: one JSON object asks, JSON objects answer, one a line. Who may open the socket may
-// command the daemon; its folder's permissions and its own (0600) say who that is.
+// Protocol of the control socket: a client sends one command as a line of JSON, and the daemon answers with one or more
+// lines of JSON. Whoever may open the socket may command the daemon, which the permissions of its directory and its own
+// mode (0600) decide.
 
-// Command is what a client of the control socket asks for.
+// Command is a request on the control socket.
 type Command struct {
-	Name   string `json:"do"`               // upgrade, status, members or leave
-	Member string `json:"member,omitempty"` // of leave: another one, which is dead for good; empty: this one
+	// Name is upgrade, status, members or leave.
+	Name string `json:"do"`
+	// Member is for leave only: the number of another ingress that is permanently dead. Empty: this ingress leaves.
+	Member string `json:"member,omitempty"`
 }
 
-// Status answers "status".
+// Status answers the command "status".
 type Status struct {
-	Name        string `json:"name"`
-	Version     string `json:"version"`
-	Pid         int    `json:"pid"`
-	Phase       string `json:"phase"` // of an upgrade, idle without one
-	Streams     int    `json:"streams"`
-	Connections int    `json:"connections"`
-	Upstreams   int    `json:"upstreams"`
-	Customers   int    `json:"customers"`
-	// ControlGroup is of the control group, null: there is none.
+	Name        string `json:"name"`        // of the ingress
+	Version     string `json:"version"`     // of the program
+	Pid         int    `json:"pid"`         // of the answering process
+	Phase       string `json:"phase"`       // of a handover, "idle" without one
+	Streams     int    `json:"streams"`     // streams owed an answer
+	Connections int    `json:"connections"` // open client connections
+	Upstreams   int    `json:"upstreams"`   // open upstream connections
+	Customers   int    `json:"customers"`   // customers with state in the decision module
+	// ControlGroup is null without a control group.
 	ControlGroup *ControlGroupStatus `json:"control_group,omitempty"`
-	Error        string              `json:"error,omitempty"`
+	// Error is set, and the rest empty, if the loop did not answer in time.
+	Error string `json:"error,omitempty"`
 }
 
-// MembershipStatus answers "members": the view of one ingress, and what of joint budgets it takes.
+// MembershipStatus answers the command "members": the answering ingress's view of the others, its share of joint budgets
+// and the versions that it applies. Members, the message counts and the byte counts are those of the membership protocol
+// and empty if that is off. If the loop does not answer in time, all fields are empty.
 type MembershipStatus struct {
 	Name             string         `json:"name"`
-	IsEnabled        bool           `json:"enabled"`
-	ViewVersion      uint64         `json:"version"`
-	Members          []MemberStatus `json:"members"`
-	IsSettled        bool           `json:"settled"`     // it takes its share of ceilings
-	AbsentMembers    []int          `json:"counted_out"` // ingresses that left for good, whose shares the others have
+	IsEnabled        bool           `json:"enabled"`     // the membership protocol runs
+	ViewVersion      uint64         `json:"version"`     // of the membership view
+	Members          []MemberStatus `json:"members"`     // by the membership view
+	IsSettled        bool           `json:"settled"`     // this ingress uses its share of joint budgets
+	AbsentMembers    []int          `json:"counted_out"` // numbers of ingresses that left permanently; the others have their shares
 	MessagesSent     uint64         `json:"sent"`
 	MessagesReceived uint64         `json:"received"`
 	MessagesDropped  uint64         `json:"dropped"`
 
-	BytesSent     uint64 `json:"sent_bytes"` // of all messages sent and received
+	BytesSent     uint64 `json:"sent_bytes"`
 	BytesReceived uint64 `json:"received_bytes"`
 
-	ActiveVersions   []uint64 `json:"settings_acting"` // versions of the settings that it acts on together
-	StaleMembers     []string `json:"settings_stale"`  // members not known to act on the newest
-	RejectedVersions []string `json:"settings_rejected"`
-	IsCutOff         bool     `json:"settings_cut_off"`
-	DrainedHosts     []string `json:"drained"` // hosts that the operators drain, by any version of their list that is acted on
+	ActiveVersions   []uint64 `json:"settings_acting"`   // versions of the settings that it applies together, oldest first
+	StaleMembers     []string `json:"settings_stale"`    // members not known to apply the newest version
+	RejectedVersions []string `json:"settings_rejected"` // each with the reason
+	IsCutOff         bool     `json:"settings_cut_off"`  // it hears nobody else who decides on versions
+	DrainedHosts     []string `json:"drained"`           // hosts that any active version of the drained list names
 }
 
-// MemberStatus is one ingress as another holds it.
+// MemberStatus is the state of one ingress in another's view.
 type MemberStatus struct {
-	Name        string `json:"name"` // its number
-	State       string `json:"state"`
+	Name        string `json:"name"`  // its number
+	State       string `json:"state"` // as membership.State names it
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// controlServer is the socket's server. Each client has a goroutine of its own.
+// controlServer serves the control socket. It has a goroutine for the listener and one for each client; they run work on
+// the loop through onLoop and Post.
 type controlServer struct {
 	d        *Daemon
 	listener *net.UnixListener
 	mu       sync.Mutex
-	conns    map[net.Conn]struct{}
+	conns    map[net.Conn]struct{} // guarded by mu
 }
 
 const (
-	commandTimeout    = 5 * time.Second // for a command to come
-	maxControlClients = 16              // clients at a time
+	commandTimeout    = 5 * time.Second // for a client to send its command, and for the loop to answer it
+	maxControlClients = 16              // connected at a time; more are closed at once
 )
 
-// openControl puts our socket where the settings say. A name that another of this ingress's processes has
-// there becomes ours in one step, so that there is always one.
+// openControl opens the control socket, if the options have one. Renaming the socket into place takes the name over from
+// another process of this ingress in one step, so that the name always leads to a process. At a start it fails if a
+// daemon answers there.
 func (d *Daemon) openControl() error {
 	if d.options.ControlSocket == "" {
 		return nil
 	}
-	if d.asSuccessor == nil && d.controlServer == nil { // at a start, another daemon's socket is not to be taken
+	if d.asSuccessor == nil && d.controlServer == nil { // a start must not take another daemon's socket
 		if c, err := net.DialTimeout("unix", d.options.ControlSocket, time.Second); err == nil {
 			_ = c.Close()
 			return fmt.Errorf("control: another daemon answers at %s", d.options.ControlSocket)
 		}
 	}
 	temporary := filepath.Join(filepath.Dir(d.options.ControlSocket), "."+filepath.Base(d.options.ControlSocket)+"."+strconv.Itoa(os.Getpid()))
-	_ = os.Remove(temporary) // of an earlier process with our number
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
+	_ = os.Remove(temporary) // an earlier process with this process's id may have left it
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
-	ln.SetUnlinkOnClose(false)
+	listener.SetUnlinkOnClose(false)
 	if err := errors.Join(os.Chmod(temporary, 0o600), os.Rename(temporary, d.options.ControlSocket)); err != nil {
-		return fmt.Errorf("control: %w", errors.Join(err, ln.Close()))
+		return fmt.Errorf("control: %w", errors.Join(err, listener.Close()))
 	}
 	d.controlServer.close()
-	d.controlServer = &controlServer{d: d, listener: ln, conns: map[net.Conn]struct{}{}}
+	d.controlServer = &controlServer{d: d, listener: listener, conns: map[net.Conn]struct{}{}}
 	go d.controlServer.run()
 	return nil
 }
 
-// close takes no more clients; those that are there are still answered. It is safe on nil.
+// close accepts no more clients. Those that are connected are still answered. It is safe on nil.
 func (c *controlServer) close() {
 	if c != nil {
 		_ = c.listener.Close()
 	}
 }
 
-// closeAndWait closes, and waits a moment for those who have an answer on its way. It is safe on nil.
+// closeAndWait accepts no more clients and waits up to endFlushTimeout until those that are connected have their
+// answers. It is safe on nil.
 func (c *controlServer) closeAndWait() {
 	if c == nil {
 		return
 	}
 	c.close()
-	for end := time.Now().Add(endFlushTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(endFlushTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		c.mu.Lock()
-		n := len(c.conns)
+		clients := len(c.conns)
 		c.mu.Unlock()
-		if n == 0 {
+		if clients == 0 {
 			return
 		}
 	}
 }
 
+// run accepts clients until the listener is closed.
 func (c *controlServer) run() {
 	for {
 		conn, err := c.listener.Accept()
@@ -159,6 +169,7 @@
 	}
 }
 
+// serve reads one command and answers it. A client that sends no line in time gets no answer.
 func (c *controlServer) serve(conn net.Conn) {
 	_ = conn.SetReadDeadline(time.Now().Add(commandTimeout))
 	line, err := bufio.NewReaderSize(conn, 4096).ReadSlice('\n')
@@ -175,32 +186,32 @@
 	case "status":
 		_ = out.Encode(c.status())
 	case "members":
-		m := MembershipStatus{Members: []MemberStatus{}, AbsentMembers: []int{}, ActiveVersions: []uint64{}, StaleMembers: []string{}, RejectedVersions: []string{}, DrainedHosts: []string{}}
-		_ = out.Encode(onLoop(c.d, m, func() MembershipStatus { return c.d.membershipStatus(m) }))
+		empty := MembershipStatus{Members: []MemberStatus{}, AbsentMembers: []int{}, ActiveVersions: []uint64{}, StaleMembers: []string{}, RejectedVersions: []string{}, DrainedHosts: []string{}}
+		_ = out.Encode(onLoop(c.d, empty, func() MembershipStatus { return c.d.membershipStatus(empty) }))
 	case "leave":
 		leave := c.d.leave
 		if cmd.Member != "" {
 			leave = func() string { return c.d.forceLeave(cmd.Member) }
 		}
-		why := onLoop(c.d, "the daemon does not answer", leave)
-		_ = out.Encode(Progress{Text: why, IsDone: true, Succeeded: why == "", Pid: os.Getpid()})
+		reason := onLoop(c.d, "the daemon does not answer", leave)
+		_ = out.Encode(Progress{Text: reason, IsDone: true, Succeeded: reason == "", Pid: os.Getpid()})
 	case "upgrade":
-		news := make(chan Progress, 16)
+		updates := make(chan Progress, 16)
 		c.d.loop.Post(func() {
-			tell := func(p Progress) {
+			report := func(p Progress) {
 				select {
-				case news <- p:
-				default: // who does not read in time misses a phase, and never the end: see below
+				case updates <- p:
+				default: // the client reads too slowly: it misses a message, but the close below still ends its answer
 				}
 				if p.IsDone {
-					close(news)
+					close(updates)
 				}
 			}
-			if why := c.d.upgrade(tell); why != "" {
-				tell(Progress{Text: why, IsDone: true, Pid: os.Getpid()})
+			if reason := c.d.upgrade(report); reason != "" {
+				report(Progress{Text: reason, IsDone: true, Pid: os.Getpid()})
 			}
 		})
-		for p := range news {
+		for p := range updates {
 			if out.Encode(p) != nil {
 				break
 			}
@@ -210,6 +221,7 @@
 	}
 }
 
+// status collects the answer to the command "status" on the loop.
 func (c *controlServer) status() Status {
 	d := c.d
 	return onLoop(d, Status{Error: "the daemon does not answer"}, func() Status {
@@ -223,19 +235,21 @@
 	})
 }
 
-// onLoop has the loop's goroutine work something out; silent is returned where that takes too long.
-func onLoop[T any](d *Daemon, silent T, work func() T) T {
-	ch := make(chan T, 1)
-	d.loop.Post(func() { ch <- work() })
+// onLoop runs a function on the loop's goroutine and returns its result, or the fallback if the loop does not get to it
+// within commandTimeout. The function may still run later.
+func onLoop[T any](d *Daemon, fallback T, work func() T) T {
+	results := make(chan T, 1)
+	d.loop.Post(func() { results <- work() })
 	select {
-	case t := <-ch:
-		return t
+	case result := <-results:
+		return result
 	case <-time.After(commandTimeout):
-		return silent
+		return fallback
 	}
 }
 
-// SendCommand sends a command to the daemon at a control socket and hands on each line of its answer.
+// SendCommand sends a command to the daemon at a control socket and calls line with each line of the answer, until the
+// daemon closes the connection, the context ends or line returns an error. The slice is valid only during the call.
 func SendCommand(ctx context.Context, path string, cmd Command, line func([]byte) error) error {
 	var dial net.Dialer
 	conn, err := dial.DialContext(ctx, "unix", path)
@@ -260,27 +274,27 @@
 	return nil
 }
 
-// Upgrade asks the daemon at a control socket for an upgrade and waits for its end. An error tells why the old
-// process carries on.
-func Upgrade(ctx context.Context, path string, tell func(Progress)) (Progress, error) {
-	var end Progress
-	err := SendCommand(ctx, path, Command{Name: "upgrade"}, func(b []byte) error {
+// Upgrade asks the daemon at a control socket for an upgrade and waits for its result. report is called with each
+// message before the result. An error says why the old process carries on, or that the result is not known.
+func Upgrade(ctx context.Context, path string, report func(Progress)) (Progress, error) {
+	var last Progress
+	err := SendCommand(ctx, path, Command{Name: "upgrade"}, func(line []byte) error {
 		var p Progress
-		if err := json.Unmarshal(b, &p); err != nil {
+		if err := json.Unmarshal(line, &p); err != nil {
 			return fmt.Errorf("control: %w", err)
 		}
-		if end = p; !p.IsDone {
-			tell(p)
+		if last = p; !p.IsDone {
+			report(p)
 		}
 		return nil
 	})
 	switch {
 	case err != nil:
-		return end, err
-	case !end.IsDone:
-		return end, errors.New("the daemon has ended before it told how the upgrade went")
-	case !end.Succeeded:
-		return end, errors.New(end.Text)
+		return last, err
+	case !last.IsDone:
+		return last, errors.New("the daemon closed the connection before it reported the result of the upgrade")
+	case !last.Succeeded:
+		return last, errors.New(last.Text)
 	}
-	return end, nil
+	return last, nil
 }
--- a/internal/daemon/controlgroup.go
+++ b/internal/daemon/controlgroup.go
@@ -11,25 +11,25 @@
 	"ferryfront.example/ferryfront/internal/versions"
 )
 
-// controlGroup is the daemon's part in the control group: the versions that are in force come from it, and the leases
-// that it grants tell whether this ingress may use its share of joint budgets.
+// controlGroup is the daemon's part in the control group. The group decides which versions are in force, and its leases
+// decide whether this ingress may use its share of joint budgets. It belongs to the loop's goroutine.
 type controlGroup struct {
 	d                *Daemon
 	member           *controlgroup.Member
 	client           *controlclient.Client
-	usesShare        bool                        // as the module was last notified
-	loggedLease      controlgroup.LeaseState     // as last logged
-	fileVersions     []controlgroup.Document     // versions that this process began with
-	newestInForce    map[string]versions.Version // newest of each document, as far as the group has told
-	hasProposedFiles bool                        // the files' versions were proposed where the group had none or older ones
-	pending          map[proposalKey]*pendingProposal
-	// isResumed: this process had taken part before, and a successor since. It goes on under the versions that it acted
-	// on until it holds a lease.
+	usesShare        bool                             // as the module was last told
+	loggedLease      controlgroup.LeaseState          // state of the settings lease, as last logged
+	fileVersions     []controlgroup.Document          // versions that this process started with
+	newestInForce    map[string]versions.Version      // by document: newest version in force that the group has listed
+	hasProposedFiles bool                             // proposeFileVersions has run
+	pending          map[proposalKey]*pendingProposal // proposals without an outcome
+	// isResumed is set in a process that took part before and has taken its place back from a successor. Until it holds a
+	// lease it keeps to the versions that it applied then.
 	isResumed bool
 }
 
-// openControlGroup connects to the control group, where the program's settings name its replicas. Until a lease is
-// granted this ingress has no share of joint budgets.
+// openControlGroup connects to the control group, if the options name its replicas. This ingress uses no share of joint
+// budgets until it is granted a lease.
 func (d *Daemon) openControlGroup() {
 	if len(d.options.ControlReplicas) == 0 || d.controlGroup != nil {
 		return
@@ -39,7 +39,7 @@
 	g.openAgreement()
 	g.member = controlgroup.NewMember(controlgroup.MemberConfig{
 		ID: controlgroup.MemberID(d.cfg.Settings.Index),
-		// A later process must have the higher incarnation.
+		// A later process of this ingress must have the higher incarnation.
 		Incarnation: controlgroup.Incarnation(max(1, time.Now().UnixMilli())),
 		First:       g.fileVersions, Check: d.checkDocument, ReadyWait: d.cfg.Limits.ControlReadyTimeout}, now)
 	d.controlGroup = g
@@ -51,43 +51,44 @@
 	g.handleChange(now)
 }
 
-// openAgreement begins with the versions of the file, or with the newest that this process has acted on. Documents of
-// which the file has no version are followed, too, once the group has one.
+// openAgreement starts the agreement on versions from those of the file, or from the newest that this process applied
+// before a successor took over. A document without a version in the file is applied, too, once the group has a version.
 func (g *controlGroup) openAgreement() {
 	d := g.d
 	a := &agreement{loggedVersions: map[string][]versions.Version{}}
 	if d.savedAgreement != nil {
 		a.loggedVersions, a.isReady, g.isResumed = d.savedAgreement.loggedVersions, d.savedAgreement.isReady, true
 	}
-	set, drained := fileDocuments(d.cfg)
-	for document, first := range map[string]versions.Doc{settingsDocument: set, drainedDocument: drained} {
+	settingsDoc, drainedDoc := fileDocuments(d.cfg)
+	for document, first := range map[string]versions.Doc{settingsDocument: settingsDoc, drainedDocument: drainedDoc} {
 		if d.savedAgreement != nil {
 			first = d.savedAgreement.newestVersions[document]
 		}
 		if first.Number > 0 {
 			g.fileVersions = append(g.fileVersions, controlgroup.Document{Name: document, Version: first})
 		} else {
-			a.loggedVersions[document] = []versions.Version{} // it begins with none
+			a.loggedVersions[document] = []versions.Version{} // no version is applied yet: see updateActiveVersions
 		}
 	}
 	a.settings, a.drained = controlSource{g, settingsDocument}, controlSource{g, drainedDocument}
 	d.agreement = a
 }
 
-// savedAgreement is what a process remembers of the agreement when a successor takes its place, in case it has to go on.
+// savedAgreement keeps a process's state of the agreement while a successor has its place, in case it takes that back.
 type savedAgreement struct {
-	newestVersions map[string]versions.Doc
-	loggedVersions map[string][]versions.Version
-	isReady        bool
+	newestVersions map[string]versions.Doc       // by document
+	loggedVersions map[string][]versions.Version // see agreement
+	isReady        bool                          // see agreement
 }
 
-// observedMember notes which versions the group says are in force.
+// observedMember is the group's member that also records which versions the group says are in force.
 type observedMember struct {
 	*controlgroup.Member
 	group *controlGroup
 }
 
-// Received hands a message on to the member.
+// Received passes a message of a replica to the member and returns the answers to send. With an error the connection is
+// to be closed.
 func (m observedMember) Received(msg controlgroup.Message, now time.Duration) ([]controlgroup.Message, error) {
 	answers, err := m.Member.Received(msg, now)
 	if list, ok := msg.(controlgroup.InForce); ok && err == nil && len(list.Versions) > 0 {
@@ -96,8 +97,8 @@
 	return answers, err
 }
 
-// checkShare runs before any request of the turn reaches the module: a lease that ran out while this process was stopped
-// must not be used by what queued up in the meantime.
+// checkShare runs at the start of each turn, before any request of the turn reaches the module: requests that queued up
+// while the process was stopped must not use a lease that expired meanwhile.
 func (g *controlGroup) checkShare(now time.Duration) {
 	if g.usesShare && !g.member.HoldsShare(now) {
 		g.setShare(false, g.d.core.EnqueueFirst)
@@ -105,10 +106,10 @@
 	g.logLease(now)
 }
 
-// handleChange follows what the member tells: share, versions, lease, readiness and the ends of proposals.
+// handleChange applies changes in the member's state: share, versions, lease, readiness and outcomes of proposals.
 func (g *controlGroup) handleChange(now time.Duration) {
 	d := g.d
-	if d.controlGroup != g || g.client == nil { // given up, or not open yet
+	if d.controlGroup != g || g.client == nil { // the leases are released, or the client is not open yet
 		return
 	}
 	if holds := g.member.HoldsShare(now); holds != g.usesShare {
@@ -131,47 +132,48 @@
 	g.finishProposals()
 }
 
-// setShare has the module use this ingress's share of joint budgets, or not.
-func (g *controlGroup) setShare(holds bool, tell func(admission.Event)) {
+// setShare tells the module, through enqueue, whether to use this ingress's share of joint budgets.
+func (g *controlGroup) setShare(holds bool, enqueue func(admission.Event)) {
 	if holds == g.usesShare {
 		return
 	}
 	g.usesShare = holds
 	ev := admission.FleetChanged{IsUncertain: !holds}
-	tell(ev)
+	enqueue(ev)
 	g.d.log.Info("share of joint budgets", "settled", holds, "counted_out", fmt.Sprint(ev.Absent))
 }
 
-// logLease logs each change of the lease's state.
+// logLease logs each change in the state of the settings lease.
 func (g *controlGroup) logLease(now time.Duration) {
 	state := g.member.LeaseState(now)
 	if state == g.loggedLease {
 		return
 	}
 	g.loggedLease = state
-	level := g.d.log.Info
+	logAtLevel := g.d.log.Info
 	if state != controlgroup.LeaseHeld {
-		level = g.d.log.Warn
+		logAtLevel = g.d.log.Warn
 	}
-	level("control lease", "state", state.String(), "term", g.member.Term(), "version", g.newestSettings())
+	logAtLevel("control lease", "state", state.String(), "term", g.member.Term(), "version", g.newestSettings())
 }
 
-// newestSettings is the number of the newest version of the settings that is acted on, 0: they have none.
+// newestSettings returns the number of the newest active version of the settings. 0: they have none.
 func (g *controlGroup) newestSettings() uint64 { return g.d.settingsVersions().NewestVersion }
 
-// releaseShareAndLeases gives up this process's share and then its leases, so that the next process of this ingress gets
-// them at once. Done is called when the group can know; nil: nobody waits.
+// releaseShareAndLeases stops using this process's share and then releases its leases, so that the next process of this
+// ingress gets them at once. done is called once the group knows, or after a limit; it may be nil.
 func (d *Daemon) releaseShareAndLeases(done func()) {
 	if g := d.controlGroup; g != nil {
 		g.setShare(false, d.core.Enqueue)
-		for d.core.HasPendingEvents() { // the module is to know before the group does
+		for d.core.HasPendingEvents() { // the module must stop using the share before the group grants it to another process
 			d.core.Turn(d.loop.Now())
 		}
 	}
 	d.releaseLeases(done)
 }
 
-// releaseLeases gives up the leases of a process that uses its share no more.
+// releaseLeases releases the leases of a process that no longer uses its share. done is called once the group knows, or
+// after a limit; it may be nil.
 func (d *Daemon) releaseLeases(done func()) {
 	g := d.controlGroup
 	if g == nil {
@@ -186,7 +188,8 @@
 	g.client.GiveUp(done)
 }
 
-// suspendControlGroup gives up for a successor, and remembers what to go on with should that one fail.
+// suspendControlGroup releases share and leases for a successor, and saves the state of the agreement in case this
+// process takes its place back.
 func (d *Daemon) suspendControlGroup() {
 	if d.controlGroup == nil {
 		return
@@ -199,7 +202,8 @@
 	d.agreement = nil
 }
 
-// usesShare tells whether this ingress takes its share of joint budgets.
+// usesShare reports whether this ingress uses its share of joint budgets. It is always false if there is neither a
+// control group nor membership.
 func (d *Daemon) usesShare(now time.Duration) bool {
 	switch {
 	case d.controlGroup != nil:
@@ -210,16 +214,16 @@
 	return false
 }
 
-// ControlGroupStatus is what the status tells of the control group.
+// ControlGroupStatus is the part of Status about the control group.
 type ControlGroupStatus struct {
-	Replica         string `json:"replica"` // that is connected; empty: none
-	SettingsLease   string `json:"lease"`   // state of the settings lease
-	HoldsShareLease bool   `json:"share"`   // the share lease is held
-	Term            uint64 `json:"term"`    // of the leader that granted last
-	SettingsVersion uint64 `json:"version"` // newest of the settings acted on; 0: they have none
+	Replica         string `json:"replica"` // address of the connected replica; empty: none
+	SettingsLease   string `json:"lease"`   // state, as controlgroup.LeaseState names it
+	HoldsShareLease bool   `json:"share"`
+	Term            uint64 `json:"term"`    // of the leader that answered last; 0: none yet
+	SettingsVersion uint64 `json:"version"` // newest active version of the settings; 0: they have none
 }
 
-// controlGroupStatus is nil without a control group.
+// controlGroupStatus returns the state of the control group, or nil without one.
 func (d *Daemon) controlGroupStatus() *ControlGroupStatus {
 	g, now := d.controlGroup, d.loop.Now()
 	if g == nil {
@@ -229,7 +233,7 @@
 		HoldsShareLease: g.member.HoldsShare(now), Term: g.member.Term(), SettingsVersion: g.newestSettings()}
 }
 
-// metrics are those that stand at the control group.
+// metrics returns the metrics of the control group.
 func (g *controlGroup) metrics(now time.Duration) figures.ControlGroup {
 	counts := g.client.Counts()
 	return figures.ControlGroup{IsConnected: g.client.Replica() != "", HoldsSettingsLease: g.member.LeaseState(now) == controlgroup.LeaseHeld,
@@ -237,8 +241,9 @@
 		BytesReceived: counts.Received}
 }
 
-// proposeFileVersions proposes the versions of this ingress's files once, where the group has none of a document or an older one: so the
-// first files of a fleet come in force, and one that was changed while its ingress was down counts as one read by SIGHUP.
+// proposeFileVersions proposes the versions of this ingress's file, once, for each document of which the group has no
+// version or an older one. So the first files of a fleet come into force, and a file that was changed while its ingress
+// was down counts like one reloaded by SIGHUP.
 func (g *controlGroup) proposeFileVersions() {
 	if g.hasProposedFiles {
 		return
--- a/internal/daemon/controlsource.go
+++ b/internal/daemon/controlsource.go
@@ -11,74 +11,74 @@
 	"ferryfront.example/ferryfront/internal/versions"
 )
 
-// controlSource is one document of the control group as a source of versions: what it is offered it proposes, and acts
-// on once that is in force.
+// controlSource is a versionSource for one document of the control group. Versions that it is offered are proposed to
+// the group, and are applied once they are in force.
 type controlSource struct {
 	group    *controlGroup
 	document string
 }
 
-// proposalKey names one that the group has not answered.
+// proposalKey identifies a proposal.
 type proposalKey struct {
 	document string
 	version  versions.Version
 }
 
-// pendingProposal are told what became of a proposal.
+// pendingProposal is a proposal without an outcome.
 type pendingProposal struct {
 	doc       versions.Doc
-	callbacks []func(error)
+	callbacks []func(error) // called with the outcome
 	timeout   *loop.Timer
 }
 
-// proposalRetryDelay is how long after such an answer a version is proposed once more.
+// proposalRetryDelay is the time after which a version is proposed again to a group that was unavailable.
 const proposalRetryDelay = 200 * time.Millisecond
 
-// Ends of proposals that the group has not answered.
+// Outcomes of proposals that the group has not answered. The group may have accepted the version all the same.
 var (
-	errNoReplica      = errors.New("no replica of the control group is connected; the version may still come in force")
-	errNoAnswer       = errors.New("the control group has not answered; the version may still come in force")
-	errLeasesReleased = errors.New("this process gives up its part in the control group; the version may still come in force")
+	errNoReplica      = errors.New("no replica of the control group is connected; the version may still come into force")
+	errNoAnswer       = errors.New("the control group has not answered in time; the version may still come into force")
+	errLeasesReleased = errors.New("this process has left the control group; the version may still come into force")
 )
 
-// Document names it.
+// Document returns the name of the document.
 func (s controlSource) Document() string { return s.document }
 
-// Acting returns the versions to act on.
+// Acting returns the active versions, oldest first.
 func (s controlSource) Acting() []versions.Doc { return s.group.member.Acting(s.document) }
 
-// Newest returns the last of them.
+// Newest returns the newest active version, or number 0 if there is none.
 func (s controlSource) Newest() versions.Doc {
-	acting := s.Acting()
-	if len(acting) == 0 {
+	active := s.Acting()
+	if len(active) == 0 {
 		return versions.Doc{}
 	}
-	return acting[len(acting)-1]
+	return active[len(active)-1]
 }
 
-// Changed tells, once, whether these are others than when it was last asked.
+// Changed reports whether the active versions have changed since its last call.
 func (s controlSource) Changed() bool { return s.group.member.Changed(s.document) }
 
-// Refused tells which versions in force can't be acted on here, with the reason.
+// Refused returns the versions in force that this ingress rejected, each with the reason.
 func (s controlSource) Refused() map[versions.Version]string {
-	refused := map[versions.Version]string{}
+	rejected := map[versions.Version]string{}
 	for _, r := range s.group.member.Rejected() {
 		if r.Document == s.document {
-			refused[r.Version] = r.Reason
+			rejected[r.Version] = r.Reason
 		}
 	}
-	return refused
+	return rejected
 }
 
-// Stale returns nobody: only the group knows what other members act on.
+// Stale returns nil: only the group knows which versions other members apply.
 func (s controlSource) Stale() []string { return nil }
 
-// Alone tells whether the settings lease is not held.
+// Alone reports whether this ingress does not hold the settings lease.
 func (s controlSource) Alone(now time.Duration) bool {
 	return s.group.member.LeaseState(now) != controlgroup.LeaseHeld
 }
 
-// Admissible tells what can be known here of why a version would be turned down.
+// Admissible returns why the group or this ingress would reject a version, as far as this ingress can tell.
 func (s controlSource) Admissible(doc versions.Doc) error {
 	switch {
 	case doc.Version == s.Newest().Version:
@@ -89,8 +89,8 @@
 	return s.group.d.checkDocument(s.document, doc.Text)
 }
 
-// Offer proposes a version to the group, as soon as a replica is connected. Done is called when the group has answered,
-// or after a limit.
+// Offer proposes a version to the group as soon as a replica is connected. done is called with the group's answer, or
+// with an error after ControlProposalTimeout.
 func (s controlSource) Offer(doc versions.Doc, done func(error)) {
 	if doc.Version == s.Newest().Version {
 		done(nil)
@@ -99,6 +99,7 @@
 	s.propose(doc, done)
 }
 
+// propose proposes a version. A version that is already proposed gets a further callback and its timeout begins again.
 func (s controlSource) propose(doc versions.Doc, done func(error)) {
 	g := s.group
 	messages, err := g.member.Propose(s.document, doc, g.d.loop.Now())
@@ -106,19 +107,19 @@
 		done(err)
 		return
 	}
-	p := proposalKey{s.document, doc.Version}
-	w := g.pending[p]
-	if w == nil {
-		w = &pendingProposal{doc: doc}
-		g.pending[p] = w
+	key := proposalKey{s.document, doc.Version}
+	proposal := g.pending[key]
+	if proposal == nil {
+		proposal = &pendingProposal{doc: doc}
+		g.pending[key] = proposal
 	}
-	w.timeout.Stop()
-	w.timeout = g.d.loop.After(g.d.cfg.Limits.ControlProposalTimeout, func() { g.finishProposal(p, g.timeoutError()) })
-	w.callbacks = append(w.callbacks, done)
+	proposal.timeout.Stop()
+	proposal.timeout = g.d.loop.After(g.d.cfg.Limits.ControlProposalTimeout, func() { g.finishProposal(key, g.timeoutError()) })
+	proposal.callbacks = append(proposal.callbacks, done)
 	g.client.Send(messages)
 }
 
-// timeoutError tells why the group has not answered in time.
+// timeoutError returns the likely reason that the group has not answered in time.
 func (g *controlGroup) timeoutError() error {
 	if g.client.Replica() == "" {
 		return errNoReplica
@@ -126,50 +127,51 @@
 	return errNoAnswer
 }
 
-// finishProposals tells who waits what the group has answered.
+// finishProposals handles the group's answers to proposals. A group that is unavailable is asked again.
 func (g *controlGroup) finishProposals() {
 	for _, outcome := range g.member.Outcomes() {
-		p := proposalKey{outcome.Document, outcome.Version}
+		key := proposalKey{outcome.Document, outcome.Version}
 		switch {
 		case strings.HasPrefix(outcome.Error, controlgroup.Unavailable):
-			g.d.loop.After(proposalRetryDelay, func() { g.retryProposal(p) })
+			g.d.loop.After(proposalRetryDelay, func() { g.retryProposal(key) })
 		case outcome.Error != "":
-			g.finishProposal(p, errors.New(outcome.Error))
+			g.finishProposal(key, errors.New(outcome.Error))
 		default:
-			g.finishProposal(p, nil)
+			g.finishProposal(key, nil)
 		}
 	}
 }
 
-// retryProposal proposes a version once more, as long as somebody waits for it.
-func (g *controlGroup) retryProposal(p proposalKey) {
-	w := g.pending[p]
-	if w == nil {
+// retryProposal proposes a version again, unless its proposal has an outcome or has timed out.
+func (g *controlGroup) retryProposal(key proposalKey) {
+	proposal := g.pending[key]
+	if proposal == nil {
 		return
 	}
-	messages, err := g.member.Propose(p.document, w.doc, g.d.loop.Now())
+	messages, err := g.member.Propose(key.document, proposal.doc, g.d.loop.Now())
 	if err != nil {
-		g.finishProposal(p, err)
+		g.finishProposal(key, err)
 		return
 	}
 	g.client.Send(messages)
 }
 
-func (g *controlGroup) finishProposal(p proposalKey, err error) {
-	w := g.pending[p]
-	if w == nil {
+// finishProposal removes a proposal and calls its callbacks with the outcome.
+func (g *controlGroup) finishProposal(key proposalKey, err error) {
+	proposal := g.pending[key]
+	if proposal == nil {
 		return
 	}
-	delete(g.pending, p)
-	w.timeout.Stop()
-	for _, done := range w.callbacks {
+	delete(g.pending, key)
+	proposal.timeout.Stop()
+	for _, done := range proposal.callbacks {
 		done(err)
 	}
 }
 
-// failProposals ends all that have no answer yet.
+// failProposals ends all pending proposals with an error.
 func (g *controlGroup) failProposals(err error) {
-	for p := range g.pending {
-		g.finishProposal(p, err)
+	for key := range g.pending {
+		g.finishProposal(key, err)
 	}
 }
--- a/internal/daemon/embedded.go
+++ b/internal/daemon/embedded.go
@@ -6,35 +6,37 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Embedded is one daemon among several of a process, as a test of a large fleet runs them. The runtime's process-wide
-// bounds are left alone for it, and it can be ended as a crash or the loss of its machine would end it.
+// Embedded controls one of several daemons that share a process, as in a test of a large fleet. Such a daemon leaves the
+// Go runtime's process-wide limits alone, and can be ended as a crash or the loss of its machine would end it. All
+// methods may be called from any goroutine.
 type Embedded struct {
-	// IsReachable tells whether messages to and from another member get through; nil: all do. It is called on the loop.
+	// IsReachable reports whether messages to and from another member are delivered. Nil: all are. It is called on the
+	// loop's goroutine.
 	IsReachable func(member string) bool
 
-	mu              sync.Mutex
+	mu              sync.Mutex    // guards daemon and isStopRequested
 	daemon          *Daemon       // nil before the start and after the end
-	isStopRequested bool          // it is to end, also where it has not begun
-	released        chan struct{} // closed when a machine that was lost gives up its descriptors
+	isStopRequested bool          // the daemon is to end, even if it has not started yet
+	released        chan struct{} // closed when the descriptors may be closed
 }
 
-// NewEmbedded returns one for Options.
-func NewEmbedded(reach func(member string) bool) *Embedded {
-	return &Embedded{IsReachable: reach, released: make(chan struct{})}
+// NewEmbedded returns an Embedded for Options.
+func NewEmbedded(isReachable func(member string) bool) *Embedded {
+	return &Embedded{IsReachable: isReachable, released: make(chan struct{})}
 }
 
-// Kill ends the daemon at once and closes its descriptors, as the system does for a process that is killed. What
-// differs from SIGKILL: it ends at the end of a turn of its loop and not in the middle of one.
+// Kill ends the daemon at once and closes its descriptors, as the system does for a process that is killed. Unlike with
+// SIGKILL, the daemon ends between two turns of its loop and not in the middle of one.
 func (e *Embedded) Kill() {
 	e.stop()
 	e.Release()
 }
 
-// StopSilently ends the daemon at once and leaves its descriptors open until Release, as the loss of a machine or of its
-// network does: peers see no end of any connection, only silence.
+// StopSilently ends the daemon at once and leaves its descriptors open until Release, as when a machine or its network
+// is lost: peers see no connection end and receive nothing.
 func (e *Embedded) StopSilently() { e.stop() }
 
-// Release closes the descriptors that Lose has left open. It may be called more than once.
+// Release lets the descriptors that StopSilently left open be closed. It may be called more than once.
 func (e *Embedded) Release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -45,8 +47,8 @@
 	}
 }
 
-// MessageBytes tells how many bytes of messages between ingresses it has sent and received since its start. ok is false
-// when it does not run or answer.
+// MessageBytes returns the bytes of messages between ingresses that the daemon has sent and received since its start. ok
+// is false if the daemon does not run or does not answer in time.
 func (e *Embedded) MessageBytes() (sent, received uint64, ok bool) {
 	d := e.running()
 	if d == nil {
@@ -66,12 +68,14 @@
 	return a.sent, a.received, a.ok
 }
 
+// running returns the daemon, or nil if it does not run.
 func (e *Embedded) running() *Daemon {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.daemon
 }
 
+// stop ends the daemon, or keeps it from running if it has not started yet.
 func (e *Embedded) stop() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -80,7 +84,7 @@
 	}
 }
 
-// attach is called when the daemon begins to run. It is safe on nil.
+// attach is called when the daemon starts to run. It is safe on nil.
 func (e *Embedded) attach(d *Daemon) {
 	if e == nil {
 		return
@@ -92,7 +96,7 @@
 	}
 }
 
-// detach is called when the loop has ended, and waits until the descriptors may be closed. It is safe on nil.
+// detach is called when the loop has ended. It waits for Release and then closes the loop. It is safe on nil.
 func (e *Embedded) detach(l *loop.Loop) {
 	if e == nil {
 		return
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -7,20 +7,21 @@
 	"ferryfront.example/ferryfront/internal/versions"
 )
 
-// gossip has members agree on versions by the messages between them: a node for each document that the configuration
-// has a version of.
+// gossip lets members agree on versions through messages between them, without a control group. It has a node for each
+// document of which the configuration has a version, and belongs to the loop's goroutine.
 type gossip struct {
 	nodes       []*versions.Node
-	viewVersion uint64 // version of the view that the nodes were last given
+	viewVersion uint64 // of the membership view that the nodes were last given
 }
 
-// gossipSource is a node as a source of versions: what it is offered it acts on at once, beside what it acted on before.
+// gossipSource is a versionSource for one document of the gossip. A version that it is offered becomes active at once,
+// together with those that were active before.
 type gossipSource struct {
 	*versions.Node
 	d *Daemon
 }
 
-// Admissible tells whether a further version would have to wait for others.
+// Admissible returns an error if too many versions are active for another one to join them.
 func (s gossipSource) Admissible(doc versions.Doc) error {
 	if s.Full() && doc.Version != s.Newest().Version {
 		return versions.ErrRollouts
@@ -28,42 +29,45 @@
 	return nil
 }
 
-// Offer acts on a version, and gives it to the others.
+// Offer makes a version active and sends it to the other members. It calls done before it returns.
 func (s gossipSource) Offer(doc versions.Doc, done func(error)) {
-	out, err := s.Node.Offer(doc, s.d.loop.Now())
+	messages, err := s.Node.Offer(doc, s.d.loop.Now())
 	if err == nil {
-		s.d.sendGossip(out)
+		s.d.sendGossip(messages)
 	}
 	done(err)
 }
 
-// openGossip begins with the versions of the file.
+// openGossip starts the agreement on versions with those of the configuration file. Without any there is no gossip.
 func (d *Daemon) openGossip(now time.Duration) {
-	set, drained := fileDocuments(d.cfg)
-	if set.Number == 0 && drained.Number == 0 {
+	settingsDoc, drainedDoc := fileDocuments(d.cfg)
+	if settingsDoc.Number == 0 && drainedDoc.Number == 0 {
 		return
 	}
 	d.members.gossip = &gossip{}
 	d.agreement = &agreement{loggedVersions: map[string][]versions.Version{}}
-	if set.Number != 0 {
-		d.agreement.settings = d.newGossipSource(settingsDocument, set, d.checkSettings, now)
+	if settingsDoc.Number != 0 {
+		d.agreement.settings = d.newGossipSource(settingsDocument, settingsDoc, d.checkSettings, now)
 	}
-	if drained.Number != 0 {
-		d.agreement.drained = d.newGossipSource(drainedDocument, drained, checkDrained, now)
+	if drainedDoc.Number != 0 {
+		d.agreement.drained = d.newGossipSource(drainedDocument, drainedDoc, checkDrained, now)
 	}
 }
 
+// newGossipSource creates the node of a document and its source.
+
 func (d *Daemon) newGossipSource(document string, first versions.Doc, check func([]byte) error, now time.Duration) gossipSource {
-	cfg, lim, me := d.cfg, d.cfg.Limits, d.members.self
-	node := versions.New(versions.Config{Me: me, Doc: document, Seed: cfg.Seed + uint64(cfg.Settings.Index),
-		Period: lim.MemberProbeInterval, AskAgain: lim.MemberAckTimeout, Check: check, TextMost: maxDocumentBytes,
-		Lease:     time.Duration(cfg.Settings.Gateways+1) * lim.MemberProbeInterval,
-		PieceMost: membership.Datagram - versions.Overhead - len(document) - len(me)}, first, now)
+	cfg, bounds, self := d.cfg, d.cfg.Limits, d.members.self
+	node := versions.New(versions.Config{Me: self, Doc: document, Seed: cfg.Seed + uint64(cfg.Settings.Index),
+		Period: bounds.MemberProbeInterval, AskAgain: bounds.MemberAckTimeout, Check: check, TextMost: maxDocumentBytes,
+		Lease:     time.Duration(cfg.Settings.Gateways+1) * bounds.MemberProbeInterval,
+		PieceMost: membership.Datagram - versions.Overhead - len(document) - len(self)}, first, now)
 	d.members.gossip.nodes = append(d.members.gossip.nodes, node)
 	return gossipSource{node, d}
 }
 
-// receiveGossip takes a message of another member.
+// receiveGossip handles a message of another member and applies the versions that become active. It fails if the message
+// can't be parsed or its sender is not who it says.
 func (d *Daemon) receiveGossip(b []byte) error {
 	msg, err := versions.Parse(b)
 	if err != nil {
@@ -83,34 +87,36 @@
 	return nil
 }
 
-func (d *Daemon) sendGossip(out []versions.Send) {
-	for _, s := range out {
-		d.members.Send(s.To, versions.Append(nil, s.Msg))
+// sendGossip sends messages to other members.
+func (d *Daemon) sendGossip(messages []versions.Send) {
+	for _, message := range messages {
+		d.members.Send(message.To, versions.Append(nil, message.Msg))
 	}
 }
 
-// tickGossip lets time pass. Others that take part are all that have not left.
+// tickGossip advances the nodes' time and applies the versions that become active. The nodes agree with all members that
+// have not left.
 func (d *Daemon) tickGossip(now time.Duration) {
 	g := d.members.gossip
-	if v := d.members.Node().View(); v.Version != g.viewVersion {
-		g.viewVersion = v.Version
+	if view := d.members.Node().View(); view.Version != g.viewVersion {
+		g.viewVersion = view.Version
 		var others []string
-		for _, o := range v.Members {
-			if o.Name != d.members.self && o.State != membership.Left {
-				others = append(others, o.Name)
+		for _, member := range view.Members {
+			if member.Name != d.members.self && member.State != membership.Left {
+				others = append(others, member.Name)
 			}
 		}
-		for _, n := range g.nodes {
-			d.sendGossip(n.Fleet(others, now))
+		for _, node := range g.nodes {
+			d.sendGossip(node.Fleet(others, now))
 		}
 	}
-	ready, alone := true, false
-	for _, n := range g.nodes {
-		d.sendGossip(n.Tick(now))
-		ready, alone = ready && n.Ready(now), alone || n.Alone(now)
+	isReady, isAlone := true, false
+	for _, node := range g.nodes {
+		d.sendGossip(node.Tick(now))
+		isReady, isAlone = isReady && node.Ready(now), isAlone || node.Alone(now)
 	}
-	if !d.agreement.isReady && ready {
-		d.markVersionsKnown(alone)
+	if !d.agreement.isReady && isReady {
+		d.markVersionsKnown(isAlone)
 	}
 	d.applyVersions()
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -14,37 +14,39 @@
 	"ferryfront.example/ferryfront/internal/versions"
 )
 
-// members is the daemon's part in the membership: members are named by their numbers among the settings' gateways,
-// and what of joint budgets is ours goes to the module as one event when it changes.
+// members is the daemon's part in the membership protocol. A member's name is its number among the ingresses of the
+// settings. When this ingress's share of joint budgets changes, the module is told by one event. It belongs to the
+// loop's goroutine.
 type members struct {
 	*peers.Transport
-	self          string
-	gossip        *gossip // nil where no versions are agreed on by it
-	reportedShare admission.FleetChanged
-	loggedStates  map[string]membership.State // as last logged,
-	loggedView    uint64                      // in this version of the view
+	self          string                      // name of this ingress
+	gossip        *gossip                     // nil: no versions are agreed on by gossip
+	reportedShare admission.FleetChanged      // as the module was last told
+	loggedStates  map[string]membership.State // by member, as last logged
+	loggedView    uint64                      // version of the view that was last logged
 }
 
-// joinMembership joins the others, where the program's settings say so.
+// joinMembership joins the membership, if the options enable it. It fails if the configuration lacks an address that the
+// membership needs, or this ingress's own address can't be opened.
 func (d *Daemon) joinMembership() error {
-	cfg, lim := d.cfg, d.cfg.Limits
+	cfg, bounds := d.cfg, d.cfg.Limits
 	switch {
 	case !d.options.HasMembership || d.members != nil:
 		return nil
 	case cfg.PeerListen == "":
-		return errors.New("peer_listen is missing, and membership is enabled")
+		return errors.New("peer_listen is missing, but membership is enabled")
 	case len(cfg.Peers) < cfg.Settings.Gateways:
-		return fmt.Errorf("peers holds %d addresses, and there are %d ingresses", len(cfg.Peers), cfg.Settings.Gateways)
+		return fmt.Errorf("peers has %d addresses, but there are %d ingresses", len(cfg.Peers), cfg.Settings.Gateways)
 	}
-	me, now := cfg.Settings.Index, d.loop.Now()
-	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, TickInterval: lim.MemberAckTimeout / 4, OnChange: d.handleMembershipChange,
+	self, now := cfg.Settings.Index, d.loop.Now()
+	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, TickInterval: bounds.MemberAckTimeout / 4, OnChange: d.handleMembershipChange,
 		AppPrefix: versions.Mark, OnAppMessage: d.receiveGossip}
 	if d.options.Embedded != nil {
 		c.IsReachable = d.options.Embedded.IsReachable
 	}
 	var roster []string
 	for i, addr := range cfg.Peers {
-		if i == me || addr == "" {
+		if i == self || addr == "" {
 			continue
 		}
 		c.Addrs[strconv.Itoa(i)] = addr
@@ -52,18 +54,18 @@
 			roster = append(roster, strconv.Itoa(i))
 		}
 	}
-	// A later life must have the higher incarnation; where the clock was set back, the others' word raises it.
-	node := membership.New(membership.Config{Me: strconv.Itoa(me), Incarnation: uint64(max(1, time.Now().UnixMilli())),
-		Seed: cfg.Seed + uint64(me), Period: lim.MemberProbeInterval, AckWithin: lim.MemberAckTimeout, SuspectFor: lim.MemberSuspicionTimeout,
-		// Whoever asks for an upgrade is turned down while this process is not settled; a process that the platform
-		// starts beside another can't be.
+	// A later process must have the higher incarnation. If the clock was set back, the other members' messages raise it.
+	node := membership.New(membership.Config{Me: strconv.Itoa(self), Incarnation: uint64(max(1, time.Now().UnixMilli())),
+		Seed: cfg.Seed + uint64(self), Period: bounds.MemberProbeInterval, AckWithin: bounds.MemberAckTimeout, SuspectFor: bounds.MemberSuspicionTimeout,
+		// The predecessor of an upgrade is known to be settled, since an upgrade is refused until then. A replacement that
+		// the platform starts can't be refused, so its predecessor may be unsettled.
 		Assured: d.asSuccessor != nil && !d.isReplacement,
-		Helpers: lim.MemberIndirectProbes, Carry: lim.MemberUpdatesPerMessage, Least: cfg.Settings.Gateways}, now)
+		Helpers: bounds.MemberIndirectProbes, Carry: bounds.MemberUpdatesPerMessage, Least: cfg.Settings.Gateways}, now)
 	node.Roster(roster, now)
-	m := &members{self: strconv.Itoa(me), loggedStates: map[string]membership.State{}}
+	m := &members{self: strconv.Itoa(self), loggedStates: map[string]membership.State{}}
 	d.members = m
 	var err error
-	if m.Transport, err = peers.Open(d.loop, lim, d.log, node, c); err != nil {
+	if m.Transport, err = peers.Open(d.loop, bounds, d.log, node, c); err != nil {
 		d.members = nil
 		return err
 	}
@@ -74,7 +76,8 @@
 	return nil
 }
 
-// rejoinMembership is for a process that takes another's place: it serves whether or not it can talk.
+// rejoinMembership joins the membership in a process that takes over or takes its place back. If that fails, the process
+// serves without a share of joint budgets.
 func (d *Daemon) rejoinMembership() {
 	if err := d.joinMembership(); err != nil {
 		d.log.Error("membership not joined", "error", err)
@@ -82,7 +85,7 @@
 	}
 }
 
-// closeMembership says and hears no more.
+// closeMembership stops sending and receiving membership messages, without telling the other members.
 func (d *Daemon) closeMembership() {
 	if d.members != nil {
 		if d.members.gossip != nil {
@@ -93,7 +96,8 @@
 	}
 }
 
-// handleMembershipChange tells the module of a change in what is ours, and the operator of each member's change of state.
+// handleMembershipChange updates this ingress's share of joint budgets after a change in the view or a tick, and logs
+// each change of a member's state.
 func (d *Daemon) handleMembershipChange(now time.Duration) {
 	m := d.members
 	if m == nil || m.Transport == nil {
@@ -102,7 +106,7 @@
 	if m.gossip != nil {
 		d.tickGossip(now)
 	}
-	if len(d.options.ControlReplicas) == 0 { // else the group grants the share
+	if len(d.options.ControlReplicas) == 0 { // otherwise the control group grants the share
 		d.updateShare(now)
 	}
 	view := m.Node().View()
@@ -110,15 +114,15 @@
 		return
 	}
 	m.loggedView = view.Version
-	for _, o := range view.Members {
-		if was := m.loggedStates[o.Name]; was != o.State {
-			m.loggedStates[o.Name] = o.State
-			d.log.Info("member", "member", o.Name, "state", o.State.String(), "was", was.String(), "incarnation", o.Incarnation)
+	for _, member := range view.Members {
+		if previous := m.loggedStates[member.Name]; previous != member.State {
+			m.loggedStates[member.Name] = member.State
+			d.log.Info("member", "member", member.Name, "state", member.State.String(), "was", previous.String(), "incarnation", member.Incarnation)
 		}
 	}
 }
 
-// updateShare tells the module of a change in who shares joint budgets, by the view of the membership.
+// updateShare tells the module if the membership has changed who shares joint budgets.
 func (d *Daemon) updateShare(now time.Duration) {
 	m := d.members
 	ev := admission.FleetChanged{IsUncertain: !m.Node().Settled(now)}
@@ -134,55 +138,56 @@
 	}
 }
 
-// membershipMetrics is what the admin endpoint tells.
+// membershipMetrics returns the metrics of the membership.
 func (d *Daemon) membershipMetrics(now time.Duration) figures.Membership {
 	m := d.members
-	v, c := m.Node().View(), m.Counts()
-	f := figures.Membership{ViewVersion: v.Version, AbsentMembers: len(m.reportedShare.Absent), IsSettled: d.usesShare(now), MessagesSent: c.Sent, MessagesReceived: c.Received,
-		MessagesDropped: c.Dropped}
-	for _, s := range membership.States {
-		f.States = append(f.States, figures.StateCount{Name: s.String(), Members: v.Count(s)})
+	view, counts := m.Node().View(), m.Counts()
+	metrics := figures.Membership{ViewVersion: view.Version, AbsentMembers: len(m.reportedShare.Absent), IsSettled: d.usesShare(now), MessagesSent: counts.Sent, MessagesReceived: counts.Received,
+		MessagesDropped: counts.Dropped}
+	for _, state := range membership.States {
+		metrics.States = append(metrics.States, figures.StateCount{Name: state.String(), Members: view.Count(state)})
 	}
-	return f
+	return metrics
 }
 
-// membershipStatus fills in what the control socket tells.
-func (d *Daemon) membershipStatus(to MembershipStatus) MembershipStatus {
-	to.Name = d.cfg.Name
+// membershipStatus fills in and returns the answer to the command "members".
+func (d *Daemon) membershipStatus(status MembershipStatus) MembershipStatus {
+	status.Name = d.cfg.Name
 	if s := d.settingsSource(); s != nil {
 		for _, doc := range s.Acting() {
-			to.ActiveVersions = append(to.ActiveVersions, doc.Number)
+			status.ActiveVersions = append(status.ActiveVersions, doc.Number)
 		}
-		to.StaleMembers, to.IsCutOff = append(to.StaleMembers, s.Stale()...), s.Alone(d.loop.Now())
-		for v, why := range s.Refused() {
-			to.RejectedVersions = append(to.RejectedVersions, fmt.Sprintf("%v: %s", v, why))
+		status.StaleMembers, status.IsCutOff = append(status.StaleMembers, s.Stale()...), s.Alone(d.loop.Now())
+		for version, reason := range s.Refused() {
+			status.RejectedVersions = append(status.RejectedVersions, fmt.Sprintf("%v: %s", version, reason))
 		}
 	}
 	if d.drainedSource() != nil {
-		to.DrainedHosts = append(to.DrainedHosts, d.agreement.drainedHosts()...)
+		status.DrainedHosts = append(status.DrainedHosts, d.agreement.drainedHosts()...)
 	}
-	to.IsSettled = d.usesShare(d.loop.Now())
+	status.IsSettled = d.usesShare(d.loop.Now())
 	m := d.members
 	if m == nil {
-		return to
+		return status
 	}
-	v, c := m.Node().View(), m.Counts()
-	to.IsEnabled, to.ViewVersion = true, v.Version
-	to.AbsentMembers, to.MessagesSent, to.MessagesReceived, to.MessagesDropped = append(to.AbsentMembers, m.reportedShare.Absent...), c.Sent, c.Received, c.Dropped
-	to.BytesSent, to.BytesReceived = c.SentBytes, c.ReceivedBytes
-	for _, o := range v.Members {
-		to.Members = append(to.Members, MemberStatus{Name: o.Name, State: o.State.String(), Incarnation: o.Incarnation})
+	view, counts := m.Node().View(), m.Counts()
+	status.IsEnabled, status.ViewVersion = true, view.Version
+	status.AbsentMembers, status.MessagesSent, status.MessagesReceived, status.MessagesDropped = append(status.AbsentMembers, m.reportedShare.Absent...), counts.Sent, counts.Received, counts.Dropped
+	status.BytesSent, status.BytesReceived = counts.SentBytes, counts.ReceivedBytes
+	for _, member := range view.Members {
+		status.Members = append(status.Members, MemberStatus{Name: member.Name, State: member.State.String(), Incarnation: member.Incarnation})
 	}
-	return to
+	return status
 }
 
-// Leaving says so this often, so far apart: each time some hear it, and they tell the others.
+// A leave is announced leaveRepeats times, leaveInterval apart. Each time it reaches some members, which pass it on.
 const (
 	leaveRepeats  = 5
 	leaveInterval = 60 * time.Millisecond
 )
 
-// leave begins a planned end that is for good: the others share what was ours.
+// leave begins a drain after which this ingress leaves the membership, so that the others take over its share. It
+// returns why it can't, or nothing.
 func (d *Daemon) leave() string {
 	switch {
 	case d.members == nil:
@@ -195,14 +200,15 @@
 	return ""
 }
 
-// forceLeave has a member that is dead here be left for all, as an operator knows it to be.
+// forceLeave makes all members consider a member left, on the word of an operator who knows that it is permanently
+// dead. It returns why it can't, or nothing: the member must be dead in this ingress's view.
 func (d *Daemon) forceLeave(name string) string {
 	m := d.members
 	if m == nil {
 		return "membership is not enabled"
 	}
-	for _, o := range m.Node().View().Members {
-		if o.Name == name && o.State == membership.Dead {
+	for _, member := range m.Node().View().Members {
+		if member.Name == name && member.State == membership.Dead {
 			m.ForceLeave(name)
 			d.handleMembershipChange(d.loop.Now())
 			return ""
@@ -211,15 +217,16 @@
 	return fmt.Sprintf("member %s is not dead here", name)
 }
 
-// announceLeave tells the others, once nothing is open here any more, and then goes on to the end.
-func (d *Daemon) announceLeave(end func()) {
+// announceLeave tells the other members that this one has left, if a leave was asked for, and then calls done. It is
+// called once the drain is complete.
+func (d *Daemon) announceLeave(done func()) {
 	if !d.isLeavingMembership || d.members == nil {
-		end()
+		done()
 		return
 	}
 	d.log.Info("left")
 	for i := range leaveRepeats {
 		d.loop.After(time.Duration(i)*leaveInterval, d.members.Leave)
 	}
-	d.loop.After(leaveRepeats*leaveInterval, end)
+	d.loop.After(leaveRepeats*leaveInterval, done)
 }
