--- a/internal/daemon/agreement.go
+++ b/internal/daemon/agreement.go
@@ -40,8 +40,7 @@
 	// Alone reports whether this ingress is cut off from whoever else decides on versions.
 	Alone(now time.Duration) bool
 
-	// Admissible returns why a version that came to this ingress can't be offered now. Nil: nothing known to this ingress
-	// is against it.
+	// Admissible returns an error if this ingress knows a reason that a version can't be offered now.
 	Admissible(doc versions.Doc) error
 	// Offer proposes a version. done is called once: with nil when the version is in force, else with the reason.
 	Offer(doc versions.Doc, done func(error))
@@ -98,19 +97,19 @@
 	return versions.NewDoc(c.Version, c.Shared), versions.NewDoc(c.DrainedVersion, c.DrainedText())
 }
 
-// checkSettings returns why this ingress can't apply the text of a version of the settings.
+// checkSettings returns an error if this ingress can't apply the text of a version of the settings.
 func (d *Daemon) checkSettings(text []byte) error {
 	_, err := d.loadedConfig.Under(text)
 	return err
 }
 
-// checkDrained returns why the text of a version of the drained list can't be applied.
+// checkDrained returns an error if the text of a version of the drained list can't be applied.
 func checkDrained(text []byte) error {
 	_, err := config.ReadDrained(text)
 	return err
 }
 
-// checkDocument returns why this ingress can't apply the text of a version of a document.
+// checkDocument returns an error if this ingress can't apply the text of a version of a document.
 func (d *Daemon) checkDocument(document string, text []byte) error {
 	switch document {
 	case settingsDocument:
@@ -231,7 +230,8 @@
 	d.log.Info("settings version heard", "alone", isAlone)
 }
 
-// checkNextVersion returns why the version in a file can't replace the one in force. Any can if none is in force.
+// checkNextVersion returns an error if the version in a file can't replace the one in force. Any can if none is in force.
+// field is the version's name in the file.
 func checkNextVersion(field string, inForce, next versions.Doc) error {
 	switch {
 	case inForce.Number == 0:
@@ -245,8 +245,8 @@
 	return nil
 }
 
-// checkFileVersions returns why the versions in a reloaded file can't replace those in force. An older version never
-// replaces a newer one, and a version's content can't change under the same number.
+// checkFileVersions returns an error if the versions in a reloaded file can't replace those in force. An older version
+// never replaces a newer one, and a version's content can't change under the same number.
 func (d *Daemon) checkFileVersions(reloaded config.Config) error {
 	inForce, drainedInForce := fileDocuments(d.loadedConfig)
 	if s := d.settingsSource(); s != nil {
--- a/internal/daemon/controlsource.go
+++ b/internal/daemon/controlsource.go
@@ -78,7 +78,7 @@
 	return s.group.member.LeaseState(now) != controlgroup.LeaseHeld
 }
 
-// Admissible returns why the group or this ingress would reject a version, as far as this ingress can tell.
+// Admissible returns an error if this ingress can tell that the group or the ingress itself would reject a version.
 func (s controlSource) Admissible(doc versions.Doc) error {
 	switch {
 	case doc.Version == s.Newest().Version:
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -67,7 +67,7 @@
 }
 
 // receiveGossip handles a message of another member and applies the versions that become active. It fails if the message
-// can't be parsed or its sender is not who it says.
+// can't be parsed or its sender is not among the peers.
 func (d *Daemon) receiveGossip(b []byte) error {
 	msg, err := versions.Parse(b)
 	if err != nil {
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -57,8 +57,8 @@
 	// A later process must have the higher incarnation. If the clock was set back, the other members' messages raise it.
 	node := membership.New(membership.Config{Me: strconv.Itoa(self), Incarnation: uint64(max(1, time.Now().UnixMilli())),
 		Seed: cfg.Seed + uint64(self), Period: bounds.MemberProbeInterval, AckWithin: bounds.MemberAckTimeout, SuspectFor: bounds.MemberSuspicionTimeout,
-		// The predecessor of an upgrade is known to be settled, since an upgrade is refused until then. A replacement that
-		// the platform starts can't be refused, so its predecessor may be unsettled.
+		// The predecessor of an upgrade was settled: an upgrade is refused until then, unless a control group decides about
+		// the share. A replacement that the platform starts can't be refused, so its predecessor may be unsettled.
 		Assured: d.asSuccessor != nil && !d.isReplacement,
 		Helpers: bounds.MemberIndirectProbes, Carry: bounds.MemberUpdatesPerMessage, Least: cfg.Settings.Gateways}, now)
 	node.Roster(roster, now)
@@ -186,8 +186,8 @@
 	leaveInterval = 60 * time.Millisecond
 )
 
-// leave begins a drain after which this ingress leaves the membership, so that the others take over its share. It
-// returns why it can't, or nothing.
+// leave begins a drain after which this ingress leaves the membership, so that the others take over its share. If it
+// can't, it returns the reason, else an empty string.
 func (d *Daemon) leave() string {
 	switch {
 	case d.members == nil:
@@ -201,7 +201,7 @@
 }
 
 // forceLeave makes all members consider a member left, on the word of an operator who knows that it is permanently
-// dead. It returns why it can't, or nothing: the member must be dead in this ingress's view.
+// dead. The member must be dead in this ingress's view. If it can't, it returns the reason, else an empty string.
 func (d *Daemon) forceLeave(name string) string {
 	m := d.members
 	if m == nil {
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -15,37 +15,42 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Progress is what who asked for an upgrade is told.
+// Progress is a message of the control socket about a command that takes time. An upgrade sends one for each phase and
+// one with the result; other commands, and commands that are refused, send only the result.
 type Progress struct {
-	Text string `json:"text,omitempty"`
-	// Of the last one.
-	IsDone              bool   `json:"done,omitempty"`
+	Text string `json:"text,omitempty"` // name of the phase, or why the command failed
+
+	// The fields below are set in the result only, and those below Pid by an upgrade that succeeded.
+
+	IsDone              bool   `json:"done,omitempty"` // this is the result
 	Succeeded           bool   `json:"ok,omitempty"`
-	Pid                 int    `json:"pid,omitempty"` // of the process that serves now
-	FreezeMicroseconds  int64  `json:"freeze_us,omitempty"`
-	Customers           uint64 `json:"customers,omitempty"`
-	ClientConnections   int    `json:"clients,omitempty"`   // connections handed over
-	UpstreamConnections int    `json:"upstreams,omitempty"` // idle ones handed over
+	Pid                 int    `json:"pid,omitempty"`       // of the process that serves now
+	FreezeMicroseconds  int64  `json:"freeze_us,omitempty"` // for which neither process read from clients
+	Customers           uint64 `json:"customers,omitempty"` // customers whose state was handed over
+	ClientConnections   int    `json:"clients,omitempty"`   // client connections handed over so far
+	UpstreamConnections int    `json:"upstreams,omitempty"` // idle upstream connections handed over so far
 }
 
-// predecessorRole carries out what the old process's machine wants.
+// predecessorRole is a process's side of the handovers to its successors. It carries out the actions of the state
+// machine phase.Old and belongs to the loop's goroutine.
 type predecessorRole struct {
 	d          *Daemon
 	machine    phase.Old
-	phaseTimer *loop.Timer
-	onProgress func(Progress)
+	phaseTimer *loop.Timer    // ends the present phase
+	onProgress func(Progress) // nil: nobody waits for the result
 
-	successor         *successorProcess
-	customersToCopy   []uint64      // of customers still to be copied ahead
-	copyStartedAt     time.Duration // who has asked since then is copied again,
-	activeAtCopyStart []uint64      // as are those of whom something was open then
-	isSnapshotDue     bool          // the snapshot is taken when this turn's events are handled
-	frozenAt          time.Duration
-	result            Progress
+	successor         *successorProcess // nil: there is none
+	customersToCopy   []uint64          // ids of customers still to be copied before the snapshot
+	copyStartedAt     time.Duration     // customers with requests since then are sent again with the snapshot
+	activeAtCopyStart []uint64          // ids of customers with open requests then: they are sent again, too
+	isSnapshotDue     bool              // the snapshot is taken once this turn's events are handled
+	frozenAt          time.Duration     // when this process stopped reading from clients
+	result            Progress          // of the present handover
 }
 
-// upgrade begins one, and tells why it does not.
-func (d *Daemon) upgrade(tell func(Progress)) string {
+// upgrade begins an upgrade: it starts the binary that is at the path of this one now and hands over to it. If it can't,
+// it returns the reason, else an empty string. report is called on the loop with each phase and with the result.
+func (d *Daemon) upgrade(report func(Progress)) string {
 	switch {
 	case d.isTakingOver():
 		return "the upgrade that started this process is not over"
@@ -59,52 +64,56 @@
 		return "the path of the binary is not known"
 	}
 	p := d.asPredecessor
-	p.onProgress, p.result = tell, Progress{}
+	p.onProgress, p.result = report, Progress{}
 	p.machine.Beside = false
 	d.log.Info("upgrade begun", "binary", d.options.UpgradeCommand[0])
 	p.handle(phase.Asked{})
 	return ""
 }
 
+// handle passes an event to the state machine, reports a new phase and carries out the actions.
 func (p *predecessorRole) handle(ev phase.Event) {
-	was := p.machine.State
+	previous := p.machine.State
 	actions := p.machine.Handle(ev)
-	if is := p.machine.State; is != was && is != phase.Idle && is != phase.Over {
-		p.reportProgress(Progress{Text: is.String()})
+	if current := p.machine.State; current != previous && current != phase.Idle && current != phase.Over {
+		p.reportProgress(Progress{Text: current.String()})
 	}
-	for _, a := range actions {
-		p.execute(a)
+	for _, action := range actions {
+		p.execute(action)
 	}
 }
 
+// reportProgress sends a message to whoever asked for the upgrade.
 func (p *predecessorRole) reportProgress(progress Progress) {
 	if p.onProgress != nil {
 		p.onProgress(progress)
 	}
 }
 
+// send sends a message and descriptors to the successor. Without a successor the descriptors are closed.
 func (p *predecessorRole) send(e *pb.Envelope, fds ...int) {
 	if p.successor != nil {
 		p.successor.conn.Send(e, fds...)
 		return
 	}
-	for _, fd := range fds { // a successor that was to end has ended first: there is nobody to go on with it
+	for _, fd := range fds { // a successor that was told to end has ended first: no process is left to take them
 		loop.CloseFD(fd)
 	}
 }
 
-func (p *predecessorRole) execute(a phase.Action) {
+// execute carries out one action of the state machine.
+func (p *predecessorRole) execute(action phase.Action) {
 	d := p.d
-	lim := d.cfg.Limits
-	switch a {
+	bounds := d.cfg.Limits
+	switch action {
 	case phase.Spawn:
-		if !p.machine.Beside { // else it has come by itself
+		if !p.machine.Beside { // otherwise the platform has started the successor
 			p.spawn()
 		}
 	case phase.StartClock:
-		most := map[phase.OldState]time.Duration{phase.Starting: lim.HelloTimeout, phase.Preparing: lim.PrepareTimeout,
-			phase.Copying: lim.CopyTimeout, phase.Frozen: lim.FreezeTimeout, phase.Probation: lim.ProbationPeriod}[p.machine.State]
-		p.phaseTimer = d.loop.After(most, func() { p.handle(phase.TimeUp{}) })
+		timeout := map[phase.OldState]time.Duration{phase.Starting: bounds.HelloTimeout, phase.Preparing: bounds.PrepareTimeout,
+			phase.Copying: bounds.CopyTimeout, phase.Frozen: bounds.FreezeTimeout, phase.Probation: bounds.ProbationPeriod}[p.machine.State]
+		p.phaseTimer = d.loop.After(timeout, func() { p.handle(phase.TimeUp{}) })
 	case phase.StopClock:
 		p.phaseTimer.Stop()
 	case phase.SendWelcome:
@@ -130,10 +139,11 @@
 		if p.successor != nil && p.successor.cmd != nil {
 			_ = p.successor.cmd.Process.Kill() // it may have ended already
 		}
-		if r := p.successor; r != nil && p.machine.Beside { // it begins by itself once it has heard, or sees the end
+		// A replacement restarts without a predecessor once it has read the abort or sees the connection end.
+		if successor := p.successor; successor != nil && p.machine.Beside {
 			p.successor = nil
-			r.conn.WhenDry(r.conn.Close)
-			d.loop.After(lim.DrainFlushPeriod, r.conn.Close)
+			successor.conn.WhenDry(successor.conn.Close)
+			d.loop.After(bounds.DrainFlushPeriod, successor.conn.Close)
 		}
 	case phase.Reclaim:
 		p.reclaim()
@@ -160,12 +170,13 @@
 		d.log.Warn("upgrade failed; this process carries on", "cause", p.machine.Failure)
 		p.reportProgress(Progress{Text: p.machine.Failure, IsDone: true, Pid: os.Getpid()})
 		p.onProgress = nil
-		setMemoryLimit(lim, 1)
+		setMemoryLimit(bounds, 1)
 		p.customersToCopy = nil
 	}
 }
 
-// inheritedConnection reads it: -1 where no other process has started this one.
+// inheritedConnection returns the descriptor of the connection to the predecessor that started this process in an
+// upgrade, as the environment names it, or -1 if none did. It fails if the environment names no valid descriptor.
 func inheritedConnection(getenv func(string) string) (int, error) {
 	text := getenv(handover.Env)
 	if text == "" {
@@ -173,12 +184,13 @@
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 3 {
-		return -1, fmt.Errorf("%s: %q is no descriptor", handover.Env, text)
+		return -1, fmt.Errorf("%s: %q is not an inherited file descriptor", handover.Env, text)
 	}
 	return fd, nil
 }
 
-// copyCustomers sends customers as long as not too much waits, and goes on when all of it is on its way.
+// copyCustomers sends customers until MaxHandoverQueueBytes are queued, and goes on when the queue is empty. The last
+// message is Mark, which the successor answers with CaughtUp.
 func (p *predecessorRole) copyCustomers() {
 	if p.machine.State != phase.Copying {
 		return
@@ -196,20 +208,22 @@
 	p.successor.conn.WhenDry(p.copyCustomers)
 }
 
-// customersPerMessage are put into one message.
+// customersPerMessage is the maximum number of customers in one message.
 const customersPerMessage = 128
 
+// sendCustomers sends the state of customers in one message. Customers that the module has forgotten are left out.
 func (p *predecessorRole) sendCustomers(ids []uint64) {
-	m := &pb.Customers{}
+	message := &pb.Customers{}
 	for _, id := range ids {
 		if c, ok := p.d.module.Customer(id); ok {
-			m.Customers = append(m.Customers, handover.Customer(c))
+			message.Customers = append(message.Customers, handover.Customer(c))
 		}
 	}
-	p.send(&pb.Envelope{Body: &pb.Envelope_Customers{Customers: m}})
+	p.send(&pb.Envelope{Body: &pb.Envelope_Customers{Customers: message}})
 }
 
-// endTurn ends a endTurn of the loop: only then has the module seen all that the core has.
+// endTurn runs at the end of each turn of the loop, when the module has handled all events of the core. Only then can the
+// snapshot be taken, or the process be found empty.
 func (p *predecessorRole) endTurn(now time.Duration) {
 	if p.isSnapshotDue {
 		for p.d.core.HasPendingEvents() {
@@ -225,7 +239,9 @@
 	}
 }
 
-// sendSnapshot sends the state: whoever may have changed since they were copied once more, what is open, the listeners.
+// sendSnapshot sends the state that the successor continues from: once more all customers that may have changed since
+// they were copied, then the module's other state, the open streams, the hosts and the listeners. If the state can't be
+// collected, the handover fails.
 func (p *predecessorRole) sendSnapshot() {
 	d := p.d
 	ids := append(d.module.Customers(p.copyStartedAt), p.activeAtCopyStart...)
@@ -236,8 +252,8 @@
 		ids = ids[n:]
 	}
 	state, err := d.module.State()
-	listeners, lerr := d.server.DuplicateListeners()
-	if err = errors.Join(err, lerr); err != nil {
+	listeners, listenersErr := d.server.DuplicateListeners()
+	if err = errors.Join(err, listenersErr); err != nil {
 		for _, fd := range listeners {
 			loop.CloseFD(fd)
 		}
@@ -245,19 +261,20 @@
 		return
 	}
 	open := d.core.StartHandover(p)
-	list := d.watcher.Current()
-	m := &pb.Snapshot{Gateway: handover.Gateway(state), ClockOffset: int64(d.loop.ClockOffset()), LastStream: open.LastID,
-		ListVersion: list.Version, Hosts: handover.Hosts(list), Listeners: d.server.ListenerAddresses()}
-	m.Streams, m.Keys = handover.Open(open)
-	p.send(&pb.Envelope{Body: &pb.Envelope_Snapshot{Snapshot: m}}, listeners...)
+	hosts := d.watcher.Current()
+	snapshot := &pb.Snapshot{Gateway: handover.Gateway(state), ClockOffset: int64(d.loop.ClockOffset()), LastStream: open.LastID,
+		ListVersion: hosts.Version, Hosts: handover.Hosts(hosts), Listeners: d.server.ListenerAddresses()}
+	snapshot.Streams, snapshot.Keys = handover.Open(open)
+	p.send(&pb.Envelope{Body: &pb.Envelope_Snapshot{Snapshot: snapshot}}, listeners...)
 }
 
-// commit: the new process serves. Our connections follow, each when nothing is owed on it.
+// commit lets the successor serve. This process's connections follow, each once it owes no answer.
 func (p *predecessorRole) commit() {
 	d := p.d
 	d.stopListeningForSuccessor()
-	d.closeMembership()    // the new process goes on under our name
-	if !p.machine.Beside { // else it has an admin endpoint of its own, and ours still tells of this process
+	d.closeMembership() // the successor continues under this member's name
+	// A replacement has an admin endpoint of its own, and this process's goes on to report on this process.
+	if !p.machine.Beside {
 		d.admin.Close()
 		d.admin = nil
 	}
@@ -284,7 +301,8 @@
 	d.options.Notify("MAINPID=" + strconv.Itoa(p.result.Pid))
 }
 
-// reclaim takes the listeners back from a successor that has died.
+// reclaim serves again after the successor has died: this process takes back its listeners, its connections to the
+// counter and its place among the ingresses.
 func (p *predecessorRole) reclaim() {
 	d := p.d
 	d.module.Reclaim(d.loop.Now())
@@ -305,6 +323,8 @@
 	d.log.Error("listeners taken back", "cause", p.machine.Failure)
 }
 
+// sendFarewell tells the successor that nothing is open here any more, and ends the loop once the message is sent, or
+// after DrainFlushPeriod.
 func (p *predecessorRole) sendFarewell() {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Farewell{Farewell: &pb.Farewell{}}})
 	p.d.log.Info("handed over")
@@ -316,17 +336,18 @@
 	p.d.loop.After(p.d.cfg.Limits.DrainFlushPeriod, p.d.loop.Stop)
 }
 
-// AttemptStarted and the two after it make the predecessor the core's witness.
+// AttemptStarted tells the successor that an upstream request of a handed-over stream was sent to a host. With
+// AttemptEnded and StreamDone it implements core.HandoverObserver.
 func (p *predecessorRole) AttemptStarted(stream uint64, host string, at time.Duration) {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Sent{Sent: &pb.Sent{Stream: stream, Host: host, At: int64(at)}}})
 }
 
-// AttemptEnded passes on how an upstream request ended.
+// AttemptEnded tells the successor how an upstream request ended.
 func (p *predecessorRole) AttemptEnded(ev admission.AttemptEnded, at time.Duration) {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Attempt{Attempt: handover.Attempt(ev, at)}})
 }
 
-// StreamDone passes on that a stream is over.
+// StreamDone tells the successor that a stream is over.
 func (p *predecessorRole) StreamDone(stream uint64, at time.Duration) {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Done{Done: &pb.StreamDone{Stream: stream, At: int64(at)}}})
 }
--- a/internal/daemon/replacement.go
+++ b/internal/daemon/replacement.go
@@ -91,12 +91,12 @@
 		loop.CloseFD(fd)
 		return
 	}
-	r := &successorProcess{role: p}
-	if r.conn, err = handover.New(d.loop, d.cfg.Limits, fd, r); err != nil {
+	successor := &successorProcess{role: p}
+	if successor.conn, err = handover.New(d.loop, d.cfg.Limits, fd, successor); err != nil {
 		loop.CloseFD(fd)
 		return
 	}
-	p.successor, p.onProgress, p.result = r, nil, Progress{}
+	p.successor, p.onProgress, p.result = successor, nil, Progress{}
 	p.machine.Beside = true
 	setMemoryLimit(d.cfg.Limits, 2)
 	d.log.Info("replacement begun")
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -16,32 +16,34 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// successorRole carries out what the new process's machine wants.
+// successorRole is a process's side of the handover from its predecessor. It carries out the actions of the state machine
+// phase.New and belongs to the loop's goroutine.
 type successorRole struct {
 	d          *Daemon
 	machine    phase.New
 	conn       *handover.Conn
-	phaseTimer *loop.Timer
+	phaseTimer *loop.Timer // ends the handover if the predecessor takes too long
 
-	welcome        *pb.Welcome
-	listenerFDs    map[string]int // listeners that the old process does not have, by address
-	snapshot       *pb.Snapshot
-	snapshotFDs    []int // that came with it
-	commit         *pb.Commit
-	customerCount  uint64
-	isEndRequested bool // we were told to end
+	welcome        *pb.Welcome    // nil until it has come
+	listenerFDs    map[string]int // descriptors of the listeners by address: opened here, or from the predecessor
+	snapshot       *pb.Snapshot   // nil until it has come
+	snapshotFDs    []int          // descriptors of the listeners that came with the snapshot, in its order
+	commit         *pb.Commit     // nil until it has come
+	customerCount  uint64         // customers whose state was taken over
+	isEndRequested bool           // this process was told to end during the handover
 }
 
-// welcomeTimeout bounds the time until Welcome: limits are known only once the configuration has been read.
+// welcomeTimeout is the maximum time until Welcome comes. It is no configured limit, since the configuration is read only
+// after that.
 const welcomeTimeout = 5 * time.Second
 
-// startAsSuccessor starts as the successor of the process at the other end of a descriptor.
+// startAsSuccessor starts the handover from the predecessor at the other end of a descriptor.
 func (d *Daemon) startAsSuccessor(fd int) error {
-	if err := os.Unsetenv(handover.Env); err != nil { // it is not for processes that this one starts
+	if err := os.Unsetenv(handover.Env); err != nil { // processes that this one starts must not see it
 		return fmt.Errorf("%s: %w", handover.Env, err)
 	}
 	s := &successorRole{d: d, listenerFDs: map[string]int{}}
-	// Only this connection's own bound is needed before the configuration is read.
+	// The configuration is not read yet. Of the limits the connection needs only its own.
 	conn, err := handover.New(d.loop, limits.Limits{MaxHandoverMessageBytes: maxSuccessorMessageBytes}, fd, s)
 	if err != nil {
 		return err
@@ -56,31 +58,36 @@
 	return nil
 }
 
+// maxSuccessorMessageBytes is the maximum size of a message from the predecessor.
 const maxSuccessorMessageBytes = 64 << 20
 
-// handleLatePredecessor ends waiting for a predecessor that somebody else runs. It is not waited for even where only its word could
-// tell whether we serve: should we, after all, it sees our end of the connection closed and serves on.
+// handleLatePredecessor gives up a handover to a replacement after replacementTimeout. It does so even in the state
+// Holding, in which only the predecessor knows whether this process is to serve: if it is, the predecessor sees the
+// connection end and serves on.
 func (s *successorRole) handleLatePredecessor() {
 	if s.machine.Serves() || s.machine.State == phase.Ended {
 		return
 	}
 	s.handle(phase.TimeUp{})
 	if s.machine.State == phase.Holding {
-		s.d.restartStandalone("the old process has said nothing while holding")
+		s.d.restartStandalone("the old process sent no commit in time")
 	}
 }
 
+// send sends a message to the predecessor.
 func (s *successorRole) send(e *pb.Envelope) { s.conn.Send(e) }
 
+// handle passes an event to the state machine and carries out the actions.
 func (s *successorRole) handle(ev phase.Event) {
-	for _, a := range s.machine.Handle(ev) {
-		s.execute(a)
+	for _, action := range s.machine.Handle(ev) {
+		s.execute(action)
 	}
 }
 
-func (s *successorRole) execute(a phase.Action) {
+// execute carries out one action of the state machine.
+func (s *successorRole) execute(action phase.Action) {
 	d := s.d
-	switch a {
+	switch action {
 	case phase.Prepare:
 		s.prepare()
 	case phase.SendPrepared:
@@ -122,7 +129,7 @@
 	}
 }
 
-// Lost: the old process has ended, or can't be understood.
+// Lost handles the end of the connection: the predecessor has ended, or what it sends can't be parsed.
 func (s *successorRole) Lost(err error) {
 	if errors.Is(err, io.EOF) {
 		s.handle(phase.PeerGone{})
@@ -131,17 +138,17 @@
 	s.handle(phase.Garbled{Why: err.Error()})
 }
 
-// Message takes one of the old process's.
+// Message handles a message of the predecessor, and takes over or closes the descriptors that came with it.
 func (s *successorRole) Message(e *pb.Envelope, fds []int) {
 	d := s.d
-	restored := s.snapshot != nil && s.machine.State != phase.Ended
+	isRestored := s.snapshot != nil && s.machine.State != phase.Ended
 	now := d.loop.Now()
 	switch m := e.GetBody().(type) {
 	case *pb.Envelope_Welcome:
 		s.welcome = m.Welcome
 		s.handle(phase.Told{Message: phase.Welcome, Protocol: int(m.Welcome.GetProtocol())})
 	case *pb.Envelope_Customers:
-		if s.machine.State != phase.Waiting || restored {
+		if s.machine.State != phase.Waiting || isRestored {
 			break
 		}
 		for _, c := range m.Customers.GetCustomers() {
@@ -175,19 +182,19 @@
 			fds = nil
 		}
 	case *pb.Envelope_Sent:
-		if restored {
+		if isRestored {
 			at := time.Duration(m.Sent.GetAt())
 			d.module.PredecessorSent(now, m.Sent.GetStream(), m.Sent.GetHost())
 			d.core.PredecessorSent(m.Sent.GetStream(), m.Sent.GetHost(), at)
 		}
 	case *pb.Envelope_Attempt:
-		if restored {
+		if isRestored {
 			ev, at := handover.FromAttempt(m.Attempt)
 			d.module.PredecessorAttemptEnded(now, ev)
 			d.core.PredecessorAttemptEnded(ev.ID, ev.Server, at-ev.Took, ev.Outcome)
 		}
 	case *pb.Envelope_Done:
-		if restored {
+		if isRestored {
 			d.core.Execute(d.module.PredecessorDone(now, m.Done.GetStream()))
 			d.core.PredecessorStreamDone(m.Done.GetStream())
 		}
@@ -201,15 +208,15 @@
 		s.handle(phase.EndAsked{})
 	case *pb.Envelope_Farewell:
 		s.handle(phase.Told{Message: phase.Farewell})
-	default: // of a later version of the protocol's fields, which an earlier one may pass over
+	default: // a message of a later version of the program, which this one may ignore
 	}
-	for _, fd := range fds { // of a message that should have had none
+	for _, fd := range fds { // the message should have carried none, or this process does not serve
 		loop.CloseFD(fd)
 	}
 }
 
-// prepare builds all parts. Listeners of the old process will come; others are opened here, where a failure
-// still costs nothing.
+// prepare builds all parts. The predecessor's listeners come with the snapshot. Other listeners are opened here, where a
+// failure costs no request: the predecessor still serves and carries on.
 func (s *successorRole) prepare() {
 	d := s.d
 	if err := d.assemble(); err != nil {
@@ -217,7 +224,7 @@
 		return
 	}
 	setMemoryLimit(d.cfg.Limits, 2)
-	if d.isReplacement { // its admin endpoint is its own, and tells that it is not ready yet
+	if d.isReplacement { // it has an admin endpoint of its own, which reports that the process is not ready yet
 		if err := d.openAdmin(); err != nil {
 			s.handle(phase.Unfit{Why: err.Error()})
 			return
@@ -248,10 +255,11 @@
 	s.awaitCluster()
 }
 
-// clusterPollInterval is how often it is looked whether discovery has spoken.
+// clusterPollInterval is the time between two checks whether the cluster's hosts are known.
 const clusterPollInterval = 2 * time.Millisecond
 
-// awaitCluster: ready with discovery's list; or without, after the time in which a start is, too.
+// awaitCluster reports the successor ready once the cluster's hosts are known, or once a process that starts without a
+// predecessor would no longer wait for discovery.
 func (s *successorRole) awaitCluster() {
 	if s.machine.State != phase.Building {
 		return
@@ -263,7 +271,8 @@
 	s.d.loop.After(clusterPollInterval, s.awaitCluster)
 }
 
-// restore puts the old process's state in place.
+// restore takes over the state in the predecessor's snapshot, and its listeners. It fails if the snapshot does not fit
+// this process or a listener can't be used.
 func (s *successorRole) restore() error {
 	d := s.d
 	names := s.snapshot.GetListeners()
@@ -280,8 +289,8 @@
 	d.core.Restore(now, open, d.module.Adopt(now))
 	d.watcher.Adopt(handover.FromHosts(s.snapshot))
 	for i, fd := range s.snapshotFDs {
-		at := slices.IndexFunc(d.fronts, func(f listeningFront) bool { return f.addr == names[i] })
-		if at < 0 { // the configuration has dropped it
+		front := slices.IndexFunc(d.fronts, func(f listeningFront) bool { return f.addr == names[i] })
+		if front < 0 { // the configuration has no front at this address any more
 			loop.CloseFD(fd)
 			continue
 		}
@@ -295,6 +304,7 @@
 	return nil
 }
 
+// serve makes this process serve in place of its predecessor.
 func (s *successorRole) serve() {
 	d := s.d
 	d.server.SetPredecessorConnections(int(s.commit.GetClients()))
@@ -314,13 +324,15 @@
 	d.options.Notify("READY=1", "MAINPID="+strconv.Itoa(os.Getpid()))
 }
 
+// useAllCounterConns raises the number of connections to the counter from UpgradeCounterConns to CounterConns, once the
+// predecessor has closed its own.
 func (s *successorRole) useAllCounterConns() {
 	if d := s.d; d.counter != nil {
 		d.counter.Resize(d.cfg.Limits.CounterConns)
 	}
 }
 
-// finishAlone goes on alone: the old process is gone, and with it all that it still had.
+// finishAlone ends the handover: the predecessor is gone, and with it the streams and connections that it still had.
 func (s *successorRole) finishAlone() {
 	d := s.d
 	if n := d.core.PredecessorStreams(); n > 0 {
--- a/internal/daemon/peer_test.go
+++ b/internal/daemon/successorprocess_test.go
@@ -21,33 +21,33 @@
 
 func (idleTurner) Turn(time.Duration) time.Duration { return 0 }
 
-// A successor that has read Farewell closes its end of the connection, which may be seen before this process has
-// ended: that successor serves alone and must not be killed.
-func TestASuccessorThatWasToldFarewellIsNotKilled(t *testing.T) {
+// After Farewell the successor serves alone and closes its end of the connection. The predecessor may see that before it
+// has ended itself, and must not kill the successor then.
+func TestSuccessorIsNotKilledAfterFarewell(t *testing.T) {
 	events, err := loop.New()
 	require.NoError(t, err)
 	bounds := limits.Limits{MaxHandoverMessageBytes: 1 << 20, DrainFlushPeriod: time.Second}
 	p := &predecessorRole{d: &Daemon{loop: events, log: slog.New(slog.DiscardHandler), cfg: config.Config{Limits: bounds}}}
-	ours, theirs, err := handover.Pair()
+	ownFD, successorFD, err := handover.Pair()
 	require.NoError(t, err)
 
-	successor := exec.Command("cat") // ends in good order once its input is closed
+	successor := exec.Command("cat") // exits with status 0 once its input is closed
 	input, err := successor.StdinPipe()
 	require.NoError(t, err)
 	require.NoError(t, successor.Start())
 	p.successor = &successorProcess{role: p, cmd: successor}
-	p.successor.conn, err = handover.New(events, bounds, ours, p.successor)
+	p.successor.conn, err = handover.New(events, bounds, ownFD, p.successor)
 	require.NoError(t, err)
 
 	p.machine.State = phase.Emptying
 	p.handle(phase.Emptied{})
 	require.Equal(t, phase.Over, p.machine.State)
-	received, err := unix.Read(theirs, make([]byte, 64))
+	received, err := unix.Read(successorFD, make([]byte, 64))
 	require.NoError(t, err)
-	require.Positive(t, received, "Farewell")
-	require.NoError(t, unix.Close(theirs))
+	require.Positive(t, received, "no Farewell was sent")
+	require.NoError(t, unix.Close(successorFD))
 	require.NoError(t, events.Run(idleTurner{}))
 
 	require.NoError(t, input.Close())
-	require.NoError(t, successor.Wait(), "it was killed")
+	require.NoError(t, successor.Wait(), "the successor was killed")
 }
--- a/internal/earlysignals/earlysignals.go
+++ b/internal/earlysignals/earlysignals.go
@@ -1,5 +1,6 @@
-// Package earlysignals takes SIGHUP from the initialization of the program on. Left to its default that signal ends a process,
-// and other packages' initialization takes long enough for a reload to come in it. It does nothing with the signals.
+// Package earlysignals catches SIGHUP from the initialization of the program on. By default that signal ends a process,
+// and the initialization of other packages takes long enough for a reload to be requested meanwhile. The package only
+// catches the signals; the program reads them from Hangups and acts on them.
 package earlysignals
 
 import (
@@ -8,8 +9,9 @@
 	"syscall"
 )
 
-// Hangups brings each SIGHUP since the initialization of this package. Of many that nobody takes the last are dropped: a
-// reload that is begun later reads what they were about. No other signal comes this way, so none is dropped for them.
+// Hangups delivers each SIGHUP since the initialization of this package. It holds 4; further ones are dropped until one
+// is read, which loses no reload: one that begins later reads what they were sent for. It delivers no other signal, so
+// many SIGHUPs displace none.
 var Hangups = make(chan os.Signal, 4)
 
 func init() { signal.Notify(Hangups, syscall.SIGHUP) }
