--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -24,20 +24,20 @@
 	for _, c := range d.cfg.Settings.Classes {
 		names = append(names, c.Name)
 	}
-	d.figures.AddClasses(names)
+	d.metrics.AddClasses(names)
 }
 
 // adminHandler answers the requests of the admin endpoint. It runs on the loop's goroutine.
-type adminHandler struct{ d *Daemon }
+type adminHandler struct{ daemon *Daemon }
 
 // IsReady reports whether this process would serve a client's request.
 func (h adminHandler) IsReady() bool {
-	return h.d.canServe() && h.d.server.IsAccepting()
+	return h.daemon.canServe() && h.daemon.server.IsAccepting()
 }
 
 // StatusDetails returns the version of the settings and its state among the ingresses, or nothing without a version.
 func (h adminHandler) StatusDetails() string {
-	v := h.d.settingsVersions()
+	v := h.daemon.settingsVersions()
 	switch {
 	case v.NewestVersion == 0:
 		return ""
@@ -65,8 +65,8 @@
 
 // AppendMetrics appends the current metrics to a buffer, in the text format of Prometheus.
 func (h adminHandler) AppendMetrics(buffer []byte) []byte {
-	d := h.d
-	buffer = d.figures.AppendText(buffer, figures.Gauges{InFlight: d.core.CompleteRequests() + d.server.ActiveRelays(), ListedHosts: d.watcher.HostCount(),
+	d := h.daemon
+	buffer = d.metrics.AppendText(buffer, figures.Gauges{InFlight: d.core.CompleteRequests() + d.server.ActiveRelays(), ListedHosts: d.watcher.HostCount(),
 		AvoidedHosts: d.module.AvoidedServers(d.loop.Now())})
 	buffer = figures.AppendSettingsVersions(buffer, d.settingsVersions())
 	if d.controlGroup != nil {
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -76,7 +76,7 @@
 // controlServer serves the control socket. It has a goroutine for the listener and one for each client; they run work on
 // the loop through onLoop and Post.
 type controlServer struct {
-	d        *Daemon
+	daemon   *Daemon
 	listener *net.UnixListener
 	mu       sync.Mutex
 	conns    map[net.Conn]struct{} // guarded by mu
@@ -111,7 +111,7 @@
 		return fmt.Errorf("control: %w", errors.Join(err, listener.Close()))
 	}
 	d.controlServer.close()
-	d.controlServer = &controlServer{d: d, listener: listener, conns: map[net.Conn]struct{}{}}
+	d.controlServer = &controlServer{daemon: d, listener: listener, conns: map[net.Conn]struct{}{}}
 	go d.controlServer.run()
 	return nil
 }
@@ -187,17 +187,17 @@
 		_ = out.Encode(c.status())
 	case "members":
 		empty := MembershipStatus{Members: []MemberStatus{}, AbsentMembers: []int{}, ActiveVersions: []uint64{}, StaleMembers: []string{}, RejectedVersions: []string{}, DrainedHosts: []string{}}
-		_ = out.Encode(onLoop(c.d, empty, func() MembershipStatus { return c.d.membershipStatus(empty) }))
+		_ = out.Encode(onLoop(c.daemon, empty, func() MembershipStatus { return c.daemon.membershipStatus(empty) }))
 	case "leave":
-		leave := c.d.leave
+		leave := c.daemon.leave
 		if cmd.Member != "" {
-			leave = func() string { return c.d.forceLeave(cmd.Member) }
+			leave = func() string { return c.daemon.forceLeave(cmd.Member) }
 		}
-		reason := onLoop(c.d, "the daemon does not answer", leave)
+		reason := onLoop(c.daemon, "the daemon does not answer", leave)
 		_ = out.Encode(Progress{Text: reason, IsDone: true, Succeeded: reason == "", Pid: os.Getpid()})
 	case "upgrade":
 		updates := make(chan Progress, 16)
-		c.d.loop.Post(func() {
+		c.daemon.loop.Post(func() {
 			report := func(p Progress) {
 				select {
 				case updates <- p:
@@ -207,7 +207,7 @@
 					close(updates)
 				}
 			}
-			if reason := c.d.upgrade(report); reason != "" {
+			if reason := c.daemon.upgrade(report); reason != "" {
 				report(Progress{Text: reason, IsDone: true, Pid: os.Getpid()})
 			}
 		})
@@ -223,7 +223,7 @@
 
 // status collects the answer to the command "status" on the loop.
 func (c *controlServer) status() Status {
-	d := c.d
+	d := c.daemon
 	return onLoop(d, Status{Error: "the daemon does not answer"}, func() Status {
 		s := Status{Name: d.cfg.Name, Version: d.options.Version, Pid: os.Getpid(), Phase: d.asPredecessor.machine.State.String(),
 			Streams: d.core.OpenStreams(), Connections: d.server.OpenConnections(), Upstreams: d.upstreams.OpenConnections(),
--- a/internal/daemon/controlgroup.go
+++ b/internal/daemon/controlgroup.go
@@ -14,7 +14,7 @@
 // controlGroup is the daemon's part in the control group. The group decides which versions are in force, and its leases
 // decide whether this ingress may use its share of joint budgets. It belongs to the loop's goroutine.
 type controlGroup struct {
-	d                *Daemon
+	daemon           *Daemon
 	member           *controlgroup.Member
 	client           *controlclient.Client
 	usesShare        bool                             // as the module was last told
@@ -35,7 +35,7 @@
 		return
 	}
 	now := d.loop.Now()
-	g := &controlGroup{d: d, usesShare: true, newestInForce: map[string]versions.Version{}, pending: map[proposalKey]*pendingProposal{}}
+	g := &controlGroup{daemon: d, usesShare: true, newestInForce: map[string]versions.Version{}, pending: map[proposalKey]*pendingProposal{}}
 	g.openAgreement()
 	g.member = controlgroup.NewMember(controlgroup.MemberConfig{
 		ID: controlgroup.MemberID(d.cfg.Settings.Index),
@@ -54,7 +54,7 @@
 // openAgreement starts the agreement on versions from those of the file, or from the newest that this process applied
 // before a successor took over. A document without a version in the file is applied, too, once the group has a version.
 func (g *controlGroup) openAgreement() {
-	d := g.d
+	d := g.daemon
 	a := &agreement{loggedVersions: map[string][]versions.Version{}}
 	if d.savedAgreement != nil {
 		a.loggedVersions, a.isReady, g.isResumed = d.savedAgreement.loggedVersions, d.savedAgreement.isReady, true
@@ -101,14 +101,14 @@
 // while the process was stopped must not use a lease that expired meanwhile.
 func (g *controlGroup) checkShare(now time.Duration) {
 	if g.usesShare && !g.member.HoldsShare(now) {
-		g.setShare(false, g.d.core.EnqueueFirst)
+		g.setShare(false, g.daemon.core.EnqueueFirst)
 	}
 	g.logLease(now)
 }
 
 // handleChange applies changes in the member's state: share, versions, lease, readiness and outcomes of proposals.
 func (g *controlGroup) handleChange(now time.Duration) {
-	d := g.d
+	d := g.daemon
 	if d.controlGroup != g || g.client == nil { // the leases are released, or the client is not open yet
 		return
 	}
@@ -140,7 +140,7 @@
 	g.usesShare = holds
 	ev := admission.FleetChanged{IsUncertain: !holds}
 	enqueue(ev)
-	g.d.log.Info("share of joint budgets", "settled", holds, "counted_out", fmt.Sprint(ev.Absent))
+	g.daemon.log.Info("share of joint budgets", "settled", holds, "counted_out", fmt.Sprint(ev.Absent))
 }
 
 // logLease logs each change in the state of the settings lease.
@@ -150,15 +150,15 @@
 		return
 	}
 	g.loggedLease = state
-	logAtLevel := g.d.log.Info
+	logAtLevel := g.daemon.log.Info
 	if state != controlgroup.LeaseHeld {
-		logAtLevel = g.d.log.Warn
+		logAtLevel = g.daemon.log.Warn
 	}
 	logAtLevel("control lease", "state", state.String(), "term", g.member.Term(), "version", g.newestSettings())
 }
 
 // newestSettings returns the number of the newest active version of the settings. 0: they have none.
-func (g *controlGroup) newestSettings() uint64 { return g.d.settingsVersions().NewestVersion }
+func (g *controlGroup) newestSettings() uint64 { return g.daemon.settingsVersions().NewestVersion }
 
 // releaseShareAndLeases stops using this process's share and then releases its leases, so that the next process of this
 // ingress gets them at once. done is called once the group knows, or after a limit; it may be nil.
@@ -255,7 +255,7 @@
 		}
 		controlSource{g, file.Name}.propose(file.Version, func(err error) {
 			if err != nil {
-				g.d.log.Warn("file's version not taken by the control group", "of", file.Name,
+				g.daemon.log.Warn("file's version not taken by the control group", "of", file.Name,
 					"version", file.Version.String(), "error", err)
 			}
 		})
--- a/internal/daemon/controlsource.go
+++ b/internal/daemon/controlsource.go
@@ -86,7 +86,7 @@
 	case len(doc.Text) > maxDocumentBytes:
 		return fmt.Errorf("version %v: %d bytes, at most %d", doc.Version, len(doc.Text), maxDocumentBytes)
 	}
-	return s.group.d.checkDocument(s.document, doc.Text)
+	return s.group.daemon.checkDocument(s.document, doc.Text)
 }
 
 // Offer proposes a version to the group as soon as a replica is connected. done is called with the group's answer, or
@@ -102,7 +102,7 @@
 // propose proposes a version. A version that is already proposed gets a further callback and its timeout begins again.
 func (s controlSource) propose(doc versions.Doc, done func(error)) {
 	g := s.group
-	messages, err := g.member.Propose(s.document, doc, g.d.loop.Now())
+	messages, err := g.member.Propose(s.document, doc, g.daemon.loop.Now())
 	if err != nil {
 		done(err)
 		return
@@ -114,7 +114,7 @@
 		g.pending[key] = proposal
 	}
 	proposal.timeout.Stop()
-	proposal.timeout = g.d.loop.After(g.d.cfg.Limits.ControlProposalTimeout, func() { g.finishProposal(key, g.timeoutError()) })
+	proposal.timeout = g.daemon.loop.After(g.daemon.cfg.Limits.ControlProposalTimeout, func() { g.finishProposal(key, g.timeoutError()) })
 	proposal.callbacks = append(proposal.callbacks, done)
 	g.client.Send(messages)
 }
@@ -133,7 +133,7 @@
 		key := proposalKey{outcome.Document, outcome.Version}
 		switch {
 		case strings.HasPrefix(outcome.Error, controlgroup.Unavailable):
-			g.d.loop.After(proposalRetryDelay, func() { g.retryProposal(key) })
+			g.daemon.loop.After(proposalRetryDelay, func() { g.retryProposal(key) })
 		case outcome.Error != "":
 			g.finishProposal(key, errors.New(outcome.Error))
 		default:
@@ -148,7 +148,7 @@
 	if proposal == nil {
 		return
 	}
-	messages, err := g.member.Propose(key.document, proposal.doc, g.d.loop.Now())
+	messages, err := g.member.Propose(key.document, proposal.doc, g.daemon.loop.Now())
 	if err != nil {
 		g.finishProposal(key, err)
 		return
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -79,7 +79,7 @@
 		return err
 	}
 	d := &Daemon{options: o, loop: l, log: o.Log, frontReload: make(chan struct{}, 1)}
-	d.asPredecessor = &predecessorRole{d: d}
+	d.asPredecessor = &predecessorRole{daemon: d}
 	fd, err := inheritedConnection(o.Getenv)
 	if err != nil {
 		return err
@@ -158,7 +158,7 @@
 	controlGroup   *controlGroup   // nil: there is none, or this process has released its leases
 	agreement      *agreement      // nil: this ingress agrees on no versions with others
 	savedAgreement *savedAgreement // state when the last successor took over; nil: none has
-	figures        figures.Metrics
+	metrics        figures.Metrics
 
 	// successorListener accepts replacements that the platform starts. Nil: it is closed.
 	successorListener *loop.Source
@@ -266,9 +266,9 @@
 		return err
 	}
 	l := d.loop
-	d.upstreams = upstream.New(l, cfg.Limits, d.log, &d.figures.UpstreamRequests)
+	d.upstreams = upstream.New(l, cfg.Limits, d.log, &d.metrics.UpstreamRequests)
 	d.addClassMetrics()
-	parts := core.Config{Decider: d.module, Upstreams: d.upstreams, Counter: noCounter{}, Cluster: d, Log: d.log, Metrics: &d.figures,
+	parts := core.Config{Decider: d.module, Upstreams: d.upstreams, Counter: noCounter{}, Cluster: d, Log: d.log, Metrics: &d.metrics,
 		DeadlineMargin: cfg.Limits.DeadlineMargin}
 	parts.RepeatWindows = core.RepeatWindows(cfg.Settings.Classes)
 	if d.options.OTLPEndpoint != "" {
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -18,7 +18,7 @@
 // together with those that were active before.
 type gossipSource struct {
 	*versions.Node
-	d *Daemon
+	daemon *Daemon
 }
 
 // Admissible returns an error if too many versions are active for another one to join them.
@@ -31,9 +31,9 @@
 
 // Offer makes a version active and sends it to the other members. It calls done before it returns.
 func (s gossipSource) Offer(doc versions.Doc, done func(error)) {
-	messages, err := s.Node.Offer(doc, s.d.loop.Now())
+	messages, err := s.Node.Offer(doc, s.daemon.loop.Now())
 	if err == nil {
-		s.d.sendGossip(messages)
+		s.daemon.sendGossip(messages)
 	}
 	done(err)
 }
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -34,7 +34,7 @@
 // predecessorRole is a process's side of the handovers to its successors. It carries out the actions of the state
 // machine phase.Old and belongs to the loop's goroutine.
 type predecessorRole struct {
-	d          *Daemon
+	daemon     *Daemon
 	machine    phase.Old
 	phaseTimer *loop.Timer    // ends the present phase
 	onProgress func(Progress) // nil: nobody waits for the result
@@ -103,7 +103,7 @@
 
 // execute carries out one action of the state machine.
 func (p *predecessorRole) execute(action phase.Action) {
-	d := p.d
+	d := p.daemon
 	bounds := d.cfg.Limits
 	switch action {
 	case phase.Spawn:
@@ -195,7 +195,7 @@
 	if p.machine.State != phase.Copying {
 		return
 	}
-	for len(p.customersToCopy) > 0 && p.successor.conn.Waiting() < p.d.cfg.Limits.MaxHandoverQueueBytes {
+	for len(p.customersToCopy) > 0 && p.successor.conn.Waiting() < p.daemon.cfg.Limits.MaxHandoverQueueBytes {
 		n := min(len(p.customersToCopy), customersPerMessage)
 		p.sendCustomers(p.customersToCopy[:n])
 		p.customersToCopy = p.customersToCopy[n:]
@@ -215,7 +215,7 @@
 func (p *predecessorRole) sendCustomers(ids []uint64) {
 	message := &pb.Customers{}
 	for _, id := range ids {
-		if c, ok := p.d.module.Customer(id); ok {
+		if c, ok := p.daemon.module.Customer(id); ok {
 			message.Customers = append(message.Customers, handover.Customer(c))
 		}
 	}
@@ -226,15 +226,15 @@
 // snapshot be taken, or the process be found empty.
 func (p *predecessorRole) endTurn(now time.Duration) {
 	if p.isSnapshotDue {
-		for p.d.core.HasPendingEvents() {
-			p.d.core.Turn(now)
+		for p.daemon.core.HasPendingEvents() {
+			p.daemon.core.Turn(now)
 		}
 		p.isSnapshotDue = false
 		if p.successor != nil {
 			p.sendSnapshot()
 		}
 	}
-	if p.machine.Committed() && p.d.core.TrackedStreams() == 0 && p.d.server.OpenConnections() == 0 {
+	if p.machine.Committed() && p.daemon.core.TrackedStreams() == 0 && p.daemon.server.OpenConnections() == 0 {
 		p.handle(phase.Emptied{})
 	}
 }
@@ -243,7 +243,7 @@
 // they were copied, then the module's other state, the open streams, the hosts and the listeners. If the state can't be
 // collected, the handover fails.
 func (p *predecessorRole) sendSnapshot() {
-	d := p.d
+	d := p.daemon
 	ids := append(d.module.Customers(p.copyStartedAt), p.activeAtCopyStart...)
 	p.activeAtCopyStart = nil
 	for len(ids) > 0 {
@@ -270,10 +270,10 @@
 
 // commit lets the successor serve. This process's connections follow, each once it owes no answer.
 func (p *predecessorRole) commit() {
-	d := p.d
+	d := p.daemon
 	d.stopListeningForSuccessor()
 	d.closeMembership() // the successor continues under this member's name
-	// A replacement has an admin endpoint of its own, and this process's goes on to report on this process.
+	// A replacement has an admin endpoint of its own; this process keeps its own and goes on to report there.
 	if !p.machine.Beside {
 		d.admin.Close()
 		d.admin = nil
@@ -304,7 +304,7 @@
 // reclaim serves again after the successor has died: this process takes back its listeners, its connections to the
 // counter and its place among the ingresses.
 func (p *predecessorRole) reclaim() {
-	d := p.d
+	d := p.daemon
 	d.module.Reclaim(d.loop.Now())
 	d.core.CancelHandover()
 	d.upstreams.StopHandOver()
@@ -327,13 +327,13 @@
 // after DrainFlushPeriod.
 func (p *predecessorRole) sendFarewell() {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Farewell{Farewell: &pb.Farewell{}}})
-	p.d.log.Info("handed over")
+	p.daemon.log.Info("handed over")
 	if p.successor == nil {
-		p.d.loop.Stop()
+		p.daemon.loop.Stop()
 		return
 	}
-	p.successor.conn.WhenDry(p.d.loop.Stop)
-	p.d.loop.After(p.d.cfg.Limits.DrainFlushPeriod, p.d.loop.Stop)
+	p.successor.conn.WhenDry(p.daemon.loop.Stop)
+	p.daemon.loop.After(p.daemon.cfg.Limits.DrainFlushPeriod, p.daemon.loop.Stop)
 }
 
 // AttemptStarted tells the successor that an upstream request of a handed-over stream was sent to a host. With
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -42,7 +42,7 @@
 // requested meanwhile.
 func (d *Daemon) finishReload(previous, next config.Config, err error) {
 	if err != nil {
-		d.figures.ReconfigFailed++
+		d.metrics.ReconfigFailed++
 		d.log.Error("configuration not reloaded", "error", err)
 	} else {
 		d.applyReload(previous, next)
@@ -54,7 +54,7 @@
 
 // applyReload applies a reloaded configuration that was found valid.
 func (d *Daemon) applyReload(previous, next config.Config) {
-	d.figures.ReconfigOK++
+	d.metrics.ReconfigOK++
 	d.log.Info("configuration reloaded", "discovery", next.Discovery, "counter", next.Counter,
 		"classes", len(next.Settings.Classes))
 	if names := previous.Changed(next); len(names) > 0 {
--- a/internal/daemon/replacement.go
+++ b/internal/daemon/replacement.go
@@ -76,12 +76,12 @@
 }
 
 // successorAcceptor accepts connections of replacements. It is the loop's handler of the socket.
-type successorAcceptor struct{ d *Daemon }
+type successorAcceptor struct{ daemon *Daemon }
 
 // Ready accepts a replacement and begins the handover. It closes the connection if no handover can begin now: during
 // another one, or while the process drains.
 func (a successorAcceptor) Ready(uint32) {
-	d := a.d
+	d := a.daemon
 	fd, err := handover.Accept(d.successorListener.FD())
 	if err != nil {
 		return
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -19,7 +19,7 @@
 // successorRole is a process's side of the handover from its predecessor. It carries out the actions of the state machine
 // phase.New and belongs to the loop's goroutine.
 type successorRole struct {
-	d          *Daemon
+	daemon     *Daemon
 	machine    phase.New
 	conn       *handover.Conn
 	phaseTimer *loop.Timer // ends the handover if the predecessor takes too long
@@ -28,7 +28,7 @@
 	listenerFDs    map[string]int // descriptors of the listeners by address: opened here, or from the predecessor
 	snapshot       *pb.Snapshot   // nil until it has come
 	snapshotFDs    []int          // descriptors of the listeners that came with the snapshot, in its order
-	commit         *pb.Commit     // nil until it has come
+	commit         *pb.Commit     // nil until it has come; its getters then return 0
 	customerCount  uint64         // customers whose state was taken over
 	isEndRequested bool           // this process was told to end during the handover
 }
@@ -42,7 +42,7 @@
 	if err := os.Unsetenv(handover.Env); err != nil { // processes that this one starts must not see it
 		return fmt.Errorf("%s: %w", handover.Env, err)
 	}
-	s := &successorRole{d: d, listenerFDs: map[string]int{}}
+	s := &successorRole{daemon: d, listenerFDs: map[string]int{}}
 	// The configuration is not read yet. Of the limits the connection needs only its own.
 	conn, err := handover.New(d.loop, limits.Limits{MaxHandoverMessageBytes: maxSuccessorMessageBytes}, fd, s)
 	if err != nil {
@@ -51,7 +51,7 @@
 	s.conn, d.asSuccessor = conn, s
 	s.phaseTimer = d.loop.After(welcomeTimeout, func() { s.handle(phase.TimeUp{}) })
 	if d.isReplacement {
-		d.loop.After(replacementTimeout, s.handleLatePredecessor)
+		d.loop.After(replacementTimeout, s.stopAwaitingPredecessor)
 	}
 	s.send(&pb.Envelope{Body: &pb.Envelope_Hello{Hello: &pb.Hello{Protocol: phase.Protocol, Version: d.options.Version,
 		Pid: int64(os.Getpid())}}})
@@ -61,16 +61,16 @@
 // maxSuccessorMessageBytes is the maximum size of a message from the predecessor.
 const maxSuccessorMessageBytes = 64 << 20
 
-// handleLatePredecessor gives up a handover to a replacement after replacementTimeout. It does so even in the state
-// Holding, in which only the predecessor knows whether this process is to serve: if it is, the predecessor sees the
-// connection end and serves on.
-func (s *successorRole) handleLatePredecessor() {
+// stopAwaitingPredecessor ends a replacement's wait for its predecessor after replacementTimeout. It does so even in the
+// state Holding, in which only the predecessor knows whether this process is to serve: if the predecessor has committed
+// by then, it sees the connection end and serves again.
+func (s *successorRole) stopAwaitingPredecessor() {
 	if s.machine.Serves() || s.machine.State == phase.Ended {
 		return
 	}
 	s.handle(phase.TimeUp{})
 	if s.machine.State == phase.Holding {
-		s.d.restartStandalone("the old process sent no commit in time")
+		s.daemon.restartStandalone("the old process sent no commit in time")
 	}
 }
 
@@ -86,7 +86,7 @@
 
 // execute carries out one action of the state machine.
 func (s *successorRole) execute(action phase.Action) {
-	d := s.d
+	d := s.daemon
 	switch action {
 	case phase.Prepare:
 		s.prepare()
@@ -111,7 +111,7 @@
 	case phase.Drain:
 		d.drain()
 	case phase.Forget:
-		s.finishAlone()
+		s.handlePredecessorExit()
 	case phase.ReloadOwn:
 		d.reloadConfig()
 	case phase.Exit:
@@ -140,7 +140,7 @@
 
 // Message handles a message of the predecessor, and takes over or closes the descriptors that came with it.
 func (s *successorRole) Message(e *pb.Envelope, fds []int) {
-	d := s.d
+	d := s.daemon
 	isRestored := s.snapshot != nil && s.machine.State != phase.Ended
 	now := d.loop.Now()
 	switch m := e.GetBody().(type) {
@@ -218,7 +218,7 @@
 // prepare builds all parts. The predecessor's listeners come with the snapshot. Other listeners are opened here, where a
 // failure costs no request: the predecessor still serves and carries on.
 func (s *successorRole) prepare() {
-	d := s.d
+	d := s.daemon
 	if err := d.assemble(); err != nil {
 		s.handle(phase.Unfit{Why: err.Error()})
 		return
@@ -258,23 +258,23 @@
 // clusterPollInterval is the time between two checks whether the cluster's hosts are known.
 const clusterPollInterval = 2 * time.Millisecond
 
-// awaitCluster reports the successor ready once the cluster's hosts are known, or once a process that starts without a
-// predecessor would no longer wait for discovery.
+// awaitCluster waits for the cluster's hosts and then reports this process ready. It waits for discovery no longer than a
+// start without a predecessor does.
 func (s *successorRole) awaitCluster() {
 	if s.machine.State != phase.Building {
 		return
 	}
-	if s.d.watcher.IsReady() {
+	if s.daemon.watcher.IsReady() {
 		s.handle(phase.Ready{})
 		return
 	}
-	s.d.loop.After(clusterPollInterval, s.awaitCluster)
+	s.daemon.loop.After(clusterPollInterval, s.awaitCluster)
 }
 
 // restore takes over the state in the predecessor's snapshot, and its listeners. It fails if the snapshot does not fit
 // this process or a listener can't be used.
 func (s *successorRole) restore() error {
-	d := s.d
+	d := s.daemon
 	names := s.snapshot.GetListeners()
 	if len(names) != len(s.snapshotFDs) {
 		return fmt.Errorf("%d listeners were told of and %d have come", len(names), len(s.snapshotFDs))
@@ -304,9 +304,9 @@
 	return nil
 }
 
-// serve makes this process serve in place of its predecessor.
+// serve makes this process serve in place of its predecessor, after the predecessor's commit or its death.
 func (s *successorRole) serve() {
-	d := s.d
+	d := s.daemon
 	d.server.SetPredecessorConnections(int(s.commit.GetClients()))
 	d.upstreams.SetPredecessorConnections(int(s.commit.GetUpstreams()))
 	d.server.Resume()
@@ -327,14 +327,15 @@
 // useAllCounterConns raises the number of connections to the counter from UpgradeCounterConns to CounterConns, once the
 // predecessor has closed its own.
 func (s *successorRole) useAllCounterConns() {
-	if d := s.d; d.counter != nil {
+	if d := s.daemon; d.counter != nil {
 		d.counter.Resize(d.cfg.Limits.CounterConns)
 	}
 }
 
-// finishAlone ends the handover: the predecessor is gone, and with it the streams and connections that it still had.
-func (s *successorRole) finishAlone() {
-	d := s.d
+// handlePredecessorExit ends the handover: the predecessor is gone, and with it the streams and connections that it still
+// had.
+func (s *successorRole) handlePredecessorExit() {
+	d := s.daemon
 	if n := d.core.PredecessorStreams(); n > 0 {
 		d.log.Warn("the old process has ended with open streams", "streams", n)
 	}
--- a/internal/daemon/successorprocess.go
+++ b/internal/daemon/successorprocess.go
@@ -24,7 +24,7 @@
 // spawn starts the binary that is at the path of the upgrade command now. Starting a process may take milliseconds, so it
 // runs on a goroutine of its own, which then waits for the process to end.
 func (p *predecessorRole) spawn() {
-	d := p.d
+	d := p.daemon
 	ownFD, successorFD, err := handover.Pair()
 	if err != nil {
 		d.loop.After(0, func() { p.handle(phase.SpawnFailed{Why: err.Error()}) })
@@ -125,7 +125,7 @@
 		p.result.Customers = m.Restored.GetCustomers()
 		p.handle(phase.Told{Message: phase.Restored})
 	case *pb.Envelope_Serving:
-		p.result.FreezeMicroseconds = (p.d.loop.Now() - p.frozenAt).Microseconds()
+		p.result.FreezeMicroseconds = (p.daemon.loop.Now() - p.frozenAt).Microseconds()
 		p.handle(phase.Told{Message: phase.Serving})
 	case *pb.Envelope_Refused:
 		p.handle(phase.Told{Message: phase.Refused, Text: m.Refused.GetReason()})
--- a/internal/daemon/successorprocess_test.go
+++ b/internal/daemon/successorprocess_test.go
@@ -27,7 +27,7 @@
 	events, err := loop.New()
 	require.NoError(t, err)
 	bounds := limits.Limits{MaxHandoverMessageBytes: 1 << 20, DrainFlushPeriod: time.Second}
-	p := &predecessorRole{d: &Daemon{loop: events, log: slog.New(slog.DiscardHandler), cfg: config.Config{Limits: bounds}}}
+	p := &predecessorRole{daemon: &Daemon{loop: events, log: slog.New(slog.DiscardHandler), cfg: config.Config{Limits: bounds}}}
 	ownFD, successorFD, err := handover.Pair()
 	require.NoError(t, err)
 
