--- a/admission/answers.go
+++ b/admission/answers.go
@@ -13,7 +13,7 @@
 // and at the servers are free again. It may have run, and an attempt called off is no sign of its server.
 func (g *Gateway) callOff(r *request) {
 	for i, t := range r.tries {
-		if t.live && g.s.CanCancel && !r.class.Stream && r.class.Effect != Unsafe {
+		if t.live && g.s.CanCancel && !r.class.IsStream && r.class.Effect != Unsafe {
 			g.do(Cancel{ID: r.id, Attempt: i})
 		}
 	}
@@ -34,7 +34,7 @@
 }
 
 func (g *Gateway) refuse(r *request, after time.Duration, why Reason) {
-	if !g.s.RetryAfter {
+	if !g.s.CanSendRetryAfter {
 		after = 0
 	}
 	g.do(Refuse{ID: r.id, RetryAfter: after, Reason: why})
--- a/admission/api.go
+++ b/admission/api.go
@@ -43,69 +43,69 @@
 
 // Class is a kind of request. A Deadline of 0 means none beyond the request's own.
 type Class struct {
-	Name         string
-	Aim          time.Duration // an answer within this time has its full worth
-	Deadline     time.Duration
-	Worth        float64
-	LateShare    float64 // part of the worth left after the aim
-	Effect       Effect
-	Scope        Scope
-	RepeatWindow time.Duration // how long a repeat of a keyed request is recognised
-	Stream       bool
-	Gone         bool // it was in earlier settings: only requests that came with it still have it
+	Name          string
+	LatencyTarget time.Duration // an answer within this time has its full worth
+	Deadline      time.Duration
+	Worth         float64
+	LateWorth     float64 // part of the worth left after the aim
+	Effect        Effect
+	Scope         Scope
+	RepeatWindow  time.Duration // how long a repeat of a keyed request is recognised
+	IsStream      bool
+	IsRemoved     bool // it was in earlier settings: only requests that came with it still have it
 }
 
 // Plan holds the quotas of each customer on it. A zero rate or cap means none.
 type Plan struct {
-	Name         string
-	Rate         float64 // units a second
-	Burst        float64 // units the store holds
-	AtOnce       int     // attempts out at one time
-	Price        float64
-	OverWorth    float64 // part of the worth earned beyond the quota
-	OverCost     float64 // part of the worth lost by sending on beyond the quota
-	CeilingRate  float64 // hard ceiling, units a second
-	CeilingBurst float64
-	CeilingSlack float64
-	Gone         bool // it was in earlier settings
+	Name           string
+	Rate           float64 // units a second
+	Burst          float64 // units the store holds
+	MaxInFlight    int     // attempts out at one time
+	WorthFactor    float64
+	OverQuotaWorth float64 // part of the worth earned beyond the quota
+	OverQuotaCost  float64 // part of the worth lost by sending on beyond the quota
+	CeilingRate    float64 // hard ceiling, units a second
+	CeilingBurst   float64
+	CeilingSlack   float64
+	IsRemoved      bool // it was in earlier settings
 }
 
 // Settings are what a gateway is told at its start.
 type Settings struct {
 	Gateways int // gateways in the tier
-	Me       int // number of this one, from 0
+	Index    int // number of this one, from 0
 	Zone     string
 	Tick     time.Duration // the host's shortest time between events
 	Classes  []Class
 	Plans    []Plan
 
-	MustAsk      bool // server lists come only after Subscribe or FetchList
-	HasCounter   bool
-	Settles      bool // true units of a request come with its answer
-	CounterLimit time.Duration
-	MaxUnits     int
-
-	MaxAttempts   int
-	MaxRetryAfter time.Duration
-	RetryAfter    bool
-	CanCancel     bool
-	CanProbe      bool
-	CanTell       bool
-	SecondCopies  bool
-	DialLimit     time.Duration
+	MustSubscribe  bool // server lists come only after Subscribe or FetchList
+	HasCounter     bool
+	HasBilledUnits bool // true units of a request come with its answer
+	CounterTimeout time.Duration
+	MaxUnits       int
+
+	MaxAttempts       int
+	MaxRetryAfter     time.Duration
+	CanSendRetryAfter bool
+	CanCancel         bool
+	CanProbe          bool
+	CanMessagePeers   bool
+	CanHedge          bool
+	DialTimeout       time.Duration
 
 	// ReportNames are the fields of a load report, in order: inflight, queued, utilization,
 	// latency_ms (of service, without waiting), rate, errors, or any other.
-	ReportNames  []string
-	ReportsOnAns bool // answers carry load reports
-	AnswerSlack  time.Duration
-	AskWithin    time.Duration
-	DrainGrace   time.Duration
-	ColdFor      time.Duration // a started server is warm after this
-	ColdFrom     float64       // part of its capacity at its start, or more
-	TipMultiple  float64       // sent more than this multiple of its capacity...
-	TipTime      time.Duration // ...for this long, a cold server falls over
-	CrossZone    float64       // price of crossing zones, relative to worth
+	ReportNames        []string
+	HasAnswerReports   bool // answers carry load reports
+	AnswerSlack        time.Duration
+	AskWithin          time.Duration
+	DrainGrace         time.Duration
+	WarmUpTime         time.Duration // a started server is warm after this
+	InitialCapacity    float64       // part of its capacity at its start, or more
+	ColdOverloadFactor float64       // sent more than this multiple of its capacity...
+	ColdOverloadTime   time.Duration // ...for this long, a cold server falls over
+	CrossZoneCost      float64       // price of crossing zones, relative to worth
 }
 
 // Event is something that happened, one of the types below.
@@ -113,28 +113,28 @@
 
 // RequestArrived: a client's request, which now needs one final answer.
 type RequestArrived struct {
-	ID        uint64
-	Class     int // index into Settings.Classes
-	Plan      int // index into Settings.Plans
-	Customer  uint64
-	ExpiresIn time.Duration
-	Units     int
-	Doors     int // gateways through which this customer comes
-	FirstDoor int
-	Retry     bool
-	Write     bool
-	Earlier   *Earlier // of a keyed request: where one with its key may have run, nil if none is known
-	Open      bool     // it has not wholly come: its time and its attempts' run from RequestWhole
+	ID           uint64
+	Class        int // index into Settings.Classes
+	Plan         int // index into Settings.Plans
+	Customer     uint64
+	ExpiresIn    time.Duration
+	Units        int
+	Gateways     int // gateways through which this customer comes
+	FirstGateway int
+	IsRetry      bool
+	IsWrite      bool
+	PriorAttempt *PriorAttempt // of a keyed request: where one with its key may have run, nil if none is known
+	IsPartial    bool          // it has not wholly come: its time and its attempts' run from RequestWhole
 }
 
-// RequestWhole: a request that was open has wholly come.
-type RequestWhole struct{ ID uint64 }
+// RequestComplete: a request that was open has wholly come.
+type RequestComplete struct{ ID uint64 }
 
-// Earlier is an attempt, made for another request with the same key, that may have run.
-type Earlier struct {
+// PriorAttempt is an attempt, made for another request with the same key, that may have run.
+type PriorAttempt struct {
 	Server, Zone string
 	Cell         int
-	At           time.Duration
+	SentAt       time.Duration
 }
 
 // Outcome tells how an attempt, a probe or a counter call ended.
@@ -164,16 +164,16 @@
 
 // AttemptEnded: the outcome of one Send. Done marks a request that has finished.
 type AttemptEnded struct {
-	ID      uint64
-	Attempt int
-	Server  string
-	Outcome Outcome
-	Took    time.Duration
-	Done    bool
-	Billed  int // true units, 0 if not told
-	Used    int
-	Report  []float64
-	Gone    bool // part of the request is held nowhere any more: it can't be sent again
+	ID            uint64
+	Attempt       int
+	Server        string
+	Outcome       Outcome
+	Took          time.Duration
+	Done          bool
+	Billed        int // true units, 0 if not told
+	Used          int
+	Report        []float64
+	NotReplayable bool // part of the request is held nowhere any more: it can't be sent again
 }
 
 // StreamOpened: the answer of a streamed request has begun.
@@ -250,7 +250,7 @@
 }
 
 func (RequestArrived) isEvent()  {}
-func (RequestWhole) isEvent()    {}
+func (RequestComplete) isEvent() {}
 func (AttemptEnded) isEvent()    {}
 func (StreamOpened) isEvent()    {}
 func (ClientLeft) isEvent()      {}
@@ -295,15 +295,15 @@
 
 // The reasons.
 const (
-	OverQuota   Reason = "over its quota or ceiling"
-	Shed        Reason = "shed: answers come late"
-	NoTime      Reason = "no time is left for an attempt"
-	NoAttempt   Reason = "all attempts are spent, or its body can't be sent again"
-	NoRepeat    Reason = "it may have run, and may not be repeated"
-	NoHost      Reason = "no upstream host can take it"
-	TooSlow     Reason = "no upstream host would answer in time"
-	NoRetry     Reason = "the retry budget is spent, or its aim is over"
-	OverCeiling Reason = "over this ingress's share of its ceiling"
+	ReasonOverQuota     Reason = "over its quota or ceiling"
+	ReasonLoadShed      Reason = "shed: answers come late"
+	ReasonDeadline      Reason = "no time is left for an attempt"
+	ReasonAttemptsSpent Reason = "all attempts are spent, or its body can't be sent again"
+	ReasonNotRepeatable Reason = "it may have run, and may not be repeated"
+	ReasonNoServer      Reason = "no upstream host can take it"
+	ReasonTooSlow       Reason = "no upstream host would answer in time"
+	ReasonRetryBudget   Reason = "the retry budget is spent, or its aim is over"
+	ReasonOverCeiling   Reason = "over this ingress's share of its ceiling"
 )
 
 // SetTimer asks for a TimerFired at the clock time At.
@@ -314,9 +314,9 @@
 
 // CounterAdd adds By to a named shared number, forgotten Keep after it is made.
 type CounterAdd struct {
-	Name string
-	By   float64
-	Keep time.Duration
+	Name  string
+	Delta float64
+	TTL   time.Duration
 }
 
 // Probe asks a server whether it runs.
@@ -325,8 +325,8 @@
 // CloseIdle closes idle connections to a server.
 type CloseIdle struct{ Server string }
 
-// Tell sends a short message to one gateway, or to all (To = -1).
-type Tell struct {
+// SendPeerMessage sends a short message to one gateway, or to all (To = -1).
+type SendPeerMessage struct {
 	To      int
 	Payload []byte
 }
@@ -340,15 +340,15 @@
 // Log is a line for the operator.
 type Log struct{ Text string }
 
-func (Send) isAction()       {}
-func (Cancel) isAction()     {}
-func (Refuse) isAction()     {}
-func (Fail) isAction()       {}
-func (SetTimer) isAction()   {}
-func (CounterAdd) isAction() {}
-func (Probe) isAction()      {}
-func (CloseIdle) isAction()  {}
-func (Tell) isAction()       {}
-func (Subscribe) isAction()  {}
-func (FetchList) isAction()  {}
-func (Log) isAction()        {}
+func (Send) isAction()            {}
+func (Cancel) isAction()          {}
+func (Refuse) isAction()          {}
+func (Fail) isAction()            {}
+func (SetTimer) isAction()        {}
+func (CounterAdd) isAction()      {}
+func (Probe) isAction()           {}
+func (CloseIdle) isAction()       {}
+func (SendPeerMessage) isAction() {}
+func (Subscribe) isAction()       {}
+func (FetchList) isAction()       {}
+func (Log) isAction()             {}
--- a/admission/attempts.go
+++ b/admission/attempts.go
@@ -55,7 +55,7 @@
 	left := (r.due - g.now).Seconds()
 	s, wait := g.pick(r)
 	if g.shed[r.ci] == 1 && len(r.tries) == 0 { // the class of most worth
-		g.short.Tell(g.now, shortMemory, shortGain, s == nil || waitSure*wait > left)
+		g.short.LearnBool(g.now, shortMemory, shortGain, s == nil || waitSure*wait > left)
 	}
 	switch {
 	case s == nil && g.mayHold(r):
@@ -65,14 +65,14 @@
 			g.timer(timerHold, 0, g.holdAt)
 		}
 	case s == nil, waitSure*wait > g.spare(r, s, left) &&
-		(len(r.tries) > 0 || r.class.LateShare == 0 || r.due == r.deadline):
+		(len(r.tries) > 0 || r.class.LateWorth == 0 || r.due == r.deadline):
 		if s != nil && len(s.out) == 0 { // even a free server seems too slow: nothing would tell otherwise
 			g.stats[r.ci].Doubt(g.now, statMemory, waitSure*wait, r.class.most())
 		}
 		if s == nil {
-			g.giveUp(r, NoHost)
+			g.giveUp(r, ReasonNoServer)
 		} else {
-			g.giveUp(r, TooSlow)
+			g.giveUp(r, ReasonTooSlow)
 		}
 	default:
 		g.send(r, s, wait)
@@ -83,11 +83,11 @@
 func (g *Gateway) hopeless(r *request) Reason {
 	switch {
 	case r.deadline <= g.now+g.s.Tick:
-		return NoTime
+		return ReasonDeadline
 	case g.spent(r):
-		return NoAttempt
+		return ReasonAttemptsSpent
 	case !g.mayRepeat(r):
-		return NoRepeat
+		return ReasonNotRepeatable
 	}
 	return ""
 }
@@ -99,8 +99,8 @@
 func (g *Gateway) spare(r *request, s *server, left float64) float64 {
 	least, ease := left, math.Max(0, 1-g.short.Now(g.now, shortMemory)/shortAt)
 	for _, c := range g.s.Classes {
-		if c.stake() > r.class.stake() && !c.Gone && len(s.out) > 0 && g.mayRefuse(r) {
-			least = min(least, spareAim*c.Aim.Seconds()+ease*left)
+		if c.stake() > r.class.stake() && !c.IsRemoved && len(s.out) > 0 && g.mayRefuse(r) {
+			least = min(least, spareAim*c.LatencyTarget.Seconds()+ease*left)
 		}
 	}
 	return least
@@ -109,7 +109,7 @@
 // mayHold: a bounded queue, and nobody stays in it who can't make the aim; else all would be late.
 func (g *Gateway) mayHold(r *request) bool {
 	left := (r.due - g.now).Seconds()
-	room := math.Max(holdLeast, g.served.rate(g.now, thruMemory)*holdAim*r.class.Aim.Seconds())
+	room := math.Max(holdLeast, g.served.rate(g.now, thruMemory)*holdAim*r.class.LatencyTarget.Seconds())
 	return left > g.expected(r) && r.deadline-g.now > holdRecheck+2*g.s.Tick && float64(len(g.held)) < room
 }
 
@@ -126,7 +126,7 @@
 	if c := r.cust; !r.sent && c != nil {
 		if c.plan.CeilingRate > 0 && !r.shown {
 			if !c.underCeiling(g.now, r.units) {
-				g.giveUp(r, OverCeiling)
+				g.giveUp(r, ReasonOverCeiling)
 				return
 			}
 			c.hard -= r.units
@@ -141,11 +141,11 @@
 // attemptWait: how long an attempt may take before a further one, at the last until an answer is worth
 // nothing: then its slot under a cap and its server are free at once. 0: until the client leaves.
 func (g *Gateway) attemptWait(r *request, wait float64) time.Duration {
-	if r.class.Effect == Unsafe || r.class.Stream { // its client may want to know, however late
+	if r.class.Effect == Unsafe || r.class.IsStream { // its client may want to know, however late
 		return 0
 	}
 	last := time.Duration(0)
-	if r.class.LateShare == 0 {
+	if r.class.LateWorth == 0 {
 		last = max(0, r.due-g.now)
 	}
 	if g.spent(r) || g.budget < 1 {
@@ -186,9 +186,9 @@
 		g.budget--
 		g.route(r)
 	case !g.mayRepeat(r):
-		g.giveUp(r, NoRepeat)
+		g.giveUp(r, ReasonNotRepeatable)
 	default:
-		g.giveUp(r, NoRetry)
+		g.giveUp(r, ReasonRetryBudget)
 	}
 	g.recheck()
 }
--- a/admission/ceiling.go
+++ b/admission/ceiling.go
@@ -28,7 +28,7 @@
 		return
 	}
 	c.shows = shownPart * whole / 2
-	own, place := sure*(whole-2*c.shows), g.fleet.place(g.s.Me, first, doors)
+	own, place := sure*(whole-2*c.shows), g.fleet.place(g.s.Index, first, doors)
 	holders := math.Floor(math.Min(c.doors, own/unit))
 	c.part, c.fill = own/holders, (p.CeilingRate-c.shows*p.Rate/p.Burst)/holders
 	if float64((place+int(spread(c.id)*c.doors))%int(c.doors)) >= holders {
--- a/admission/cold_test.go
+++ b/admission/cold_test.go
@@ -19,15 +19,15 @@
 func (c *coldServer) over(s Settings, capacity float64) float64 {
 	worst, first := math.Inf(-1), 0
 	for last, at := range c.sent {
-		for c.sent[first] <= at-s.TipTime {
+		for c.sent[first] <= at-s.ColdOverloadTime {
 			first++
 		}
-		middle := c.sent[first] + s.TipTime/2 - c.boot // the capacity comes up evenly
-		if middle >= s.ColdFor {
+		middle := c.sent[first] + s.ColdOverloadTime/2 - c.boot // the capacity comes up evenly
+		if middle >= s.WarmUpTime {
 			break
 		}
-		warm := s.ColdFrom + (1-s.ColdFrom)*middle.Seconds()/s.ColdFor.Seconds()
-		n := s.TipMultiple * warm * capacity * s.TipTime.Seconds()
+		warm := s.InitialCapacity + (1-s.InitialCapacity)*middle.Seconds()/s.WarmUpTime.Seconds()
+		n := s.ColdOverloadFactor * warm * capacity * s.ColdOverloadTime.Seconds()
 		worst = max(worst, float64(last-first+1)-(n+2*math.Sqrt(n)+2))
 	}
 	return worst
@@ -54,14 +54,14 @@
 
 func warmUp(t *testing.T, gateways, cold, slots int, seed uint64) {
 	const servers = 12
-	class := Class{Aim: 500 * ms, Deadline: time.Second, Worth: 1, Effect: Safe}
-	capacity := float64(slots) / (class.Aim / 8).Seconds() // see town.send
+	class := Class{LatencyTarget: 500 * ms, Deadline: time.Second, Worth: 1, Effect: Safe}
+	capacity := float64(slots) / (class.LatencyTarget / 8).Seconds() // see town.send
 	w := newTown(t, []Class{class}, gateways, servers, slots)
 	w.heavy, w.rng = gateways/6, rand.New(rand.NewPCG(seed, 2))
 	for me, d := range w.doors {
 		*d.g.source = *rand.NewPCG(seed<<8+uint64(me), 0) // as in a fleet, each draws for itself
-		d.g.s.ColdFor, d.g.s.ColdFrom = 16*time.Second, 0.15
-		d.g.s.TipMultiple, d.g.s.TipTime = 2, 3*time.Second
+		d.g.s.WarmUpTime, d.g.s.InitialCapacity = 16*time.Second, 0.15
+		d.g.s.ColdOverloadFactor, d.g.s.ColdOverloadTime = 2, 3*time.Second
 	}
 	s, alike, rate := w.doors[0].g.s, []float64{1}, 0.6*servers*capacity
 	w.ask(5*time.Second, rate, alike)
@@ -86,7 +86,7 @@
 	w.ask(8*time.Second, rate, alike)
 	for name, c := range began {
 		if over := c.over(s, capacity); over > 0 {
-			t.Errorf("%s got %.1f attempts more than it bears in %v", name, over, s.TipTime)
+			t.Errorf("%s got %.1f attempts more than it bears in %v", name, over, s.ColdOverloadTime)
 		}
 		if least := 0.1 * capacity * 14; float64(len(c.sent)) < least {
 			t.Errorf("%s got %d attempts in all, want %.0f", name, len(c.sent), least)
--- a/admission/counter.go
+++ b/admission/counter.go
@@ -43,7 +43,7 @@
 		g.ease = took
 	}
 	g.ease += time.Duration(easeGain * float64(took-g.ease))
-	if took > seconds(max(crowdedAt*g.s.CounterLimit.Seconds(), crowdedX*g.ease.Seconds())) {
+	if took > seconds(max(crowdedAt*g.s.CounterTimeout.Seconds(), crowdedX*g.ease.Seconds())) {
 		g.askShare = math.Max(askLeast, g.askShare*crowdedCut)
 	} else {
 		ease := crowdedGain + crowdedEase*(g.now-g.answeredAt).Seconds()
@@ -69,7 +69,7 @@
 	}
 	if p.Rate > 0 && !(c.sparse(r.units) && g.s.HasCounter) {
 		over = over || c.level < r.units
-	} else if p.Rate > 0 || p.AtOnce > 0 {
+	} else if p.Rate > 0 || p.MaxInFlight > 0 {
 		over = over || !g.lot(c)
 	}
 	over = over || p.CeilingRate > 0 && !r.shown && !c.underCeiling(g.now, r.units)
@@ -78,7 +78,7 @@
 
 // fits is the part of what all doors ask of a customer that fits its quota, as far as known.
 func (g *Gateway) fits(c *customer) float64 {
-	if c.plan.AtOnce > 0 && g.capLedger(c) == &c.gauge {
+	if c.plan.MaxInFlight > 0 && g.capLedger(c) == &c.gauge {
 		return c.fit
 	}
 	return 1 / g.pressOf(c)
@@ -86,11 +86,11 @@
 
 // lot lets in unchecked the part that fits. On a gauge that is the chance to find room; to find none costs.
 func (g *Gateway) lot(c *customer) bool {
-	worth := c.plan.OverCost / (1 + c.plan.OverCost)
+	worth := c.plan.OverQuotaCost / (1 + c.plan.OverQuotaCost)
 	switch {
-	case c.plan.AtOnce > 0 && c.out >= c.plan.AtOnce:
+	case c.plan.MaxInFlight > 0 && c.out >= c.plan.MaxInFlight:
 		return false
-	case c.plan.AtOnce > 0 && g.capLedger(c) == &c.gauge:
+	case c.plan.MaxInFlight > 0 && g.capLedger(c) == &c.gauge:
 		return g.rng.Float64() < (g.fits(c)-worth)/(1-worth)
 	}
 	return g.rng.Float64() < g.fits(c)
@@ -98,7 +98,7 @@
 
 // capLedger is what a cap on attempts out is held by: a gauge, or by many doors at a crowded counter demand.
 func (g *Gateway) capLedger(c *customer) *ledger {
-	if g.asking(c.index) < gaugeAbove && c.doors > 2*float64(c.plan.AtOnce) {
+	if g.asking(c.index) < gaugeAbove && c.doors > 2*float64(c.plan.MaxInFlight) {
 		return &c.demand
 	}
 	return &c.gauge
@@ -107,7 +107,7 @@
 // load is what fits of a ledger's demand, in units a second: the rate, or of a cap a part.
 func (g *Gateway) load(c *customer, l *ledger) float64 {
 	if l == &c.demand {
-		return capLoad * float64(c.plan.AtOnce) / g.outFor
+		return capLoad * float64(c.plan.MaxInFlight) / g.outFor
 	}
 	return c.plan.Rate
 }
@@ -135,11 +135,11 @@
 // others.
 func (g *Gateway) pressOf(c *customer) float64 {
 	l, first := &c.rate, pressFirst
-	if c.plan.AtOnce > 0 {
+	if c.plan.MaxInFlight > 0 {
 		l, first = &c.demand, capFirst
 	}
 	plan := g.press[c.index].mean(first, l.span.Seconds())
-	if c.plan.OverCost == 0 { // nothing is lost by letting in who is not known to ask too much
+	if c.plan.OverQuotaCost == 0 { // nothing is lost by letting in who is not known to ask too much
 		plan = math.Min(1, plan)
 	}
 	if !g.open { // what was known last is kept through an outage
--- a/admission/estimate/estimate.go
+++ b/admission/estimate/estimate.go
@@ -7,22 +7,24 @@
 	"time"
 )
 
-// Fade is what is left of a belief after some time in which nothing was seen, its memory in seconds.
-func Fade(unseen time.Duration, memory float64) float64 {
+// Decay is what is left of a belief after some time in which nothing was seen, its memory in seconds.
+func Decay(unseen time.Duration, memory float64) float64 {
 	return math.Exp(-max(0, unseen).Seconds() / memory)
 }
 
-// Fading is an average that goes back to 0, what is taken for granted, while nothing is seen.
-type Fading struct {
-	V  float64
-	At time.Duration // when V was the average
+// FadingAverage is an average that goes back to 0, what is taken for granted, while nothing is seen.
+type FadingAverage struct {
+	Value float64
+	At    time.Duration // when V was the average
 }
 
 // Now is the average at a time, with a memory in seconds.
-func (f Fading) Now(now time.Duration, memory float64) float64 { return f.V * Fade(now-f.At, memory) }
+func (f FadingAverage) Now(now time.Duration, memory float64) float64 {
+	return f.Value * Decay(now-f.At, memory)
+}
 
-// Tell takes in whether something was so, with the weight gain.
-func (f *Fading) Tell(now time.Duration, memory, gain float64, so bool) {
+// LearnBool takes in whether something was so, with the weight gain.
+func (f *FadingAverage) LearnBool(now time.Duration, memory, gain float64, so bool) {
 	seen := 0.0
 	if so {
 		seen = 1
@@ -31,15 +33,15 @@
 }
 
 // Learn takes in what was seen, with the weight gain.
-func (f *Fading) Learn(now time.Duration, memory, gain, seen float64) {
+func (f *FadingAverage) Learn(now time.Duration, memory, gain, seen float64) {
 	v := f.Now(now, memory)
-	f.V, f.At = v+gain*(seen-v), now
+	f.Value, f.At = v+gain*(seen-v), now
 }
 
-// Work is the usual seconds and units of a kind of request, averages.
-type Work struct {
-	Took, Units float64
-	At          time.Duration // when it was last doubted, 0: never
+// LatencyModel is the usual seconds and units of a kind of request, averages.
+type LatencyModel struct {
+	Latency, Units float64
+	DoubtedAt      time.Duration // when it was last doubted, 0: never
 }
 
 // doubtMost is the time that one doubt may stand for: before that none of its kind came.
@@ -47,29 +49,29 @@
 
 // Doubt fades what is expected where it is over the most that is of use: a kind of request that is kept out for it
 // brings no answer that could tell otherwise.
-func (w *Work) Doubt(now time.Duration, memory, expected, most float64) {
+func (w *LatencyModel) Doubt(now time.Duration, memory, expected, most float64) {
 	if expected > most {
-		w.Took *= Fade(min(now-w.At, doubtMost), memory)
-		w.At = now
+		w.Latency *= Decay(min(now-w.DoubtedAt, doubtMost), memory)
+		w.DoubtedAt = now
 	}
 }
 
 // Learn takes in one answer, with the weight gain; the first counts in full.
-func (w *Work) Learn(took, units, gain float64) {
-	if w.Took == 0 {
-		w.Took, w.Units = took, units
+func (w *LatencyModel) Learn(took, units, gain float64) {
+	if w.Latency == 0 {
+		w.Latency, w.Units = took, units
 	}
-	w.Took += gain * (took - w.Took)
+	w.Latency += gain * (took - w.Latency)
 	w.Units += gain * (units - w.Units)
 }
 
 // Expect is how many seconds so many units may take, of which the part tell goes with the units; before
 // anything was seen, the guess.
-func (w Work) Expect(units, tell, guess float64) float64 {
-	if w.Took == 0 {
+func (w LatencyModel) Expect(units, tell, guess float64) float64 {
+	if w.Latency == 0 {
 		return guess
 	}
-	return w.Took * (1 - tell + tell*units/w.Units)
+	return w.Latency * (1 - tell + tell*units/w.Units)
 }
 
 // Warmth is the part of its capacity that a host surely has, which started at boot (0: long ago) with the part
@@ -84,9 +86,9 @@
 // mostPower is the highest power given by Powers.
 const mostPower = 16
 
-// Powers gives for each item the power that a part is to be taken to, so that the part of the one with most at
+// Exponents gives for each item the power that a part is to be taken to, so that the part of the one with most at
 // stake stays and the others' are less, each by its stake.
-func Powers[T any](items []T, stake func(T) float64) []float64 {
+func Exponents[T any](items []T, stake func(T) float64) []float64 {
 	most, powers := 0.0, make([]float64, len(items))
 	for _, t := range items {
 		most = max(most, stake(t))
--- a/admission/estimate/estimate_test.go
+++ b/admission/estimate/estimate_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestWhatIsNotSeenGoesBackToWhatIsTakenForGranted(t *testing.T) {
-	var f Fading
+	var f FadingAverage
 	for i := range 20 {
 		f.Learn(time.Duration(i)*time.Second, 5, 0.3, 1)
 	}
@@ -35,30 +35,30 @@
 }
 
 func TestMostAtStakeKeepsItsPart(t *testing.T) {
-	p := Powers([]float64{4, 1, 0}, func(f float64) float64 { return f })
+	p := Exponents([]float64{4, 1, 0}, func(f float64) float64 { return f })
 	require.Equal(t, []float64{1, 4, mostPower}, p)
-	require.Equal(t, []float64{1, 1}, Powers([]float64{0, 0}, func(f float64) float64 { return f }))
+	require.Equal(t, []float64{1, 1}, Exponents([]float64{0, 0}, func(f float64) float64 { return f }))
 }
 
 // What keeps a kind of request out is believed less and less, as fast however many are turned away; what does not is
 // left alone.
 func TestWhatKeepsAllOutIsDoubted(t *testing.T) {
-	few, many := Work{Took: 1, Units: 1}, Work{Took: 1, Units: 1}
+	few, many := LatencyModel{Latency: 1, Units: 1}, LatencyModel{Latency: 1, Units: 1}
 	for i := range 200 {
 		now := time.Hour + time.Duration(i)*100*time.Millisecond
-		many.Doubt(now, 10, many.Took, 0.2)
+		many.Doubt(now, 10, many.Latency, 0.2)
 		if i%10 == 0 {
-			few.Doubt(now, 10, few.Took, 0.2)
+			few.Doubt(now, 10, few.Latency, 0.2)
 		}
 	}
-	if few.Took > 0.21 || few.Took < 0.15 || many.Took > 0.21 || many.Took < 0.15 {
-		t.Errorf("after 20 s %.3f and %.3f are believed", few.Took, many.Took)
+	if few.Latency > 0.21 || few.Latency < 0.15 || many.Latency > 0.21 || many.Latency < 0.15 {
+		t.Errorf("after 20 s %.3f and %.3f are believed", few.Latency, many.Latency)
 	}
-	was := many.Took
-	if many.Doubt(2*time.Hour, 10, 0.1, 0.2); many.Took != was {
+	was := many.Latency
+	if many.Doubt(2*time.Hour, 10, 0.1, 0.2); many.Latency != was {
 		t.Error("doubted without need")
 	}
-	if many.Doubt(2*time.Hour, 10, 1, 0.2); many.Took < was*0.9 {
+	if many.Doubt(2*time.Hour, 10, 1, 0.2); many.Latency < was*0.9 {
 		t.Error("an hour counts for more than a second")
 	}
 }
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -11,9 +11,9 @@
 func Example() {
 	const ms = time.Millisecond
 	g, err := admission.New(admission.Settings{
-		Gateways: 2, Zone: "east", Tick: ms, HasCounter: true, CounterLimit: 80 * ms, RetryAfter: true,
+		Gateways: 2, Zone: "east", Tick: ms, HasCounter: true, CounterTimeout: 80 * ms, CanSendRetryAfter: true,
 		MaxAttempts: 3,
-		Classes:     []admission.Class{{Name: "page", Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1}},
+		Classes:     []admission.Class{{Name: "page", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Worth: 1}},
 		Plans:       []admission.Plan{{Name: "basic", Rate: 1, Burst: 5}},
 	}, 42)
 	if err != nil {
@@ -27,7 +27,7 @@
 			switch a := a.(type) {
 			case admission.CounterAdd:
 				called = a.Name
-				fmt.Printf("%v counter: add %v\n", now, a.By)
+				fmt.Printf("%v counter: add %v\n", now, a.Delta)
 			case admission.Send:
 				fmt.Printf("%v send request %d to %s\n", now, a.ID, a.Server)
 			case admission.Refuse:
@@ -39,7 +39,7 @@
 	}
 	handle(0, admission.ServerList{Kind: admission.ListCached,
 		Servers: []admission.ServerEntry{{Name: "web-1", Zone: "east"}}})
-	request := admission.RequestArrived{ID: 1, Customer: 7, ExpiresIn: 2 * time.Second, Units: 4, Doors: 2}
+	request := admission.RequestArrived{ID: 1, Customer: 7, ExpiresIn: 2 * time.Second, Units: 4, Gateways: 2}
 	handle(100*ms, request)
 	handle(102*ms, admission.CounterAnswered{Name: called, Total: 4, Took: 2 * ms})
 	handle(150*ms, admission.AttemptEnded{ID: 1, Server: "web-1", Took: 48 * ms, Done: true})
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -25,7 +25,7 @@
 	}
 	for me := range gateways {
 		s := base()
-		s.Gateways, s.Me, s.MaxUnits = gateways, me, 1
+		s.Gateways, s.Index, s.MaxUnits = gateways, me, 1
 		s.Plans[hard] = Plan{Name: "hard", Rate: 8, Burst: 20, CeilingRate: 18, CeilingBurst: 45, CeilingSlack: 4.5}
 		d := newDesk(t, s)
 		d.do(ServerList{Kind: ListFull, Servers: f.hosts})
@@ -144,7 +144,7 @@
 				for _, a := range append([]Action(nil), g.Handle(now, ev)...) {
 					switch a := a.(type) {
 					case CounterAdd:
-						totals[a.Name] += a.By
+						totals[a.Name] += a.Delta
 						o := OK
 						if i/400%4 == 3 && i%2 == 0 {
 							o = TimedOut
@@ -158,7 +158,7 @@
 					}
 				}
 			}
-			handle(RequestArrived{ID: uint64(i + 1), Plan: hard, Customer: 77, ExpiresIn: time.Second, Units: 1, Doors: doors})
+			handle(RequestArrived{ID: uint64(i + 1), Plan: hard, Customer: 77, ExpiresIn: time.Second, Units: 1, Gateways: doors})
 		}
 		if worst < -p.CeilingSlack || lost == 0 {
 			t.Errorf("%d doors: the store went to %.1f, its slack is %.1f (%d calls lost)", doors, worst, p.CeilingSlack, lost)
@@ -210,11 +210,11 @@
 		const perHost = 12.0 // requests a second that a warm host is meant for, six tenths of what it can do
 		n := int(perHost * 30 * 3)
 		f.run(n, time.Second/(perHost*30), func(string) (Outcome, time.Duration) { return OK, 60 * ms })
-		can := perHost / 0.6 * 3 * (s.ColdFrom + (1-s.ColdFrom)*1.5/s.ColdFor.Seconds())
+		can := perHost / 0.6 * 3 * (s.InitialCapacity + (1-s.InitialCapacity)*1.5/s.WarmUpTime.Seconds())
 		cold := 0
 		for _, h := range f.hosts[:10] {
 			cold += f.sends[h.Name]
-			if float64(f.sends[h.Name]) > s.TipMultiple*can {
+			if float64(f.sends[h.Name]) > s.ColdOverloadFactor*can {
 				t.Errorf("%d doors sent %d to a cold host that can do %.1f", doors, f.sends[h.Name], can)
 			}
 		}
@@ -229,7 +229,7 @@
 	for _, slow := range []int{1, 8} {
 		s := sized()
 		d := newDesk(t, s, "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
-		d.g.stats[0] = estimate.Work{Took: 0.05, Units: 1}
+		d.g.stats[0] = estimate.LatencyModel{Latency: 0.05, Units: 1}
 		for i := range slow {
 			d.g.order[i].resp, d.g.order[i].heard = 4, d.now
 		}
@@ -255,7 +255,7 @@
 	for id := range uint64(4000) {
 		d.g.admit = 0.8
 		class := int(id % 2)
-		d.do(RequestArrived{ID: id + 1, Class: class, Plan: free, Customer: id, ExpiresIn: time.Second, Units: 1, Doors: 1})
+		d.do(RequestArrived{ID: id + 1, Class: class, Plan: free, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 1})
 		for _, sent := range find[Send](d.look()) {
 			passed[class]++
 			d.do(AttemptEnded{ID: sent.ID, Server: sent.Server, Outcome: OK, Took: ms, Done: true})
--- a/admission/follow.go
+++ b/admission/follow.go
@@ -20,7 +20,7 @@
 		g.follow(ev.Settings)
 	case FleetChanged:
 		g.fleetChanged(ev)
-	case RequestWhole:
+	case RequestComplete:
 		g.whole(ev.ID)
 	}
 }
@@ -50,7 +50,7 @@
 	was := g.s
 	g.use(s)
 	g.unsettle(was.Plans)
-	fleet := was.Gateways != s.Gateways || was.Me != s.Me
+	fleet := was.Gateways != s.Gateways || was.Index != s.Index
 	for _, c := range g.customers {
 		old := *c.plan
 		if c.plan = &g.s.Plans[c.index]; old == *c.plan && !fleet {
@@ -90,13 +90,13 @@
 func (g *Gateway) use(s Settings) {
 	g.s = s
 	for len(g.stats) < len(s.Classes) {
-		g.stats, g.mix = append(g.stats, estimate.Work{}), append(g.mix, 1)
+		g.stats, g.mix = append(g.stats, estimate.LatencyModel{}), append(g.mix, 1)
 	}
 	for len(g.press) < len(s.Plans) {
 		g.press, g.settled = append(g.press, evidence{}), append(g.settled, 0)
 	}
-	g.thin, g.shed = estimate.Powers(s.Plans, Plan.stake), estimate.Powers(s.Classes, func(c Class) float64 {
-		if c.Gone {
+	g.thin, g.shed = estimate.Exponents(s.Plans, Plan.stake), estimate.Exponents(s.Classes, func(c Class) float64 {
+		if c.IsRemoved {
 			return 0
 		}
 		return c.stake()
--- a/admission/follow_test.go
+++ b/admission/follow_test.go
@@ -17,7 +17,7 @@
 // A class becomes stricter while a request of it is out: that request may still be tried again, a new one not.
 func TestARequestKeepsTheClassThatItCameWith(t *testing.T) {
 	d := newDesk(t, base(), "s1", "s2")
-	d.do(RequestArrived{ID: 1, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Doors: 1})
+	d.do(RequestArrived{ID: 1, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Gateways: 1})
 	sent := func(id uint64) (n int) {
 		for _, a := range d.got {
 			if s, ok := a.(Send); ok && s.ID == id {
@@ -30,7 +30,7 @@
 		t.Fatalf("not sent: %v", d.got)
 	}
 	d.do(SettingsChanged{followed(func(s *Settings) { s.Classes[0].Effect = Unsafe })})
-	d.do(RequestArrived{ID: 2, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Doors: 1})
+	d.do(RequestArrived{ID: 2, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Gateways: 1})
 	for _, id := range []uint64{1, 2} {
 		r := d.g.requests[id]
 		d.do(AttemptEnded{ID: id, Server: r.tries[0].s.Name, Outcome: Broken, Took: ms})
@@ -42,7 +42,7 @@
 
 func TestFewerAttemptsHoldAtOnce(t *testing.T) {
 	d := newDesk(t, base(), "s1", "s2")
-	d.do(RequestArrived{ID: 1, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Doors: 1})
+	d.do(RequestArrived{ID: 1, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Gateways: 1})
 	d.do(SettingsChanged{followed(func(s *Settings) { s.MaxAttempts = 1 })})
 	d.got = nil
 	d.do(AttemptEnded{ID: 1, Server: d.g.requests[1].tries[0].s.Name, Outcome: Broken, Took: ms})
@@ -61,19 +61,19 @@
 	d := newDesk(t, base(), "s1")
 	c := d.g.customer(7, rate, 2, 0)
 	c.level, c.rate.window, c.rate.seen = 5, d.g.customers[7].rate.index(d.now), 3
-	d.g.servers["s1"].resp, d.g.stats[0].Took = 3, 0.2
+	d.g.servers["s1"].resp, d.g.stats[0].Latency = 3, 0.2
 	d.do(SettingsChanged{followed(func(s *Settings) {
-		s.Classes = append(s.Classes, Class{Name: "new", Aim: ms, Deadline: time.Second, Worth: 1})
-		s.Plans[rate].Price = 9
+		s.Classes = append(s.Classes, Class{Name: "new", LatencyTarget: ms, Deadline: time.Second, Worth: 1})
+		s.Plans[rate].WorthFactor = 9
 	})})
-	if got := d.g.customer(7, rate, 2, 0); got != c || c.level != 5 || c.rate.seen != 3 || c.plan.Price != 9 {
+	if got := d.g.customer(7, rate, 2, 0); got != c || c.level != 5 || c.rate.seen != 3 || c.plan.WorthFactor != 9 {
 		t.Errorf("the customer has %+v", got)
 	}
-	if d.g.servers["s1"].resp != 3 || d.g.stats[0].Took != 0.2 || len(d.g.stats) != 5 || len(d.g.shed) != 5 {
+	if d.g.servers["s1"].resp != 3 || d.g.stats[0].Latency != 0.2 || len(d.g.stats) != 5 || len(d.g.shed) != 5 {
 		t.Error("what is known of servers and classes is lost")
 	}
 	d.do(SettingsChanged{followed(func(s *Settings) {
-		s.Classes = append(s.Classes, Class{Name: "new", Gone: true})
+		s.Classes = append(s.Classes, Class{Name: "new", IsRemoved: true})
 		s.Plans[rate].Burst = 2
 	})})
 	if c.level != 2 || c.rate.span != time.Second || c.rate.seen != 0 {
@@ -92,16 +92,16 @@
 func TestTotalsShowNothingWhileWindowsChangeTheirLength(t *testing.T) {
 	s := followed(func(s *Settings) {
 		s.Gateways, s.MaxUnits = 40, 1
-		s.Plans = append(s.Plans, Plan{Name: "joint", Rate: 4, Burst: 8, CeilingRate: 8, CeilingBurst: 16, CeilingSlack: 1, OverCost: 1})
+		s.Plans = append(s.Plans, Plan{Name: "joint", Rate: 4, Burst: 8, CeilingRate: 8, CeilingBurst: 16, CeilingSlack: 1, OverQuotaCost: 1})
 	})
 	joint := len(s.Plans) - 1
 	d := newDesk(t, s, "s1")
 	shown := func(id uint64) bool {
 		d.wait(ms)
-		d.do(RequestArrived{ID: id, Class: 0, Plan: joint, ExpiresIn: time.Second, Units: 1, Customer: 9, Doors: 40})
+		d.do(RequestArrived{ID: id, Class: 0, Plan: joint, ExpiresIn: time.Second, Units: 1, Customer: 9, Gateways: 40})
 		for _, a := range d.look() {
 			if k, ok := a.(CounterAdd); ok {
-				d.do(CounterAnswered{Name: k.Name, Total: k.By, Took: ms, Outcome: OK})
+				d.do(CounterAnswered{Name: k.Name, Total: k.Delta, Took: ms, Outcome: OK})
 			}
 		}
 		for _, a := range d.look() {
--- a/admission/gateway.go
+++ b/admission/gateway.go
@@ -35,7 +35,7 @@
 	if !g.started {
 		g.started, g.began, g.answeredAt = true, now, now // no answer was due before the start
 		g.timer(timerSweep, 0, g.now+sweepEvery)
-		if g.s.MustAsk {
+		if g.s.MustSubscribe {
 			g.do(Subscribe{On: true})
 		}
 	}
--- a/admission/gateway_test.go
+++ b/admission/gateway_test.go
@@ -15,24 +15,24 @@
 	return Settings{
 		Gateways: 2, Zone: "a", Tick: 2 * ms,
 		Classes: []Class{
-			{Name: "safe", Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Effect: Safe},
-			{Name: "keyed", Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Effect: Keyed,
+			{Name: "safe", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Effect: Safe},
+			{Name: "keyed", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Effect: Keyed,
 				RepeatWindow: 300 * ms},
-			{Name: "unsafe", Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Effect: Unsafe},
-			{Name: "zoned", Aim: 900 * ms, Deadline: 2 * time.Second, Worth: 1, Effect: Keyed,
+			{Name: "unsafe", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Effect: Unsafe},
+			{Name: "zoned", LatencyTarget: 900 * ms, Deadline: 2 * time.Second, Worth: 1, Effect: Keyed,
 				Scope: ScopeZone, RepeatWindow: 5 * time.Second},
 		},
 		Plans: []Plan{
 			{Name: "free"},
 			{Name: "rate", Rate: 2, Burst: 8},
-			{Name: "open", AtOnce: 2},
-			{Name: "both", Rate: 2, Burst: 8, AtOnce: 2},
+			{Name: "open", MaxInFlight: 2},
+			{Name: "both", Rate: 2, Burst: 8, MaxInFlight: 2},
 			{Name: "hard", Rate: 1000, Burst: 4000, CeilingRate: 4, CeilingBurst: 16, CeilingSlack: 4},
 		},
-		HasCounter: true, Settles: true, CounterLimit: 80 * ms, MaxUnits: 8, MaxAttempts: 4,
-		MaxRetryAfter: time.Second, RetryAfter: true, CanCancel: true, DialLimit: 250 * ms,
-		AnswerSlack: 16 * ms, DrainGrace: 250 * ms, ColdFor: 10 * time.Second, ColdFrom: 0.2,
-		TipMultiple: 3, TipTime: time.Second,
+		HasCounter: true, HasBilledUnits: true, CounterTimeout: 80 * ms, MaxUnits: 8, MaxAttempts: 4,
+		MaxRetryAfter: time.Second, CanSendRetryAfter: true, CanCancel: true, DialTimeout: 250 * ms,
+		AnswerSlack: 16 * ms, DrainGrace: 250 * ms, WarmUpTime: 10 * time.Second, InitialCapacity: 0.2,
+		ColdOverloadFactor: 3, ColdOverloadTime: time.Second,
 	}
 }
 
@@ -82,7 +82,7 @@
 
 func (d *desk) ask(id uint64, class, plan int, units int) {
 	d.do(RequestArrived{ID: id, Class: class, Plan: plan, Customer: 5, ExpiresIn: d.g.s.Classes[class].Deadline,
-		Units: units, Doors: 2})
+		Units: units, Gateways: 2})
 }
 
 func find[A Action](got []Action) []A {
@@ -122,7 +122,7 @@
 	d.ask(1, 0, rate, 3)
 	none[Send](d)
 	add := one[CounterAdd](d)
-	if add.By != 3 || add.Keep <= 0 {
+	if add.Delta != 3 || add.TTL <= 0 {
 		t.Fatalf("asked %+v", add)
 	}
 	d.do(CounterAnswered{Name: add.Name, Total: 3, Took: 2 * ms, Outcome: OK})
@@ -145,7 +145,7 @@
 	// The units refused ride back on the next call for that name.
 	d.g.callRate = 0 // keep it asking
 	d.ask(2, 0, rate, 1)
-	if next := one[CounterAdd](d); next.Name != add.Name || next.By != 1-3 {
+	if next := one[CounterAdd](d); next.Name != add.Name || next.Delta != 1-3 {
 		t.Fatalf("next call %+v after %+v", next, add)
 	}
 }
@@ -159,8 +159,8 @@
 	d.do(AttemptEnded{ID: 1, Server: "s1", Outcome: OK, Took: 50 * ms, Done: true, Billed: 5})
 	d.look()
 	d.ask(2, 0, rate, 1)
-	if next := one[CounterAdd](d); next.By != 1+2 {
-		t.Fatalf("next call adds %v", next.By)
+	if next := one[CounterAdd](d); next.Delta != 1+2 {
+		t.Fatalf("next call adds %v", next.Delta)
 	}
 }
 
@@ -176,8 +176,8 @@
 	d.wait(20 * ms)  // a new window, whose count begins at nothing
 	d.ask(2, 0, rate, 8)
 	for _, add := range find[CounterAdd](d.look()) {
-		total := add.By
-		if add.By == 0 {
+		total := add.Delta
+		if add.Delta == 0 {
 			total = 8
 		}
 		d.do(CounterAnswered{Name: add.Name, Total: total, Took: 2 * ms, Outcome: OK})
@@ -241,12 +241,12 @@
 func TestLostCounterAtASparseDoorLetsInWhatFitted(t *testing.T) {
 	for _, heavy := range []bool{false, true} {
 		s := base()
-		s.Gateways, s.Plans[rate].OverCost = 100, 1
+		s.Gateways, s.Plans[rate].OverQuotaCost = 100, 1
 		d := newDesk(t, s, "s1", "s2", "s3", "s4")
 		ask := func(id uint64) []Action {
 			d.wait(5 * time.Second)
 			d.g.askShare = 1
-			d.do(RequestArrived{ID: id, Class: 0, Plan: rate, Customer: 5, ExpiresIn: time.Second, Units: 1, Doors: 80})
+			d.do(RequestArrived{ID: id, Class: 0, Plan: rate, Customer: 5, ExpiresIn: time.Second, Units: 1, Gateways: 80})
 			for i, a := range d.got {
 				if add, ok := a.(CounterAdd); ok && !d.g.open {
 					total := 1.0
@@ -298,7 +298,7 @@
 	total := 0.0
 	answer := func() {
 		for _, add := range find[CounterAdd](d.look()) {
-			total += add.By
+			total += add.Delta
 			d.do(CounterAnswered{Name: add.Name, Total: total, Took: 2 * ms, Outcome: OK})
 		}
 	}
@@ -339,7 +339,7 @@
 	for _, counted := range []bool{true, false} {
 		s := base()
 		s.HasCounter = counted
-		s.Plans[hard].AtOnce, s.MaxUnits = 0, 2
+		s.Plans[hard].MaxInFlight, s.MaxUnits = 0, 2
 		d := newDesk(t, s, "s1", "s2", "s3", "s4", "s5", "s6")
 		p := s.Plans[hard]
 		start, drawn := d.now, 0.0
@@ -459,8 +459,8 @@
 	none[Send](d)
 	none[Refuse](d)
 	d.ask(3, 0, rate, 1)
-	if next := one[CounterAdd](d); next.By != 0 { // what request 2 added is given back
-		t.Fatalf("adds %v", next.By)
+	if next := one[CounterAdd](d); next.Delta != 0 { // what request 2 added is given back
+		t.Fatalf("adds %v", next.Delta)
 	}
 }
 
@@ -469,7 +469,7 @@
 		tight := base()
 		tight.AnswerSlack = 4 * ms
 		d := newDesk(t, tight) // no server at all, a silent counter
-		d.do(RequestArrived{ID: 1, Class: 0, Plan: rate, Customer: 5, ExpiresIn: left, Units: 1, Doors: 2})
+		d.do(RequestArrived{ID: 1, Class: 0, Plan: rate, Customer: 5, ExpiresIn: left, Units: 1, Gateways: 2})
 		due := d.now + left + d.g.s.AnswerSlack
 		for n := 0; len(find[Refuse](d.got)) == 0; n++ {
 			timers := find[SetTimer](d.look())
@@ -560,7 +560,7 @@
 	if warm := (sent["s2"] + sent["s3"]) / 2; sent["s1"] == 0 || 2*sent["s1"] > warm {
 		t.Fatalf("sent %v", sent)
 	}
-	d.wait(d.g.s.ColdFor)
+	d.wait(d.g.s.WarmUpTime)
 	sent = d.load(5000, 300, 10*ms)
 	if sent["s1"] < 50 {
 		t.Fatalf("still shy of a warm server: %v", sent)
@@ -605,9 +605,9 @@
 				}
 			}
 		}
-		fair := float64(500*cold) / 10 * s.ColdFrom
+		fair := float64(500*cold) / 10 * s.InitialCapacity
 		// Even where a fair share is all that a warm one can do, that is less than pushes a cold one over.
-		if toCold == 0 || float64(toCold) > s.TipMultiple*fair {
+		if toCold == 0 || float64(toCold) > s.ColdOverloadFactor*fair {
 			t.Errorf("%d cold: %d of %d sends went to them, fair is %.0f", cold, toCold, all, fair)
 		}
 	}
@@ -665,9 +665,9 @@
 	d := newDesk(t, base(), "s1", "s2")
 	for id := uint64(1); id < 500; id++ {
 		d.wait(100 * ms)
-		d.do(RequestArrived{ID: id, Class: 0, Plan: rate, Customer: id, ExpiresIn: time.Second, Units: 1, Doors: 2})
+		d.do(RequestArrived{ID: id, Class: 0, Plan: rate, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 2})
 		for _, add := range find[CounterAdd](d.got) {
-			d.do(CounterAnswered{Name: add.Name, Total: add.By, Took: ms, Outcome: OK})
+			d.do(CounterAnswered{Name: add.Name, Total: add.Delta, Took: ms, Outcome: OK})
 		}
 		for _, s := range find[Send](d.look()) {
 			d.end(s.ID, 0, s.Server, OK)
@@ -686,13 +686,13 @@
 func TestNewNamesWhatItCannotWorkWith(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"gateways": func(s *Settings) { s.Gateways = 0 },
-		"number":   func(s *Settings) { s.Me = 2 },
+		"number":   func(s *Settings) { s.Index = 2 },
 		"classes":  func(s *Settings) { s.Classes = nil },
 		"rate":     func(s *Settings) { s.Plans[1].Rate = -1 },
 		"burst":    func(s *Settings) { s.Plans[1].Burst = 0 },
 		"tick":     func(s *Settings) { s.Tick = -1 },
-		"cold":     func(s *Settings) { s.ColdFrom = 2 },
-		"aim":      func(s *Settings) { s.Classes[0].Aim = -1 },
+		"cold":     func(s *Settings) { s.InitialCapacity = 2 },
+		"aim":      func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
 	} {
 		s := base()
 		spoil(&s)
@@ -723,7 +723,7 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := base()
 	s.HasCounter = rng.IntN(4) > 0
-	s.RetryAfter = rng.IntN(2) > 0
+	s.CanSendRetryAfter = rng.IntN(2) > 0
 	d := newDesk(t, s, "s1", "s2", "s3")
 	type req struct {
 		class   int
@@ -842,7 +842,7 @@
 			reqs[next] = r
 			open = append(open, next)
 			d.do(RequestArrived{ID: next, Class: class, Plan: rng.IntN(len(s.Plans)+1) - 1,
-				Customer: uint64(rng.IntN(4)), ExpiresIn: expires, Units: rng.IntN(9), Doors: rng.IntN(3)})
+				Customer: uint64(rng.IntN(4)), ExpiresIn: expires, Units: rng.IntN(9), Gateways: rng.IntN(3)})
 			next++
 		case k < 13 && len(open) > 0:
 			end(open[rng.IntN(len(open))], Outcome(rng.IntN(int(NotSent))))
@@ -893,10 +893,10 @@
 	id := uint64(0)
 	call := func(o Outcome, took time.Duration) {
 		id++
-		d.do(RequestArrived{ID: id, Plan: rate, Customer: id, ExpiresIn: time.Second, Units: 1, Doors: 2})
+		d.do(RequestArrived{ID: id, Plan: rate, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 2})
 		for _, add := range find[CounterAdd](d.look()) {
 			d.wait(took)
-			d.do(CounterAnswered{Name: add.Name, Total: add.By, Took: took, Outcome: o})
+			d.do(CounterAnswered{Name: add.Name, Total: add.Delta, Took: took, Outcome: o})
 		}
 	}
 	const far = 40 * ms // half of the limit
@@ -907,7 +907,7 @@
 		t.Fatalf("%v of the requests ask a far counter", d.g.askShare)
 	}
 	for range 100 { // fewer and fewer ask
-		call(TimedOut, s.CounterLimit)
+		call(TimedOut, s.CounterTimeout)
 	}
 	if !d.g.open {
 		t.Fatal("the breaker is closed")
@@ -949,7 +949,7 @@
 		t.Fatalf("sent %v", sent)
 	}
 	// Once nothing was sent there for long, it is as good as any again.
-	if s := d.g.servers["s1"]; s.turned.V == 0 || s.turnedBy(d.now+time.Minute) > 0.01 {
+	if s := d.g.servers["s1"]; s.turned.Value == 0 || s.turnedBy(d.now+time.Minute) > 0.01 {
 		t.Fatalf("turned away is remembered for ever: %v", s.turned)
 	}
 }
@@ -980,7 +980,7 @@
 					if name != add.Name { // a new window
 						name, total = add.Name, 5*d.g.customers[5].rate.into(d.now).Seconds()
 					}
-					total += add.By
+					total += add.Delta
 					d.do(CounterAnswered{Name: name, Total: total, Took: 2 * ms, Outcome: OK})
 				}
 				for _, snd := range find[Send](got) {
--- a/admission/present.go
+++ b/admission/present.go
@@ -8,8 +8,8 @@
 // FleetChanged: these gateways, by number, no longer share what all have together; nobody can think otherwise.
 // While Unsure, this one may itself be counted out by others, and has no part of a ceiling.
 type FleetChanged struct {
-	Out    []int
-	Unsure bool
+	Absent      []int
+	IsUncertain bool
 }
 
 func (FleetChanged) isEvent() {}
@@ -21,10 +21,10 @@
 }
 
 func (g *Gateway) fleetChanged(ev FleetChanged) {
-	if g.fleet.unsure && !ev.Unsure { // until now the others had what is ours from here on
+	if g.fleet.unsure && !ev.IsUncertain { // until now the others had what is ours from here on
 		g.began = max(g.began, g.now)
 	}
-	g.fleet = present{out: slices.Clone(ev.Out), unsure: ev.Unsure}
+	g.fleet = present{out: slices.Clone(ev.Absent), unsure: ev.IsUncertain}
 	for _, c := range g.customers {
 		c.dealt = false // doors and parts are dealt anew with its next request
 	}
--- a/admission/present_test.go
+++ b/admission/present_test.go
@@ -23,7 +23,7 @@
 				continue
 			}
 			f.id++
-			ev := RequestArrived{ID: f.id, Plan: hard, Customer: 7, ExpiresIn: time.Second, Units: 1, Doors: len(f.doors)}
+			ev := RequestArrived{ID: f.id, Plan: hard, Customer: 7, ExpiresIn: time.Second, Units: 1, Gateways: len(f.doors)}
 			for _, s := range find[Send](append([]Action(nil), d.g.Handle(now, ev)...)) {
 				sent++
 				d.g.Handle(now, AttemptEnded{ID: s.ID, Server: s.Server, Outcome: OK, Took: ms, Done: true})
@@ -45,7 +45,7 @@
 		f := newFleet(t, 4, 4)
 		sum, fill := 0.0, 0.0
 		for me, d := range f.doors {
-			d.g.Handle(d.now, FleetChanged{Out: out})
+			d.g.Handle(d.now, FleetChanged{Absent: out})
 			c := d.g.customer(7, hard, 4, 1)
 			if c.doors != float64(4-len(out)) {
 				t.Errorf("out %v: %v doors", out, c.doors)
@@ -69,7 +69,7 @@
 func TestAnUnsureGatewayHasNoPartOfACeiling(t *testing.T) {
 	f := ceilingFleet(t, 2)
 	now := f.doors[0].now
-	told(f, now, FleetChanged{Unsure: true}, 0, 1)
+	told(f, now, FleetChanged{IsUncertain: true}, 0, 1)
 	if n := ceilingSent(f, now+time.Second, now+3*time.Second, -1); n != 0 {
 		t.Errorf("%d sent by unsure gateways", n)
 	}
@@ -92,7 +92,7 @@
 	if spent < 18*17 {
 		t.Fatalf("%d sent in 19 s", spent)
 	}
-	told(f, now+20*time.Second, FleetChanged{Out: []int{2}}, 0, 1)
+	told(f, now+20*time.Second, FleetChanged{Absent: []int{2}}, 0, 1)
 	n := ceilingSent(f, now+20*time.Second, now+30*time.Second, 2)
 	if n < 18*10-6 || n > 18*10+6 {
 		t.Errorf("%d sent by two doors in 10 s at 18 a second", n)
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -100,7 +100,7 @@
 	g.calls[name] = append(g.calls[name], k)
 	g.callRate += callGain
 	keep := time.Duration(keepWindows * float64(k.l.span))
-	g.do(CounterAdd{Name: name, By: k.by, Keep: min(keep, time.Minute)})
+	g.do(CounterAdd{Name: name, Delta: k.by, TTL: min(keep, time.Minute)})
 }
 
 // ask makes the ordinary path's call for a request on one ledger.
@@ -145,10 +145,10 @@
 		g.route(r)
 		return
 	}
-	c := g.customer(ev.Customer, ev.Plan, ev.Doors, ev.FirstDoor)
+	c := g.customer(ev.Customer, ev.Plan, ev.Gateways, ev.FirstGateway)
 	r.cust = c
 	if g.rng.Float64() >= math.Pow(g.mix.Level(g.shed, g.admit), g.shed[r.ci]) {
-		g.giveUp(r, Shed)
+		g.giveUp(r, ReasonLoadShed)
 		return
 	}
 	p := c.plan
@@ -157,7 +157,7 @@
 		g.decide(r, true, 1)
 		return
 	}
-	if p.Rate <= 0 && p.AtOnce <= 0 || !g.s.HasCounter {
+	if p.Rate <= 0 && p.MaxInFlight <= 0 || !g.s.HasCounter {
 		g.decideAlone(r)
 		return
 	}
@@ -166,7 +166,7 @@
 	if !g.open {
 		g.asked += askedGain * (g.askShare - g.asked)
 	}
-	known := p.Rate > 0 && c.level < surelyOver*r.units || p.AtOnce > 0 && c.out >= p.AtOnce ||
+	known := p.Rate > 0 && c.level < surelyOver*r.units || p.MaxInFlight > 0 && c.out >= p.MaxInFlight ||
 		c.sparse(r.units) && g.rng.Float64() >= g.fits(c)/thinBelow
 	if known && g.callRate > askFloor*g.askShare && !g.open {
 		g.decide(r, true, 1)
@@ -189,7 +189,7 @@
 	} else if p.Rate > 0 {
 		g.ask(r, &c.rate, r.units/share)
 	}
-	if p.AtOnce > 0 {
+	if p.MaxInFlight > 0 {
 		g.ask(r, g.capLedger(c), 1/share)
 	}
 	if probing {
@@ -215,7 +215,7 @@
 func (p Plan) window() time.Duration { return seconds(p.Burst / p.Rate) }
 
 // stake is what a wrong answer costs on a plan, over the worth of a request.
-func (p Plan) stake() float64 { return p.Price * (1 + p.OverCost - p.OverWorth) }
+func (p Plan) stake() float64 { return p.WorthFactor * (1 + p.OverQuotaCost - p.OverQuotaWorth) }
 
 // answered takes the answer of a counter call; for one name they come in the order of calls.
 func (g *Gateway) answered(ev CounterAnswered) {
@@ -279,7 +279,7 @@
 		r.shown = total <= c.shows && total >= k.own && // less, and the counter has lost its memory
 			g.now >= g.settled[c.index]
 	} else if l == &c.gauge {
-		over := total-k.own+1 > float64(c.plan.AtOnce)
+		over := total-k.own+1 > float64(c.plan.MaxInFlight)
 		r.over = r.over || over
 		if c.fit -= fitGain * c.fit; !over {
 			c.fit += fitGain
@@ -296,7 +296,7 @@
 func (g *Gateway) decide(r *request, over bool, heft float64) {
 	c := r.cust
 	if r.detach(); over {
-		g.refuse(r, g.untilWindow(c), OverQuota)
+		g.refuse(r, g.untilWindow(c), ReasonOverQuota)
 		return
 	}
 	g.charge(r, heft)
--- a/admission/readout.go
+++ b/admission/readout.go
@@ -4,8 +4,8 @@
 
 // What operators are told of the module. Nothing here decides.
 
-// Avoided tells how many servers of the list get nothing now: those that drain, are ejected, silent or away.
-func (g *Gateway) Avoided(now time.Duration) (n int) {
+// AvoidedServers tells how many servers of the list get nothing now: those that drain, are ejected, silent or away.
+func (g *Gateway) AvoidedServers(now time.Duration) (n int) {
 	g.now = max(g.now, now)
 	for _, s := range g.ring {
 		if s.State == Draining || s.State == Up && (g.shunned(s) || s.broken >= awayAt) {
--- a/admission/servers.go
+++ b/admission/servers.go
@@ -51,7 +51,7 @@
 
 func (g *Gateway) list(ev ServerList) {
 	if ev.Kind == ListFailed {
-		if g.s.MustAsk {
+		if g.s.MustSubscribe {
 			g.do(Subscribe{On: true})
 		}
 		return
@@ -66,12 +66,12 @@
 func (g *Gateway) rank() {
 	up := slices.DeleteFunc(slices.Clone(g.ring), func(s *server) bool { return s.State != Up })
 	g.near = SubsetSize(len(up), g.s.Gateways)
-	g.order = rendezvous.Sort(up, func(s *server) string { return s.Name }, g.s.Me, g.s.Gateways, g.near)
+	g.order = rendezvous.Sort(up, func(s *server) string { return s.Name }, g.s.Index, g.s.Gateways, g.near)
 }
 
 // warmth is the part of its capacity that a server surely has.
 func (g *Gateway) warmth(s *server) float64 {
-	return estimate.Warmth(g.now, s.coldAt, g.s.ColdFor, g.s.ColdFrom)
+	return estimate.Warmth(g.now, s.coldAt, g.s.WarmUpTime, g.s.InitialCapacity)
 }
 
 // lotAllows: slow start by lots. Each attempt draws one place among those that a door uses; a cold server
@@ -124,7 +124,7 @@
 // slowness is a server's latency over the usual. Of one not heard it goes back to 1: else none would be asked
 // where all were slow, and nobody hear that they are not.
 func (s *server) slowness(now time.Duration) float64 {
-	return 1 + (s.resp-1)*estimate.Fade(now-max(s.heard, s.ejected), respMemory)
+	return 1 + (s.resp-1)*estimate.Decay(now-max(s.heard, s.ejected), respMemory)
 }
 
 // outlier tells whether a server is slow beside the others in use here: its lateness is then its own.
@@ -172,7 +172,7 @@
 		turned := s.turnedBy(g.now)
 		cost := (s.slowness(g.now)*(n+1) + turned*s.turnTook/g.usual) / (1 - turned)
 		if s.Zone != g.s.Zone {
-			cost *= 1 + zonePenalty*g.s.CrossZone
+			cost *= 1 + zonePenalty*g.s.CrossZoneCost
 		}
 		if cost *= 1 + jitter*g.rng.Float64(); cost < least {
 			best, least = s, cost
--- a/admission/size_test.go
+++ b/admission/size_test.go
@@ -14,8 +14,8 @@
 func sized() Settings {
 	s := base()
 	s.Gateways = 400
-	s.Plans[rate].OverCost, s.Plans[rate].Price = 1, 1
-	s.Plans[openPlan].OverCost, s.Plans[openPlan].Price = 1, 1
+	s.Plans[rate].OverQuotaCost, s.Plans[rate].WorthFactor = 1, 1
+	s.Plans[openPlan].OverQuotaCost, s.Plans[openPlan].WorthFactor = 1, 1
 	return s
 }
 
@@ -60,7 +60,7 @@
 
 func TestACrowdedCounterIsAskedWhereMostIsAtStake(t *testing.T) {
 	s := sized()
-	s.Plans[openPlan].OverCost, s.Plans[openPlan].OverWorth = 0, 0.3
+	s.Plans[openPlan].OverQuotaCost, s.Plans[openPlan].OverQuotaWorth = 0, 0.3
 	d := newDesk(t, s, "s1")
 	d.g.askShare = 0.3
 	if dear, cheap := d.g.asking(rate), d.g.asking(openPlan); dear != 0.3 || cheap >= 0.2 {
@@ -153,7 +153,7 @@
 		t.Errorf("given up on after its aim, told to come back after %v", no.RetryAfter)
 	}
 	s := sized()
-	s.Classes[0].LateShare = 0.2
+	s.Classes[0].LateWorth = 0.2
 	d = newDesk(t, s, "s1")
 	d.g.budget = 0
 	d.ask(1, 0, free, 1)
@@ -164,8 +164,8 @@
 
 func TestWhatCantBeAnsweredBeforeItsClientGoesIsRefusedAtOnce(t *testing.T) {
 	d := newDesk(t, sized(), "s1")
-	d.g.stats[0] = estimate.Work{Took: 0.3, Units: 1}
-	d.do(RequestArrived{ID: 1, Class: 0, Plan: free, Customer: 5, ExpiresIn: 200 * ms, Units: 1, Doors: 2})
+	d.g.stats[0] = estimate.LatencyModel{Latency: 0.3, Units: 1}
+	d.do(RequestArrived{ID: 1, Class: 0, Plan: free, Customer: 5, ExpiresIn: 200 * ms, Units: 1, Gateways: 2})
 	none[Send](d)
 	one[Refuse](d)
 }
@@ -174,7 +174,7 @@
 	d := newDesk(t, base(), "s1")
 	d.ask(1, 0, openPlan, 1)
 	add := one[CounterAdd](d)
-	d.do(CounterAnswered{Name: add.Name, Total: add.By, Took: 2 * ms})
+	d.do(CounterAnswered{Name: add.Name, Total: add.Delta, Took: 2 * ms})
 	one[Send](d)
 	d.do(ClientLeft{ID: 1})
 	off := one[Cancel](d)
@@ -207,7 +207,7 @@
 	d := newDesk(t, sized(), "s1")
 	d.g.askShare = 0.05 // an asked request stands for ten that did not ask, more than the burst
 	for id := uint64(1); ; id++ {
-		d.do(RequestArrived{ID: id, Class: 0, Plan: rate, Customer: id, ExpiresIn: time.Second, Units: 1, Doors: 300})
+		d.do(RequestArrived{ID: id, Class: 0, Plan: rate, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 300})
 		got := d.look()
 		adds := find[CounterAdd](got)
 		if len(adds) == 0 {
@@ -217,10 +217,10 @@
 			d.look()
 			continue
 		}
-		if adds[0].By <= d.g.s.Plans[rate].Burst {
-			t.Fatalf("adds only %v", adds[0].By)
+		if adds[0].Delta <= d.g.s.Plans[rate].Burst {
+			t.Fatalf("adds only %v", adds[0].Delta)
 		}
-		d.do(CounterAnswered{Name: adds[0].Name, Total: adds[0].By, Took: ms})
+		d.do(CounterAnswered{Name: adds[0].Name, Total: adds[0].Delta, Took: ms})
 		one[Send](d)
 		if p := d.g.pressOf(d.g.customers[id]); p > pressFirst {
 			t.Errorf("alone in its window, a request makes its customer ask %.2f of what fits", p)
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -12,15 +12,15 @@
 
 // settled are settings in which every part of the module has something to do.
 func settled() Settings {
-	return Settings{Gateways: 3, Me: 1, Zone: "a", Tick: ms, HasCounter: true, CounterLimit: 30 * ms, MaxUnits: 1,
-		MaxAttempts: 3, MaxRetryAfter: time.Second, RetryAfter: true, CanCancel: true, ColdFor: 5 * time.Second, ColdFrom: 0.2,
+	return Settings{Gateways: 3, Index: 1, Zone: "a", Tick: ms, HasCounter: true, CounterTimeout: 30 * ms, MaxUnits: 1,
+		MaxAttempts: 3, MaxRetryAfter: time.Second, CanSendRetryAfter: true, CanCancel: true, WarmUpTime: 5 * time.Second, InitialCapacity: 0.2,
 		Classes: []Class{
-			{Name: "stock", Aim: 300 * ms, Deadline: time.Second, Worth: 3, Effect: Safe},
-			{Name: "order", Aim: 300 * ms, Deadline: time.Second, Worth: 2, Effect: Keyed, Scope: ScopeCell, RepeatWindow: time.Second},
-			{Name: "pay", Aim: 300 * ms, Deadline: time.Second, Worth: 2, Effect: Unsafe}},
-		Plans: []Plan{{Name: "boutique", Rate: 2, Burst: 8, Price: 1, OverWorth: 0.1},
-			{Name: "distributeur", Rate: 5, Burst: 10, Price: 1, OverCost: 1, CeilingRate: 10, CeilingBurst: 20, CeilingSlack: 2},
-			{Name: "open", AtOnce: 2, Price: 1}}}
+			{Name: "stock", LatencyTarget: 300 * ms, Deadline: time.Second, Worth: 3, Effect: Safe},
+			{Name: "order", LatencyTarget: 300 * ms, Deadline: time.Second, Worth: 2, Effect: Keyed, Scope: ScopeCell, RepeatWindow: time.Second},
+			{Name: "pay", LatencyTarget: 300 * ms, Deadline: time.Second, Worth: 2, Effect: Unsafe}},
+		Plans: []Plan{{Name: "boutique", Rate: 2, Burst: 8, WorthFactor: 1, OverQuotaWorth: 0.1},
+			{Name: "distributeur", Rate: 5, Burst: 10, WorthFactor: 1, OverQuotaCost: 1, CeilingRate: 10, CeilingBurst: 20, CeilingSlack: 2},
+			{Name: "open", MaxInFlight: 2, WorthFactor: 1}}}
 }
 
 // peer drives a gateway: it knows what is out and so what may happen next.
@@ -83,7 +83,7 @@
 	p.next++
 	plan := rapid.IntRange(-1, 2).Draw(t, "plan")
 	return RequestArrived{ID: p.next, Class: rapid.IntRange(0, 2).Draw(t, "class"), Plan: plan,
-		Customer: rapid.Uint64Range(1, 3).Draw(t, "customer")*10 + uint64(plan+1), ExpiresIn: time.Second, Units: 1, Doors: 2}
+		Customer: rapid.Uint64Range(1, 3).Draw(t, "customer")*10 + uint64(plan+1), ExpiresIn: time.Second, Units: 1, Gateways: 2}
 }
 
 func started(t require.TestingT) *peer {
@@ -108,7 +108,7 @@
 		require.True(t, ok)
 		twin.PutCustomer(c)
 	}
-	require.NoError(t, twin.Resume(st))
+	require.NoError(t, twin.Restore(st))
 	return twin
 }
 
@@ -150,7 +150,7 @@
 		for _, id := range p.g.Customers(0) {
 			before[id], _ = p.g.Customer(id)
 		}
-		for _, id := range p.g.Unsettled() {
+		for _, id := range p.g.ActiveCustomers() {
 			delete(before, id)
 		}
 		for range 40 {
@@ -176,7 +176,7 @@
 		began, sent := p.now, 0.0
 		arrive := func() Event {
 			p.next++
-			return RequestArrived{ID: p.next, Class: 0, Plan: 1, Customer: 9, ExpiresIn: time.Second, Units: 1, Doors: 2}
+			return RequestArrived{ID: p.next, Class: 0, Plan: 1, Customer: 9, ExpiresIn: time.Second, Units: 1, Gateways: 2}
 		}
 		count := func(actions []Action) []Action {
 			for _, a := range actions {
@@ -217,11 +217,11 @@
 			}
 			for _, s := range p.sends {
 				if s.ID <= theirs {
-					p.g.PredecessorAttempt(p.now, AttemptEnded{ID: s.ID, Attempt: s.Attempt, Outcome: OK, Took: 20 * ms})
+					p.g.PredecessorAttemptEnded(p.now, AttemptEnded{ID: s.ID, Attempt: s.Attempt, Outcome: OK, Took: 20 * ms})
 				}
 			}
 			p.take(p.g.PredecessorGone(p.now))
-			require.Zero(t, p.g.Predecessors())
+			require.Zero(t, p.g.PredecessorRequests())
 			p.adds, p.sends = nil, nil
 		}
 	})
@@ -236,19 +236,19 @@
 	next.Adopt(p.now)
 	require.Len(t, next.servers[at].out, 1)
 	require.Equal(t, 1.0, next.live)
-	next.PredecessorAttempt(p.now, AttemptEnded{ID: 1, Outcome: OK, Took: 10 * ms})
+	next.PredecessorAttemptEnded(p.now, AttemptEnded{ID: 1, Outcome: OK, Took: 10 * ms})
 	require.Empty(t, next.servers[at].out)
 	require.Zero(t, next.live)
-	require.Equal(t, 1, next.Predecessors())
+	require.Equal(t, 1, next.PredecessorRequests())
 	next.PredecessorDone(p.now, 1)
-	require.Zero(t, next.Predecessors())
+	require.Zero(t, next.PredecessorRequests())
 }
 
 // A reclaimed gateway does not know what its successor has sent: it must not send that again.
 func TestAReclaimedGatewayBeginsWithEmptyCeilings(t *testing.T) {
 	p := started(t)
 	arrive := func(id uint64) []Action {
-		return p.take(p.g.Handle(p.now, RequestArrived{ID: id, Class: 0, Plan: 1, Customer: 9, ExpiresIn: time.Second, Units: 1, Doors: 3}))
+		return p.take(p.g.Handle(p.now, RequestArrived{ID: id, Class: 0, Plan: 1, Customer: 9, ExpiresIn: time.Second, Units: 1, Gateways: 3}))
 	}
 	arrive(1)
 	p.now += 10 * time.Second
@@ -262,12 +262,12 @@
 	p := started(t)
 	for id := range uint64(4) { // as many as the cell's two servers are let hold
 		got := p.take(p.g.Handle(p.now, RequestArrived{ID: id + 1, Class: 1, Plan: -1, ExpiresIn: time.Second, Units: 1,
-			Earlier: &Earlier{Server: "gone", Zone: "a", Cell: 1, At: p.now - 500*ms}}))
+			PriorAttempt: &PriorAttempt{Server: "gone", Zone: "a", Cell: 1, SentAt: p.now - 500*ms}}))
 		require.IsType(t, Send{}, got[0])
 		require.Contains(t, []string{"s2", "s3"}, got[0].(Send).Server)
 	}
 	p.now += time.Second
 	got := p.take(p.g.Handle(p.now, RequestArrived{ID: 90, Class: 1, Plan: -1, ExpiresIn: time.Second, Units: 1,
-		Earlier: &Earlier{Server: "s2", Zone: "a", Cell: 1, At: p.now - time.Second}}))
+		PriorAttempt: &PriorAttempt{Server: "s2", Zone: "a", Cell: 1, SentAt: p.now - time.Second}}))
 	require.IsType(t, Fail{}, got[0], "the window is over")
 }
--- a/admission/starve_test.go
+++ b/admission/starve_test.go
@@ -61,7 +61,7 @@
 	}
 	for me := range gateways {
 		s := base()
-		s.Classes, s.Gateways, s.Me = classes, gateways, me
+		s.Classes, s.Gateways, s.Index = classes, gateways, me
 		d := newDesk(t, s)
 		d.do(list)
 		w.doors = append(w.doors, d)
@@ -87,7 +87,7 @@
 		}
 	}
 	w.hosts[name].how = func(took time.Duration) (Outcome, time.Duration) {
-		return OK, time.Duration(float64(took) / estimate.Warmth(w.now, boot, s.ColdFor, s.ColdFrom))
+		return OK, time.Duration(float64(took) / estimate.Warmth(w.now, boot, s.WarmUpTime, s.InitialCapacity))
 	}
 	for me := range w.doors {
 		list := w.list
@@ -131,7 +131,7 @@
 	}
 	r := w.doors[me].g.requests[a.ID]
 	n, class, began := len(r.tries)-1, r.ci, w.now
-	h, work := w.hosts[a.Server], r.class.Aim/8
+	h, work := w.hosts[a.Server], r.class.LatencyTarget/8
 	slot := 0
 	for i, free := range h.free {
 		if free < h.free[slot] {
@@ -186,8 +186,8 @@
 		if me >= len(w.doors) {
 			me = (me - len(w.doors)) % w.heavy
 		}
-		w.tell(me, RequestArrived{ID: uint64(w.n), Class: class, Plan: free, Customer: uint64(w.n), Units: 1, Doors: 1,
-			FirstDoor: me, ExpiresIn: w.doors[0].g.s.Classes[class].Deadline})
+		w.tell(me, RequestArrived{ID: uint64(w.n), Class: class, Plan: free, Customer: uint64(w.n), Units: 1, Gateways: 1,
+			FirstGateway: me, ExpiresIn: w.doors[0].g.s.Classes[class].Deadline})
 	}
 }
 
@@ -197,7 +197,7 @@
 	shares  []float64
 } {
 	class := func(worth float64, aim time.Duration, effect Effect) Class {
-		c := Class{Aim: aim, Deadline: 2 * aim, Worth: worth, Effect: effect}
+		c := Class{LatencyTarget: aim, Deadline: 2 * aim, Worth: worth, Effect: effect}
 		if effect == Keyed {
 			c.Scope, c.RepeatWindow = ScopeCell, 2*time.Second
 		}
@@ -238,7 +238,7 @@
 			t.Parallel()
 			work := 0.0
 			for i, c := range k.classes {
-				work += k.shares[i] * c.Aim.Seconds() / 8
+				work += k.shares[i] * c.LatencyTarget.Seconds() / 8
 			}
 			rate := 0.4 * hosts * slots / work
 			for trouble, how := range troubles {
--- a/admission/successor.go
+++ b/admission/successor.go
@@ -36,7 +36,7 @@
 	g.budget = max(0, g.budget-float64(len(g.requests)))
 	g.started = true
 	g.timer(timerSweep, 0, g.now+sweepEvery)
-	if g.s.MustAsk {
+	if g.s.MustSubscribe {
 		g.do(Subscribe{On: true})
 	}
 	return g.out
@@ -76,8 +76,8 @@
 	g.begin(r, g.server(name))
 }
 
-// PredecessorAttempt: an attempt of the predecessor's has ended. It tells of its server as one of ours does.
-func (g *Gateway) PredecessorAttempt(now time.Duration, ev AttemptEnded) {
+// PredecessorAttemptEnded: an attempt of the predecessor's has ended. It tells of its server as one of ours does.
+func (g *Gateway) PredecessorAttemptEnded(now time.Duration, ev AttemptEnded) {
 	g.now = max(now, g.now)
 	if r := g.requests[ev.ID]; r != nil && r.theirs {
 		g.over(r, ev)
@@ -112,8 +112,8 @@
 	return g.out
 }
 
-// Predecessors tells how many requests of the predecessor's are not over.
-func (g *Gateway) Predecessors() (n int) {
+// PredecessorRequests tells how many requests of the predecessor's are not over.
+func (g *Gateway) PredecessorRequests() (n int) {
 	for _, r := range g.requests {
 		if r.theirs {
 			n++
--- a/admission/util.go
+++ b/admission/util.go
@@ -21,22 +21,22 @@
 		return slices.ContainsFunc(vs, func(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) || v < 0 })
 	}
 	switch {
-	case s.Gateways < 1 || s.Me < 0 || s.Me >= s.Gateways:
-		return fmt.Errorf("settings: number %d of %d gateways", s.Me, s.Gateways)
-	case min(s.Tick, s.CounterLimit, s.ColdFor, s.TipTime, s.DrainGrace) < 0:
+	case s.Gateways < 1 || s.Index < 0 || s.Index >= s.Gateways:
+		return fmt.Errorf("settings: number %d of %d gateways", s.Index, s.Gateways)
+	case min(s.Tick, s.CounterTimeout, s.WarmUpTime, s.ColdOverloadTime, s.DrainGrace) < 0:
 		return errors.New("settings: a negative time")
 	case len(s.Classes) == 0 || s.MaxAttempts < 0 || s.MaxUnits < 0:
 		return errors.New("settings: no classes, or a negative count")
-	case bad(s.ColdFrom, 1-s.ColdFrom, s.TipMultiple, s.CrossZone):
+	case bad(s.InitialCapacity, 1-s.InitialCapacity, s.ColdOverloadFactor, s.CrossZoneCost):
 		return errors.New("settings: cold share, tip multiple or zone price out of range")
 	}
 	for _, c := range s.Classes {
-		if min(c.Aim, c.Deadline, c.RepeatWindow) < 0 || bad(c.Worth) {
+		if min(c.LatencyTarget, c.Deadline, c.RepeatWindow) < 0 || bad(c.Worth) {
 			return fmt.Errorf("settings: class %q has a negative time or worth", c.Name)
 		}
 	}
 	for _, p := range s.Plans {
-		if bad(p.Rate, p.Burst, float64(p.AtOnce), p.CeilingRate, p.CeilingBurst, p.CeilingSlack) ||
+		if bad(p.Rate, p.Burst, float64(p.MaxInFlight), p.CeilingRate, p.CeilingBurst, p.CeilingSlack) ||
 			p.Rate > 0 && p.Burst == 0 {
 			return fmt.Errorf("settings: plan %q has a quota out of range", p.Name)
 		}
@@ -67,10 +67,10 @@
 	r := &request{id: ev.ID, class: &g.s.Classes[ev.Class], ci: ev.Class,
 		units: math.Max(1, float64(ev.Units)), at: g.now, deadline: g.now + ev.ExpiresIn,
 		lot: g.rng.Float64()}
-	r.due, r.open = min(r.at+r.class.Aim, r.deadline), ev.Open
-	if e := ev.Earlier; e != nil {
+	r.due, r.open = min(r.at+r.class.LatencyTarget, r.deadline), ev.IsPartial
+	if e := ev.PriorAttempt; e != nil {
 		there := ServerEntry{Name: e.Server, Zone: e.Zone, Cell: e.Cell}
-		r.maybe, r.maybeAt = &server{ServerEntry: there}, e.At
+		r.maybe, r.maybeAt = &server{ServerEntry: there}, e.SentAt
 	}
 	g.requests[ev.ID] = r
 	g.mix.Learn(r.ci, mixGain)
@@ -145,13 +145,15 @@
 	t.live = false
 	r.live--
 	g.live--
-	r.gone = ev.Gone
+	r.gone = ev.NotReplayable
 	g.observe(t, r, ev)
 	return t
 }
 
 // most is for how many seconds at the most an answer of a class is of use.
-func (c *Class) most() float64 { return min(c.Aim, cmp.Or(c.Deadline, c.Aim)).Seconds() }
+func (c *Class) most() float64 {
+	return min(c.LatencyTarget, cmp.Or(c.Deadline, c.LatencyTarget)).Seconds()
+}
 
 // detach lets go of the calls not answered yet: their answers decide nothing any more.
 func (r *request) detach() {
@@ -192,7 +194,7 @@
 }
 
 func (d *decaying) rate(now time.Duration, memory float64) float64 {
-	return d.n * estimate.Fade(now-d.at, memory) / memory
+	return d.n * estimate.Decay(now-d.at, memory) / memory
 }
 
 // An evidence is how much was asked, in seconds' worth of what fits, over how many seconds looked at; both
@@ -203,7 +205,7 @@
 }
 
 func (e *evidence) fade(now time.Duration, memory float64) {
-	f := estimate.Fade(now-e.at, memory)
+	f := estimate.Decay(now-e.at, memory)
 	e.asked, e.span, e.at = e.asked*f, e.span*f, now
 }
 
@@ -285,15 +287,15 @@
 // A server as this gateway sees it.
 type server struct {
 	ServerEntry
-	coldAt         time.Duration   // start of its warming up, 0: long ago
-	resp           float64         // EWMA of its latency over the usual
-	out            []time.Duration // send times of what it holds of ours, in order
-	heard, ejected time.Duration   // last sign of life; kept off until
-	bad            int             // failures in a row
-	errors, broken int             // errors, and connections lost, since its last good answer
-	turned         estimate.Fading // part of what it gets that it turns away...
-	turnTook       float64         // ...and after how many seconds, EWMA
-	thru           decaying        // answers
+	coldAt         time.Duration          // start of its warming up, 0: long ago
+	resp           float64                // EWMA of its latency over the usual
+	out            []time.Duration        // send times of what it holds of ours, in order
+	heard, ejected time.Duration          // last sign of life; kept off until
+	bad            int                    // failures in a row
+	errors, broken int                    // errors, and connections lost, since its last good answer
+	turned         estimate.FadingAverage // part of what it gets that it turns away...
+	turnTook       float64                // ...and after how many seconds, EWMA
+	thru           decaying               // answers
 }
 
 // A customer has a mirror of its quota's store (level): filled at the rate, drained by what the totals
--- a/admission/worth_test.go
+++ b/admission/worth_test.go
@@ -15,7 +15,7 @@
 // shapes are the classes of deployments in which worth and patience go together, and in which they do not.
 func shapes() map[string][]Class {
 	class := func(worth float64, aim time.Duration, effect Effect) Class {
-		return Class{Aim: aim, Deadline: 3 * time.Second, Worth: worth, Effect: effect}
+		return Class{LatencyTarget: aim, Deadline: 3 * time.Second, Worth: worth, Effect: effect}
 	}
 	return map[string][]Class{
 		"worth is hasty":   {class(1, 1200*ms, Safe), class(3, 800*ms, Unsafe)},
@@ -58,7 +58,7 @@
 		t.Run(name, func(t *testing.T) {
 			d := newShape(t, classes)
 			require.Equal(t, 6, d.fill(1, 0), "three at each, nobody else wants any")
-			require.Zero(t, d.g.short.V, "those of less worth that find none tell nothing")
+			require.Zero(t, d.g.short.Value, "those of less worth that find none tell nothing")
 			require.Zero(t, d.fill(100, 1))
 			d.settle()
 			low := d.fill(200, 0)
@@ -92,13 +92,13 @@
 				d.look()
 				return true
 			}
-			slow := classes[0].Aim * 4 / 10 // far over what it is left among others
+			slow := classes[0].LatencyTarget * 4 / 10 // far over what it is left among others
 			for id := range uint64(20) {
-				d.g.short = estimate.Fading{V: 1, At: d.now}
+				d.g.short = estimate.FadingAverage{Value: 1, At: d.now}
 				require.True(t, answer(id+1, slow))
 			}
 			for id := range uint64(400) {
-				d.g.short = estimate.Fading{V: 1, At: d.now}
+				d.g.short = estimate.FadingAverage{Value: 1, At: d.now}
 				require.True(t, answer(id+100, 50*ms))
 			}
 			require.GreaterOrEqual(t, d.fill(1000, 0), 2)
@@ -108,20 +108,20 @@
 
 // What would just make it if all went as expected is turned away while trying elsewhere is still of use.
 func TestAWaitHasToFitWithSomeToSpare(t *testing.T) {
-	d := newShape(t, []Class{{Aim: 450 * ms, Deadline: 3 * time.Second, Worth: 1}})
+	d := newShape(t, []Class{{LatencyTarget: 450 * ms, Deadline: 3 * time.Second, Worth: 1}})
 	require.Equal(t, 6, d.fill(1, 0), "three at each: a third is expected to take 300 ms, 390 with what it may vary")
-	d = newShape(t, []Class{{Aim: 350 * ms, Deadline: 3 * time.Second, Worth: 1}})
+	d = newShape(t, []Class{{LatencyTarget: 350 * ms, Deadline: 3 * time.Second, Worth: 1}})
 	require.Equal(t, 4, d.fill(1, 0), "two at each")
 }
 
 // A repeat that may have run can't be refused any more: it is let finish, whatever room is left for others.
 func TestWhatMayHaveRunIsNotHeldToTheRoomLeft(t *testing.T) {
-	d := newShape(t, []Class{{Aim: 800 * ms, Deadline: 3 * time.Second, Worth: 1, Effect: Keyed, Scope: ScopeZone,
-		RepeatWindow: 3 * time.Second}, {Aim: 800 * ms, Deadline: 3 * time.Second, Worth: 3}})
+	d := newShape(t, []Class{{LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Worth: 1, Effect: Keyed, Scope: ScopeZone,
+		RepeatWindow: 3 * time.Second}, {LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Worth: 3}})
 	for id := range uint64(6) {
-		d.g.short = estimate.Fading{V: 1, At: d.now}
-		d.do(RequestArrived{ID: id + 1, Plan: free, Customer: 5, ExpiresIn: 3 * time.Second, Units: 1, Doors: 2,
-			Earlier: &Earlier{Server: "gone", Zone: "a", At: d.now}})
+		d.g.short = estimate.FadingAverage{Value: 1, At: d.now}
+		d.do(RequestArrived{ID: id + 1, Plan: free, Customer: 5, ExpiresIn: 3 * time.Second, Units: 1, Gateways: 2,
+			PriorAttempt: &PriorAttempt{Server: "gone", Zone: "a", SentAt: d.now}})
 		one[Send](d)
 	}
 }
@@ -139,7 +139,7 @@
 		s := base()
 		s.Classes = nil
 		for _, w := range c.worth {
-			s.Classes = append(s.Classes, Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: w})
+			s.Classes = append(s.Classes, Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Worth: w})
 		}
 		g := newDesk(t, s, "a", "b").g
 		g.mix = c.share
@@ -157,7 +157,7 @@
 func TestWhatMoreWorthLackedIsForgotten(t *testing.T) {
 	for name, classes := range shapes() {
 		d := newShape(t, classes)
-		d.g.short = estimate.Fading{V: 1, At: d.now}
+		d.g.short = estimate.FadingAverage{Value: 1, At: d.now}
 		require.Less(t, d.fill(1, 0), 6, name)
 		d.settle()
 		d.wait(time.Minute)
@@ -169,7 +169,7 @@
 	d.do(SettingsChanged{Settings: s})
 	require.Greater(t, d.g.shed[1], 1.0)
 	s.Classes = append([]Class(nil), s.Classes...)
-	s.Classes[0].Gone = true
+	s.Classes[0].IsRemoved = true
 	d.do(SettingsChanged{Settings: s})
 	require.Equal(t, 1.0, d.g.shed[1], "the most that is left is the most")
 }
--- a/cmd/ferryfront/serve.go
+++ b/cmd/ferryfront/serve.go
@@ -101,7 +101,7 @@
 				return err
 			}
 			_, err = fmt.Fprintf(p.out, "%s: %d classes, %d plans, ingress %d of %d, %d upstream hosts known\n", cfg.Name,
-				len(cfg.Settings.Classes), len(cfg.Settings.Plans), cfg.Settings.Me, cfg.Settings.Gateways,
+				len(cfg.Settings.Classes), len(cfg.Settings.Plans), cfg.Settings.Index, cfg.Settings.Gateways,
 				len(cfg.Known.Entries))
 			return err
 		}}
--- a/internal/capacity/counter_sim.go
+++ b/internal/capacity/counter_sim.go
@@ -38,7 +38,7 @@
 	part.free = max(part.free, c.fleet.now) + c.work
 	took := part.free - c.fleet.now + counterWay
 	c.made++
-	c.totals[call.Name] += call.By
+	c.totals[call.Name] += call.Delta
 	if took > counterLimit {
 		c.late++
 		return 0, admission.TimedOut, counterLimit
@@ -116,5 +116,5 @@
 	}
 	number := random.IntN(tenantsPerIngress/plans)*plans + plan
 	return admission.RequestArrived{Class: classOf(random), Plan: plan, Customer: uint64(number*ingresses + first + 1),
-		Doors: spread, FirstDoor: first}
+		Gateways: spread, FirstGateway: first}
 }
--- a/internal/capacity/decision_load.go
+++ b/internal/capacity/decision_load.go
@@ -18,15 +18,15 @@
 // fleetSettings are those of one ingress of a fleet: its last, whose subset takes the most work to find.
 func fleetSettings(ingresses int) admission.Settings {
 	class := func(name string, effect admission.Effect, worth float64) admission.Class {
-		return admission.Class{Name: name, Aim: 1200 * time.Millisecond, Deadline: 3 * time.Second, Worth: worth,
+		return admission.Class{Name: name, LatencyTarget: 1200 * time.Millisecond, Deadline: 3 * time.Second, Worth: worth,
 			Effect: effect, Scope: admission.ScopeCell, RepeatWindow: 3 * time.Second}
 	}
-	return admission.Settings{Gateways: ingresses, Me: ingresses - 1, Zone: zoneOf(ingresses - 1),
+	return admission.Settings{Gateways: ingresses, Index: ingresses - 1, Zone: zoneOf(ingresses - 1),
 		Classes:   []admission.Class{class("stock", admission.Safe, 3), class("order", admission.Keyed, 2)},
-		Plans:     []admission.Plan{{Name: "boutique", Rate: 50, Burst: 200, Price: 1.2}},
-		CanCancel: true, MaxAttempts: 3, MaxUnits: 2, MaxRetryAfter: 2 * time.Second, RetryAfter: true,
-		DialLimit: 250 * time.Millisecond, AnswerSlack: 16 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
-		ColdFor: 8 * time.Second, ColdFrom: 0.2, TipMultiple: 2, TipTime: 3 * time.Second, CrossZone: 0.01}
+		Plans:     []admission.Plan{{Name: "boutique", Rate: 50, Burst: 200, WorthFactor: 1.2}},
+		CanCancel: true, MaxAttempts: 3, MaxUnits: 2, MaxRetryAfter: 2 * time.Second, CanSendRetryAfter: true,
+		DialTimeout: 250 * time.Millisecond, AnswerSlack: 16 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
+		WarmUpTime: 8 * time.Second, InitialCapacity: 0.2, ColdOverloadFactor: 2, ColdOverloadTime: 3 * time.Second, CrossZoneCost: 0.01}
 }
 
 // decisionLoad drives the decision module as the core does, in simulated time: every request is answered at once by
@@ -63,7 +63,7 @@
 		d.handle(admission.TimerFired{Token: token})
 	}
 	d.lastID++
-	d.handle(admission.RequestArrived{ID: d.lastID, Customer: d.lastID % uint64(d.tenants), Units: 1, Doors: 1,
+	d.handle(admission.RequestArrived{ID: d.lastID, Customer: d.lastID % uint64(d.tenants), Units: 1, Gateways: 1,
 		ExpiresIn: 3 * time.Second})
 }
 
--- a/internal/capacity/fleet_sim.go
+++ b/internal/capacity/fleet_sim.go
@@ -38,22 +38,22 @@
 // simulatedSettings are what the ingress me of a fleet is told.
 func simulatedSettings(ingresses, me int, hasCounter bool) admission.Settings {
 	class := func(name string, aim, deadline time.Duration, worth float64, effect admission.Effect) admission.Class {
-		return admission.Class{Name: name, Aim: aim, Deadline: deadline, Worth: worth, Effect: effect,
+		return admission.Class{Name: name, LatencyTarget: aim, Deadline: deadline, Worth: worth, Effect: effect,
 			Scope: admission.ScopeCell, RepeatWindow: 3 * time.Second}
 	}
-	return admission.Settings{Gateways: ingresses, Me: me, Zone: zoneOf(me), Tick: time.Millisecond,
+	return admission.Settings{Gateways: ingresses, Index: me, Zone: zoneOf(me), Tick: time.Millisecond,
 		Classes: []admission.Class{
 			class("stock", 1200*time.Millisecond, 3*time.Second, 3, admission.Safe),
 			class("catalogue", 600*time.Millisecond, 2*time.Second, 1, admission.Safe),
 			class("order", 1200*time.Millisecond, 3*time.Second, 2, admission.Keyed)},
 		Plans: []admission.Plan{
-			planRate: {Name: "boutique", Rate: planRateQuota, Burst: 4.9, Price: 1.2, OverWorth: 0.1},
-			planCeiling: {Name: "distributeur", Rate: planCeilingQuota, Burst: 18, Price: 1.6, OverCost: 1, CeilingRate: 17,
+			planRate: {Name: "boutique", Rate: planRateQuota, Burst: 4.9, WorthFactor: 1.2, OverQuotaWorth: 0.1},
+			planCeiling: {Name: "distributeur", Rate: planCeilingQuota, Burst: 18, WorthFactor: 1.6, OverQuotaCost: 1, CeilingRate: 17,
 				CeilingBurst: 40, CeilingSlack: 4}},
-		HasCounter: hasCounter, CounterLimit: counterLimit, MaxUnits: 2, MaxAttempts: 3, CanCancel: true,
-		RetryAfter: true, MaxRetryAfter: 2 * time.Second, DialLimit: 250 * time.Millisecond,
+		HasCounter: hasCounter, CounterTimeout: counterLimit, MaxUnits: 2, MaxAttempts: 3, CanCancel: true,
+		CanSendRetryAfter: true, MaxRetryAfter: 2 * time.Second, DialTimeout: 250 * time.Millisecond,
 		AnswerSlack: 16 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
-		ColdFor: coldFor, ColdFrom: coldFrom, TipMultiple: tipMultiple, TipTime: tipTime, CrossZone: 0.01}
+		WarmUpTime: coldFor, InitialCapacity: coldFrom, ColdOverloadFactor: tipMultiple, ColdOverloadTime: tipTime, CrossZoneCost: 0.01}
 }
 
 // classOf draws the class of a request by the shares that the brief states.
@@ -113,12 +113,12 @@
 		out: map[attemptKey]bool{}}
 	f.serve = func(int, string) (admission.Outcome, time.Duration) { return admission.OK, 100 * time.Millisecond }
 	for _, s := range settings {
-		g, err := admission.New(s, uint64(s.Me))
+		g, err := admission.New(s, uint64(s.Index))
 		if err != nil {
-			return nil, fmt.Errorf("ingress %d: %w", s.Me, err)
+			return nil, fmt.Errorf("ingress %d: %w", s.Index, err)
 		}
-		f.ingress[s.Me] = g
-		f.deliver(s.Me, admission.ServerList{Kind: admission.ListFull, Version: 1, Servers: servers})
+		f.ingress[s.Index] = g
+		f.deliver(s.Index, admission.ServerList{Kind: admission.ListFull, Version: 1, Servers: servers})
 	}
 	return f, nil
 }
--- a/internal/capacity/measure_counter.go
+++ b/internal/capacity/measure_counter.go
@@ -210,13 +210,13 @@
 			names[call.Name] = true
 			begun++
 		}
-		return call.By, admission.OK, counterServe
+		return call.Delta, admission.OK, counterServe
 	}
 	most := 0
 	for slot := range turnSlots {
 		begun = 0
 		for tenant := range tenants {
-			f.request(0, admission.RequestArrived{Plan: tenant % plans, Customer: uint64(tenant + 1), Doors: tenantSpread})
+			f.request(0, admission.RequestArrived{Plan: tenant % plans, Customer: uint64(tenant + 1), Gateways: tenantSpread})
 		}
 		f.run(turnSlot)
 		if slot > 0 { // in the first, every name is new
--- a/internal/capacity/measure_counter_test.go
+++ b/internal/capacity/measure_counter_test.go
@@ -42,7 +42,7 @@
 	require.NoError(t, err)
 	counter := &simulatedCounter{fleet: f, work: counterWork, totals: map[string]float64{}}
 	call := func() (float64, admission.Outcome) {
-		total, outcome, _ := counter.count(0, admission.CounterAdd{Name: "a", By: 1})
+		total, outcome, _ := counter.count(0, admission.CounterAdd{Name: "a", Delta: 1})
 		return total, outcome
 	}
 	inTime := 0
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -135,9 +135,9 @@
 		}
 	}
 	site := limits.Site{Sockets: r.Object("limits").Int("sockets"), MemoryMB: r.Object("limits").Int("memory_mb"),
-		IdleClose: set.Object("limits").Millis("idleClose"), DialLimit: c.Settings.DialLimit,
-		CounterLimit: c.Settings.CounterLimit, Gateways: c.Settings.Gateways, DrainGrace: c.Settings.DrainGrace,
-		Pushed: !c.Settings.MustAsk}
+		IdleClose: set.Object("limits").Millis("idleClose"), DialLimit: c.Settings.DialTimeout,
+		CounterLimit: c.Settings.CounterTimeout, Gateways: c.Settings.Gateways, DrainGrace: c.Settings.DrainGrace,
+		Pushed: !c.Settings.MustSubscribe}
 	for _, class := range c.Settings.Classes {
 		site.LongestDeadline = max(site.LongestDeadline, min(class.Deadline, 3*time.Second))
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -98,7 +98,7 @@
 	to, err := c.Under([]byte(shared))
 	require.NoError(t, err)
 	require.Equal(t, "n9", to.Name)
-	require.Equal(t, 1, to.Settings.Me)
+	require.Equal(t, 1, to.Settings.Index)
 	require.Equal(t, 1500*time.Millisecond, to.Settings.Classes[0].Deadline)
 	require.Equal(t, 2100*time.Millisecond, to.Limits.DrainMost)
 	require.Equal(t, c.Known, to.Known)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -157,11 +157,11 @@
 	ev.ID = c.lastID
 	ev.ExpiresIn = max(0, ev.ExpiresIn-c.margin)
 	if r.Order != "" {
-		ev.Earlier = c.orders.earlier(r.Order, c.now)
+		ev.PriorAttempt = c.orders.earlier(r.Order, c.now)
 		c.orders.begin(r.Order, ev.ID)
 	}
 	s := &stream{id: ev.ID, key: r.Key, order: r.Order, payload: r.Payload, owner: r.Owner, began: c.now, ends: c.now + ev.ExpiresIn,
-		class: ev.Class, plan: ev.Plan, customer: ev.Customer, retry: ev.Retry, window: window,
+		class: ev.Class, plan: ev.Plan, customer: ev.Customer, retry: ev.IsRetry, window: window,
 		trace: r.Trace}
 	c.streams[s.id] = s
 	c.open++
@@ -198,7 +198,7 @@
 		c.orders.unran(s.order, t.Host, t.Began)
 	}
 	ev := admission.AttemptEnded{ID: s.id, Attempt: ref.Attempt, Server: t.Host, Outcome: o, Took: t.Took, Done: s.closed,
-		Billed: a.Billed, Gone: gone(s.payload)}
+		Billed: a.Billed, NotReplayable: gone(s.payload)}
 	c.events = append(c.events, ev)
 	if c.witness != nil {
 		c.witness.AttemptEnded(ev, c.now)
--- a/internal/core/crossing_test.go
+++ b/internal/core/crossing_test.go
@@ -117,7 +117,7 @@
 			require.Equal(t, []string{"start h", "cancel", "start h"}, w.told)
 			again, ok := s.seen[len(s.seen)-1].(admission.RequestArrived)
 			require.True(t, ok)
-			require.Equal(t, "h", again.Earlier.Server)
+			require.Equal(t, "h", again.PriorAttempt.Server)
 		}
 	}
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -68,7 +68,7 @@
 	parked := c.parked
 	c.parked = nil
 	for _, a := range parked {
-		c.counter.Add(a.Name, a.By, a.Keep)
+		c.counter.Add(a.Name, a.Delta, a.TTL)
 	}
 }
 
--- a/internal/core/open.go
+++ b/internal/core/open.go
@@ -51,7 +51,7 @@
 			c.timers.Push(c.now+t.wait, due{kind: waitOver, ref: Ref{s.id, i}})
 		}
 	}
-	c.events = append(c.events, admission.RequestWhole{ID: id})
+	c.events = append(c.events, admission.RequestComplete{ID: id})
 }
 
 // Taken tells how many of the open streams' requests have wholly come.
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -56,9 +56,9 @@
 }
 
 // earlier tells where a key may have run, nil if nowhere that matters.
-func (o *orders) earlier(key string, now time.Duration) *admission.Earlier {
+func (o *orders) earlier(key string, now time.Duration) *admission.PriorAttempt {
 	if k := o.byKey[key]; k != nil && k.ran && now < k.until {
-		return &admission.Earlier{Server: k.host, Zone: k.place.zone, Cell: k.place.cell, At: k.at}
+		return &admission.PriorAttempt{Server: k.host, Zone: k.place.zone, Cell: k.place.cell, SentAt: k.at}
 	}
 	return nil
 }
--- a/internal/core/turn.go
+++ b/internal/core/turn.go
@@ -152,7 +152,7 @@
 		case c.parking:
 			c.parked = append(c.parked, a)
 		default:
-			c.counter.Add(a.Name, a.By, a.Keep)
+			c.counter.Add(a.Name, a.Delta, a.TTL)
 		}
 	case admission.Probe:
 		c.lastID++
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -67,7 +67,7 @@
 func (o adminHandler) Metrics(room []byte) []byte {
 	d := o.d
 	room = d.figures.Append(room, figures.Present{InFlight: d.core.Taken() + d.server.Relaying(), Listed: d.watcher.Listed(),
-		Down: d.module.Avoided(d.loop.Now())})
+		Down: d.module.AvoidedServers(d.loop.Now())})
 	room = figures.AppendRules(room, d.version())
 	if d.group != nil {
 		room = figures.AppendControl(room, d.group.figures(d.loop.Now()))
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -215,7 +215,7 @@
 	return onLoop(d, Status{Error: "the daemon does not answer"}, func() Status {
 		s := Status{Name: d.cfg.Name, Version: d.o.Version, Pid: os.Getpid(), Phase: d.pred.machine.State.String(),
 			Streams: d.core.Open(), Connections: d.server.Connections(), Upstreams: d.hosts.Connections(),
-			Customers: d.module.Known(), Control: d.controlStatus()}
+			Customers: d.module.CustomerCount(), Control: d.controlStatus()}
 		if d.trial() {
 			s.Phase = d.succ.machine.State.String()
 		}
--- a/internal/daemon/controlgroup.go
+++ b/internal/daemon/controlgroup.go
@@ -38,14 +38,14 @@
 	g := &controlGroup{d: d, share: true, inForce: map[string]versions.Version{}, waiting: map[proposal]*waiters{}}
 	g.openAgreement()
 	g.member = controlgroup.NewMember(controlgroup.MemberConfig{
-		ID: controlgroup.MemberID(d.cfg.Settings.Me),
+		ID: controlgroup.MemberID(d.cfg.Settings.Index),
 		// A later process must have the higher incarnation.
 		Incarnation: controlgroup.Incarnation(max(1, time.Now().UnixMilli())),
 		First:       g.files, Check: d.checkDocument, ReadyWait: d.cfg.Limits.ControlReadyWait}, now)
 	d.group = g
 	g.notifyShare(false, d.core.Tell)
 	g.client = controlclient.Open(d.loop, d.cfg.Limits, d.log, controlclient.Config{Replicas: d.o.ControlReplicas,
-		Number: d.cfg.Settings.Me, Seed: d.cfg.Seed + uint64(d.cfg.Settings.Me), Member: observedMember{g.member, g},
+		Number: d.cfg.Settings.Index, Seed: d.cfg.Seed + uint64(d.cfg.Settings.Index), Member: observedMember{g.member, g},
 		Changed: g.changed})
 	d.loop.OnTurnStart(g.turnStart)
 	g.changed(now)
@@ -137,9 +137,9 @@
 		return
 	}
 	g.share = holds
-	ev := admission.FleetChanged{Unsure: !holds}
+	ev := admission.FleetChanged{IsUncertain: !holds}
 	tell(ev)
-	g.d.log.Info("share of joint budgets", "settled", holds, "counted_out", fmt.Sprint(ev.Out))
+	g.d.log.Info("share of joint budgets", "settled", holds, "counted_out", fmt.Sprint(ev.Absent))
 }
 
 // logLease logs each change of the lease's state.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -217,7 +217,7 @@
 	}
 	d.told = cfg
 	// Every refusal tells when to come back, also where clients are not known to heed it.
-	cfg.Settings.RetryAfter = true
+	cfg.Settings.CanSendRetryAfter = true
 	d.cfg = cfg
 	// A front's file that is refused ends the start before anything is opened.
 	var file openapi.File
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -55,7 +55,7 @@
 
 func (d *Daemon) gossipSource(document string, first versions.Doc, check func([]byte) error, now time.Duration) gossipSource {
 	cfg, lim, me := d.cfg, d.cfg.Limits, d.members.me
-	node := versions.New(versions.Config{Me: me, Doc: document, Seed: cfg.Seed + uint64(cfg.Settings.Me),
+	node := versions.New(versions.Config{Me: me, Doc: document, Seed: cfg.Seed + uint64(cfg.Settings.Index),
 		Period: lim.MemberPeriod, AskAgain: lim.MemberAck, Check: check, TextMost: documentMost,
 		Lease:     time.Duration(cfg.Settings.Gateways+1) * lim.MemberPeriod,
 		PieceMost: membership.Datagram - versions.Overhead - len(document) - len(me)}, first, now)
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -36,7 +36,7 @@
 	case len(cfg.Peers) < cfg.Settings.Gateways:
 		return fmt.Errorf("peers holds %d addresses, and there are %d ingresses", len(cfg.Peers), cfg.Settings.Gateways)
 	}
-	me, now := cfg.Settings.Me, d.loop.Now()
+	me, now := cfg.Settings.Index, d.loop.Now()
 	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, Every: lim.MemberAck / 4, Change: d.membersChanged,
 		Mark: versions.Mark, Other: d.gossipReceived}
 	if d.o.Embedded != nil {
@@ -78,7 +78,7 @@
 func (d *Daemon) openMembersAgain() {
 	if err := d.openMembers(); err != nil {
 		d.log.Error("membership not joined", "error", err)
-		d.core.Tell(admission.FleetChanged{Unsure: true})
+		d.core.Tell(admission.FleetChanged{IsUncertain: true})
 	}
 }
 
@@ -121,16 +121,16 @@
 // shareChanged tells the module of a change in who shares joint budgets, by the view of the membership.
 func (d *Daemon) shareChanged(now time.Duration) {
 	m := d.members
-	ev := admission.FleetChanged{Unsure: !m.Node().Settled(now)}
+	ev := admission.FleetChanged{IsUncertain: !m.Node().Settled(now)}
 	for _, name := range m.Node().Absent(now) {
 		if i, err := strconv.Atoi(name); err == nil && i < d.cfg.Settings.Gateways {
-			ev.Out = append(ev.Out, i)
+			ev.Absent = append(ev.Absent, i)
 		}
 	}
-	if ev.Unsure != m.told.Unsure || !slices.Equal(ev.Out, m.told.Out) {
+	if ev.IsUncertain != m.told.IsUncertain || !slices.Equal(ev.Absent, m.told.Absent) {
 		m.told = ev
 		d.core.Tell(ev)
-		d.log.Info("share of joint budgets", "settled", !ev.Unsure, "counted_out", fmt.Sprint(ev.Out))
+		d.log.Info("share of joint budgets", "settled", !ev.IsUncertain, "counted_out", fmt.Sprint(ev.Absent))
 	}
 }
 
@@ -138,7 +138,7 @@
 func (d *Daemon) present(now time.Duration) figures.Fleet {
 	m := d.members
 	v, c := m.Node().View(), m.Counts()
-	f := figures.Fleet{Version: v.Version, Absent: len(m.told.Out), Settled: d.settled(now), Sent: c.Sent, Got: c.Got,
+	f := figures.Fleet{Version: v.Version, Absent: len(m.told.Absent), Settled: d.settled(now), Sent: c.Sent, Got: c.Got,
 		Dropped: c.Dropped}
 	for _, s := range membership.States {
 		f.States = append(f.States, figures.State{Name: s.String(), N: v.Count(s)})
@@ -168,7 +168,7 @@
 	}
 	v, c := m.Node().View(), m.Counts()
 	to.Enabled, to.Version = true, v.Version
-	to.Absent, to.Sent, to.Received, to.Dropped = append(to.Absent, m.told.Out...), c.Sent, c.Got, c.Dropped
+	to.Absent, to.Sent, to.Received, to.Dropped = append(to.Absent, m.told.Absent...), c.Sent, c.Got, c.Dropped
 	to.SentBytes, to.ReceivedBytes = c.SentBytes, c.GotBytes
 	for _, o := range v.Members {
 		to.Members = append(to.Members, Member{Name: o.Name, State: o.State.String(), Incarnation: o.Incarnation})
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -111,7 +111,7 @@
 		p.send(&pb.Envelope{Body: &pb.Envelope_Welcome{Welcome: &pb.Welcome{Protocol: phase.Protocol, Version: d.o.Version,
 			Name: d.cfg.Name, Listeners: d.server.Addresses()}}})
 	case phase.CopyAhead:
-		p.since, p.ids, p.unsettled = d.loop.Now(), d.module.Customers(0), d.module.Unsettled()
+		p.since, p.ids, p.unsettled = d.loop.Now(), d.module.Customers(0), d.module.ActiveCustomers()
 		p.copyAhead()
 	case phase.Freeze:
 		p.frozenAt = d.loop.Now()
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -64,7 +64,7 @@
 
 // follow goes on under other settings, and addresses.
 func (d *Daemon) follow(to config.Config) {
-	to.Settings.RetryAfter = true // as at the start
+	to.Settings.CanSendRetryAfter = true // as at the start
 	d.cfg.Settings, d.cfg.Limits.DrainMost = to.Settings, to.Limits.DrainMost
 	d.nameClasses()
 	d.core.Follow(d.loop.Now(), to.Settings)
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -183,7 +183,7 @@
 	case *pb.Envelope_Attempt:
 		if restored {
 			ev, at := handover.FromAttempt(m.Attempt)
-			d.module.PredecessorAttempt(now, ev)
+			d.module.PredecessorAttemptEnded(now, ev)
 			d.core.TheirsEnded(ev.ID, ev.Server, at-ev.Took, ev.Outcome)
 		}
 	case *pb.Envelope_Done:
@@ -271,10 +271,10 @@
 		return fmt.Errorf("%d listeners were told of and %d have come", len(names), len(s.listeners))
 	}
 	d.loop.SetOffset(time.Duration(s.snapshot.GetClockOffset()))
-	if err := d.module.Resume(handover.FromGateway(s.snapshot.GetGateway())); err != nil {
+	if err := d.module.Restore(handover.FromGateway(s.snapshot.GetGateway())); err != nil {
 		return err
 	}
-	s.customers = uint64(d.module.Known())
+	s.customers = uint64(d.module.CustomerCount())
 	now := d.loop.Now()
 	open := handover.FromOpen(s.snapshot)
 	d.core.Adopt(now, open, d.module.Adopt(now))
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -78,12 +78,12 @@
 func Open(s Streams, c *downstream.Conn, a admission.RequestArrived, r *http1.Request, o core.Owner) bool {
 	req := core.Request{RequestArrived: a, Key: r.Headers.Get("Request-Id"), Order: r.Headers.Get("Idempotency-Key"),
 		Owner: o, Open: r.Open}
-	req.RequestArrived.Open = r.Open
+	req.RequestArrived.IsPartial = r.Open
 	if !r.Open { // else its time has not begun
 		req.ExpiresIn = max(0, a.ExpiresIn-c.Waited())
 	}
 	m := Message(r)
-	m.Once = a.Write && req.Order == ""
+	m.Once = a.IsWrite && req.Order == ""
 	if s.Observed() {
 		req.Trace = trace(a.Customer, req.Order, r)
 		m.Trace = req.Trace
--- a/internal/front/openapi/openapi.go
+++ b/internal/front/openapi/openapi.go
@@ -50,7 +50,7 @@
 func (f *Front) Follow(set admission.Settings) {
 	f.settings, f.plans = set, map[string]int{}
 	for i, p := range set.Plans {
-		if !p.Gone {
+		if !p.IsRemoved {
 			f.plans[p.Name] = i
 		}
 	}
@@ -81,7 +81,7 @@
 		return
 	}
 	class := f.settings.Classes[m.Route.ClassIndex]
-	if class.Gone {
+	if class.IsRemoved {
 		problem(c, 404, nil, "class "+class.Name+" is not served any more")
 		return
 	}
@@ -113,8 +113,8 @@
 
 // read checks that the route's fields are there and takes what the decision needs.
 func (f *Front) read(r *http1.Request, rawQuery string, m routes.Match) (admission.RequestArrived, error) {
-	a := admission.RequestArrived{Class: m.Route.ClassIndex, Units: m.Route.Cost, Doors: f.settings.Gateways,
-		Write: r.Method != "GET"}
+	a := admission.RequestArrived{Class: m.Route.ClassIndex, Units: m.Route.Cost, Gateways: f.settings.Gateways,
+		IsWrite: r.Method != "GET"}
 	if err := front.Check(r); err != nil {
 		return a, err
 	}
@@ -168,7 +168,7 @@
 		a.ExpiresIn = time.Minute
 	}
 	if doors := get(f.file.Doors); doors != "" {
-		if err := front.Doors(doors, &f.settings, nil, &a.Doors, &a.FirstDoor); err != nil {
+		if err := front.Doors(doors, &f.settings, nil, &a.Gateways, &a.FirstGateway); err != nil {
 			return a, err
 		}
 	}
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -34,12 +34,12 @@
 func (f *Front) Follow(set admission.Settings) {
 	f.settings, f.classes, f.plans = set, map[string]int{}, map[string]int{}
 	for i, c := range set.Classes {
-		if !c.Gone {
+		if !c.IsRemoved {
 			f.classes[c.Name] = i
 		}
 	}
 	for i, p := range set.Plans {
-		if !p.Gone {
+		if !p.IsRemoved {
 			f.plans[p.Name] = i
 		}
 	}
@@ -69,10 +69,10 @@
 		return
 	}
 	// The class fixes the method. A write that passed for safe would be repeated.
-	if safe := f.settings.Classes[a.Class].Effect == admission.Safe; safe && a.Write {
+	if safe := f.settings.Classes[a.Class].Effect == admission.Safe; safe && a.IsWrite {
 		notAllowed(c, "GET")
 		return
-	} else if !safe && !a.Write {
+	} else if !safe && !a.IsWrite {
 		notAllowed(c, "POST")
 		return
 	}
@@ -112,7 +112,7 @@
 		return a, fmt.Errorf("Request-Class %q is not known", r.Headers.Get("Request-Class"))
 	}
 	class := &f.settings.Classes[a.Class]
-	a.Write = r.Method == "POST"
+	a.IsWrite = r.Method == "POST"
 	if class.Effect == admission.Keyed && r.Headers.Get("Idempotency-Key") == "" {
 		return a, fmt.Errorf("Idempotency-Key is missing")
 	}
@@ -137,11 +137,11 @@
 	if a.ExpiresIn == 0 {
 		a.ExpiresIn = time.Minute
 	}
-	a.Units, a.Doors, a.FirstDoor = 1, f.settings.Gateways, 0
-	if err := front.Doors(r.Headers.Get("X-Quota"), &f.settings, &a.Units, &a.Doors, &a.FirstDoor); err != nil {
+	a.Units, a.Gateways, a.FirstGateway = 1, f.settings.Gateways, 0
+	if err := front.Doors(r.Headers.Get("X-Quota"), &f.settings, &a.Units, &a.Gateways, &a.FirstGateway); err != nil {
 		return a, fmt.Errorf("X-Quota: %w", err)
 	}
-	a.Retry = r.Headers.Get("Client-Retry") == "1"
+	a.IsRetry = r.Headers.Get("Client-Retry") == "1"
 	return a, nil
 }
 
--- a/internal/front/routes/routes.go
+++ b/internal/front/routes/routes.go
@@ -95,7 +95,7 @@
 	if !ok {
 		return nil, fmt.Errorf("the method is not carried")
 	}
-	r := &Route{Spec: s, ClassIndex: slices.IndexFunc(set.Classes, func(c admission.Class) bool { return c.Name == s.Class && !c.Gone })}
+	r := &Route{Spec: s, ClassIndex: slices.IndexFunc(set.Classes, func(c admission.Class) bool { return c.Name == s.Class && !c.IsRemoved })}
 	if r.ClassIndex < 0 {
 		return nil, fmt.Errorf("class %q is not known", s.Class)
 	}
--- a/internal/handover/convert.go
+++ b/internal/handover/convert.go
@@ -16,44 +16,46 @@
 
 type d = time.Duration
 
-func decay(v admission.Decay) *pb.Decay { return &pb.Decay{N: v.N, At: int64(v.At)} }
+func decay(v admission.DecayingCount) *pb.Decay { return &pb.Decay{N: v.Count, At: int64(v.At)} }
 
-func fromDecay(v *pb.Decay) admission.Decay { return admission.Decay{N: v.GetN(), At: d(v.GetAt())} }
+func fromDecay(v *pb.Decay) admission.DecayingCount {
+	return admission.DecayingCount{Count: v.GetN(), At: d(v.GetAt())}
+}
 
-func seen(v admission.Seen) *pb.Seen {
-	return &pb.Seen{Asked: v.Asked, Span: v.Span, At: int64(v.At)}
+func seen(v admission.DemandState) *pb.Seen {
+	return &pb.Seen{Asked: v.Demand, Span: v.Observed, At: int64(v.At)}
 }
 
-func fromSeen(v *pb.Seen) admission.Seen {
-	return admission.Seen{Asked: v.GetAsked(), Span: v.GetSpan(), At: d(v.GetAt())}
+func fromSeen(v *pb.Seen) admission.DemandState {
+	return admission.DemandState{Demand: v.GetAsked(), Observed: v.GetSpan(), At: d(v.GetAt())}
 }
 
-func ledger(v admission.LedgerState) *pb.Ledger {
-	if v == (admission.LedgerState{}) {
+func ledger(v admission.WindowCounterState) *pb.Ledger {
+	if v == (admission.WindowCounterState{}) {
 		return nil
 	}
-	return &pb.Ledger{Span: int64(v.Span), Phase: int64(v.Phase), Window: v.Window, Seen: v.Seen, SeenAt: int64(v.SeenAt),
-		Fold: v.Fold}
+	return &pb.Ledger{Span: int64(v.Length), Phase: int64(v.Phase), Window: v.Window, Seen: v.LastTotal, SeenAt: int64(v.LastTotalAt),
+		Fold: v.Pending}
 }
 
-func fromLedger(v *pb.Ledger) admission.LedgerState {
-	return admission.LedgerState{Span: d(v.GetSpan()), Phase: d(v.GetPhase()), Window: v.GetWindow(), Seen: v.GetSeen(),
-		SeenAt: d(v.GetSeenAt()), Fold: v.GetFold()}
+func fromLedger(v *pb.Ledger) admission.WindowCounterState {
+	return admission.WindowCounterState{Length: d(v.GetSpan()), Phase: d(v.GetPhase()), Window: v.GetWindow(), LastTotal: v.GetSeen(),
+		LastTotalAt: d(v.GetSeenAt()), Pending: v.GetFold()}
 }
 
 // Customer makes a message of a customer.
 func Customer(c admission.CustomerState) *pb.Customer {
-	return &pb.Customer{Id: c.ID, Plan: c.Plan, Doors: c.Doors, Rate: ledger(c.Rate), Gauge: ledger(c.Gauge),
-		Demand: ledger(c.Demand), Press: seen(c.Press), Level: c.Level, Hard: c.Hard, Take: c.Take, Taken: c.Taken,
-		Used: int64(c.Used), LevelAt: int64(c.LevelAt), HardAt: int64(c.HardAt), Out: int64(c.Out), Reg: c.Reg, Fit: c.Fit}
+	return &pb.Customer{Id: c.ID, Plan: c.Plan, Doors: c.Gateways, Rate: ledger(c.QuotaCounter), Gauge: ledger(c.InFlightCounter),
+		Demand: ledger(c.DemandCounter), Press: seen(c.Demand), Level: c.QuotaTokens, Hard: c.CeilingTokens, Take: c.OthersRate, Taken: c.PredictedUsage,
+		Used: int64(c.LastSeen), LevelAt: int64(c.QuotaTokensAt), HardAt: int64(c.CeilingTokensAt), Out: int64(c.InFlight), Reg: c.InFlightCounted, Fit: c.UnderCapShare}
 }
 
 // FromCustomer is its inverse.
 func FromCustomer(c *pb.Customer) admission.CustomerState {
-	return admission.CustomerState{ID: c.GetId(), Plan: c.GetPlan(), Doors: c.GetDoors(), Rate: fromLedger(c.GetRate()),
-		Gauge: fromLedger(c.GetGauge()), Demand: fromLedger(c.GetDemand()), Press: fromSeen(c.GetPress()),
-		Level: c.GetLevel(), Hard: c.GetHard(), Take: c.GetTake(), Taken: c.GetTaken(), Used: d(c.GetUsed()),
-		LevelAt: d(c.GetLevelAt()), HardAt: d(c.GetHardAt()), Out: int(c.GetOut()), Reg: c.GetReg(), Fit: c.GetFit()}
+	return admission.CustomerState{ID: c.GetId(), Plan: c.GetPlan(), Gateways: c.GetDoors(), QuotaCounter: fromLedger(c.GetRate()),
+		InFlightCounter: fromLedger(c.GetGauge()), DemandCounter: fromLedger(c.GetDemand()), Demand: fromSeen(c.GetPress()),
+		QuotaTokens: c.GetLevel(), CeilingTokens: c.GetHard(), OthersRate: c.GetTake(), PredictedUsage: c.GetTaken(), LastSeen: d(c.GetUsed()),
+		QuotaTokensAt: d(c.GetLevelAt()), CeilingTokensAt: d(c.GetHardAt()), InFlight: int(c.GetOut()), InFlightCounted: c.GetReg(), UnderCapShare: c.GetFit()}
 }
 
 func host(e admission.ServerEntry, addr string) *pb.Host {
@@ -68,86 +70,86 @@
 
 // Gateway makes a message of the module's state.
 func Gateway(s admission.State) *pb.Gateway {
-	g := &pb.Gateway{Now: int64(s.Now), Began: int64(s.Began), Started: s.Started, Random: s.Random, Logs: int64(s.Logs),
-		Failures: int64(s.Failures), Open: s.Open, NextProbe: int64(s.NextProbe), AnsweredAt: int64(s.AnsweredAt),
-		Ease: int64(s.Ease), CallRate: s.CallRate, AskShare: s.AskShare, Asked: s.Asked, HoldAt: int64(s.HoldAt),
-		Budget: s.Budget, Served: decay(s.Served), Unheard: s.Unheard, Usual: s.Usual, OutFor: s.OutFor, Admit: s.Admit,
-		Held: s.Held, LiveAttempts: s.LiveAttempts, Short: s.Short,
-		ShortAt: int64(s.ShortAt)}
+	g := &pb.Gateway{Now: int64(s.Now), Began: int64(s.CeilingStart), Started: s.IsStarted, Random: s.Random, Logs: int64(s.LogLines),
+		Failures: int64(s.CounterFailures), Open: s.IsBreakerOpen, NextProbe: int64(s.NextCounterProbe), AnsweredAt: int64(s.CounterAnsweredAt),
+		Ease: int64(s.CounterBaseline), CallRate: s.CallsPerRequest, AskShare: s.QueryShare, Asked: s.QueryShareAverage, HoldAt: int64(s.RecheckAt),
+		Budget: s.RetryBudget, Served: decay(s.Answers), Unheard: s.TimeoutShare, Usual: s.MeanLatency, OutFor: s.MeanTimeInFlight, Admit: s.AdmitShare,
+		Held: s.Held, LiveAttempts: s.LiveAttempts, Short: s.TopClassShortage,
+		ShortAt: int64(s.TopClassShortageAt)}
 	for _, c := range s.Classes {
-		g.Classes = append(g.Classes, &pb.Class{Name: c.Name, Took: c.Took, Units: c.Units, Doubted: int64(c.Doubted),
-			Came: c.Came})
+		g.Classes = append(g.Classes, &pb.Class{Name: c.Name, Took: c.Latency, Units: c.Units, Doubted: int64(c.DoubtedAt),
+			Came: c.Frequency})
 	}
 	for _, p := range s.Plans {
-		g.Plans = append(g.Plans, &pb.Plan{Name: p.Name, Press: seen(p.Press)})
+		g.Plans = append(g.Plans, &pb.Plan{Name: p.Name, Press: seen(p.Demand)})
 	}
 	for _, h := range s.Servers {
-		m := &pb.Server{Entry: host(h.Entry, ""), ColdAt: int64(h.ColdAt), Resp: h.Resp, Heard: int64(h.Heard),
-			Ejected: int64(h.Ejected), Bad: int64(h.Bad), Errors: int64(h.Errors), Broken: int64(h.Broken), Turned: h.Turned,
-			TurnedAt: int64(h.TurnedAt), TurnTook: h.TurnTook, Thru: decay(h.Thru)}
-		for _, at := range h.Out {
+		m := &pb.Server{Entry: host(h.Entry, ""), ColdAt: int64(h.StartedAt), Resp: h.RelativeLatency, Heard: int64(h.LastResponseAt),
+			Ejected: int64(h.EjectedUntil), Bad: int64(h.Failures), Errors: int64(h.Errors), Broken: int64(h.ConnectionFailures), Turned: h.RejectShare,
+			TurnedAt: int64(h.RejectShareAt), TurnTook: h.RejectLatency, Thru: decay(h.Throughput)}
+		for _, at := range h.Outstanding {
 			m.Out = append(m.Out, int64(at))
 		}
 		g.Servers = append(g.Servers, m)
 	}
 	for _, r := range s.Requests {
 		m := &pb.Request{Id: r.ID, Class: r.Class, Customer: r.Customer, HasCustomer: r.HasCustomer, Units: r.Units,
-			At: int64(r.At), Deadline: int64(r.Deadline), Due: int64(r.Due), InRate: r.InRate, InGauge: r.InGauge,
-			Drawn: r.Drawn, RateWindow: r.RateWindow, Lot: r.Lot, Over: r.Over, Sent: r.Sent, Done: r.Done, Maybe: r.Maybe,
-			MaybeZone: r.MaybeZone, MaybeCell: int64(r.MaybeCell), HasMaybe: r.HasMaybe, MaybeAt: int64(r.MaybeAt), Plan: r.Plan}
-		for _, t := range r.Tries {
-			m.Tries = append(m.Tries, &pb.Attempt{Server: t.Server, At: int64(t.At), Live: t.Live})
+			At: int64(r.ArrivedAt), Deadline: int64(r.Deadline), Due: int64(r.Due), InRate: r.QuotaCounted, InGauge: r.InFlightCounted,
+			Drawn: r.TokensTaken, RateWindow: r.QuotaWindow, Lot: r.SlowStartSample, Over: r.IsOverQuota, Sent: r.WasSent, Done: r.IsDone, Maybe: r.PriorServer,
+			MaybeZone: r.PriorZone, MaybeCell: int64(r.PriorCell), HasMaybe: r.HasPrior, MaybeAt: int64(r.PriorSentAt), Plan: r.Plan}
+		for _, t := range r.Attempts {
+			m.Tries = append(m.Tries, &pb.Attempt{Server: t.Server, At: int64(t.SentAt), Live: t.IsLive})
 		}
 		g.Requests = append(g.Requests, m)
 	}
 	for _, c := range s.Calls {
-		g.Calls = append(g.Calls, &pb.Call{Name: c.Name, Customer: c.Customer, Ledger: int64(c.Ledger), Request: c.Request,
-			HasRequest: c.HasRequest, Window: c.Window, By: c.By, Own: c.Own, RequestTurn: int64(c.RequestTurn), Plan: c.Plan})
+		g.Calls = append(g.Calls, &pb.Call{Name: c.Name, Customer: c.Customer, Ledger: int64(c.Counter), Request: c.Request,
+			HasRequest: c.HasRequest, Window: c.Window, By: c.Delta, Own: c.RequestDelta, RequestTurn: int64(c.RequestIndex), Plan: c.Plan})
 	}
 	return g
 }
 
 // FromGateway is its inverse.
 func FromGateway(g *pb.Gateway) admission.State {
-	s := admission.State{Now: d(g.GetNow()), Began: d(g.GetBegan()), Started: g.GetStarted(), Random: g.GetRandom(),
-		Logs: int(g.GetLogs()), Failures: int(g.GetFailures()), Open: g.GetOpen(), NextProbe: d(g.GetNextProbe()),
-		AnsweredAt: d(g.GetAnsweredAt()), Ease: d(g.GetEase()), CallRate: g.GetCallRate(), AskShare: g.GetAskShare(),
-		Asked: g.GetAsked(), HoldAt: d(g.GetHoldAt()), Budget: g.GetBudget(), Served: fromDecay(g.GetServed()),
-		Unheard: g.GetUnheard(), Usual: g.GetUsual(), OutFor: g.GetOutFor(), Admit: g.GetAdmit(), Held: g.GetHeld(),
-		LiveAttempts: g.GetLiveAttempts(), Short: g.GetShort(), ShortAt: d(g.GetShortAt())}
+	s := admission.State{Now: d(g.GetNow()), CeilingStart: d(g.GetBegan()), IsStarted: g.GetStarted(), Random: g.GetRandom(),
+		LogLines: int(g.GetLogs()), CounterFailures: int(g.GetFailures()), IsBreakerOpen: g.GetOpen(), NextCounterProbe: d(g.GetNextProbe()),
+		CounterAnsweredAt: d(g.GetAnsweredAt()), CounterBaseline: d(g.GetEase()), CallsPerRequest: g.GetCallRate(), QueryShare: g.GetAskShare(),
+		QueryShareAverage: g.GetAsked(), RecheckAt: d(g.GetHoldAt()), RetryBudget: g.GetBudget(), Answers: fromDecay(g.GetServed()),
+		TimeoutShare: g.GetUnheard(), MeanLatency: g.GetUsual(), MeanTimeInFlight: g.GetOutFor(), AdmitShare: g.GetAdmit(), Held: g.GetHeld(),
+		LiveAttempts: g.GetLiveAttempts(), TopClassShortage: g.GetShort(), TopClassShortageAt: d(g.GetShortAt())}
 	for _, c := range g.GetClasses() {
-		s.Classes = append(s.Classes, admission.ClassState{Name: c.GetName(), Took: c.GetTook(), Units: c.GetUnits(),
-			Doubted: d(c.GetDoubted()), Came: c.GetCame()})
+		s.Classes = append(s.Classes, admission.ClassState{Name: c.GetName(), Latency: c.GetTook(), Units: c.GetUnits(),
+			DoubtedAt: d(c.GetDoubted()), Frequency: c.GetCame()})
 	}
 	for _, p := range g.GetPlans() {
-		s.Plans = append(s.Plans, admission.PlanState{Name: p.GetName(), Press: fromSeen(p.GetPress())})
+		s.Plans = append(s.Plans, admission.PlanState{Name: p.GetName(), Demand: fromSeen(p.GetPress())})
 	}
 	for _, m := range g.GetServers() {
-		h := admission.ServerHealth{Entry: fromHost(m.GetEntry()), ColdAt: d(m.GetColdAt()), Resp: m.GetResp(),
-			Heard: d(m.GetHeard()), Ejected: d(m.GetEjected()), Bad: int(m.GetBad()), Errors: int(m.GetErrors()),
-			Broken: int(m.GetBroken()), Turned: m.GetTurned(), TurnedAt: d(m.GetTurnedAt()), TurnTook: m.GetTurnTook(),
-			Thru: fromDecay(m.GetThru())}
+		h := admission.ServerHealth{Entry: fromHost(m.GetEntry()), StartedAt: d(m.GetColdAt()), RelativeLatency: m.GetResp(),
+			LastResponseAt: d(m.GetHeard()), EjectedUntil: d(m.GetEjected()), Failures: int(m.GetBad()), Errors: int(m.GetErrors()),
+			ConnectionFailures: int(m.GetBroken()), RejectShare: m.GetTurned(), RejectShareAt: d(m.GetTurnedAt()), RejectLatency: m.GetTurnTook(),
+			Throughput: fromDecay(m.GetThru())}
 		for _, at := range m.GetOut() {
-			h.Out = append(h.Out, d(at))
+			h.Outstanding = append(h.Outstanding, d(at))
 		}
 		s.Servers = append(s.Servers, h)
 	}
 	for _, m := range g.GetRequests() {
 		r := admission.RequestState{ID: m.GetId(), Class: m.GetClass(), Customer: m.GetCustomer(),
-			HasCustomer: m.GetHasCustomer(), Units: m.GetUnits(), At: d(m.GetAt()), Deadline: d(m.GetDeadline()),
-			Due: d(m.GetDue()), InRate: m.GetInRate(), InGauge: m.GetInGauge(), Drawn: m.GetDrawn(),
-			RateWindow: m.GetRateWindow(), Lot: m.GetLot(), Over: m.GetOver(), Sent: m.GetSent(), Done: m.GetDone(),
-			Maybe: m.GetMaybe(), MaybeZone: m.GetMaybeZone(), MaybeCell: int(m.GetMaybeCell()), HasMaybe: m.GetHasMaybe(),
-			MaybeAt: d(m.GetMaybeAt()), Plan: m.GetPlan()}
+			HasCustomer: m.GetHasCustomer(), Units: m.GetUnits(), ArrivedAt: d(m.GetAt()), Deadline: d(m.GetDeadline()),
+			Due: d(m.GetDue()), QuotaCounted: m.GetInRate(), InFlightCounted: m.GetInGauge(), TokensTaken: m.GetDrawn(),
+			QuotaWindow: m.GetRateWindow(), SlowStartSample: m.GetLot(), IsOverQuota: m.GetOver(), WasSent: m.GetSent(), IsDone: m.GetDone(),
+			PriorServer: m.GetMaybe(), PriorZone: m.GetMaybeZone(), PriorCell: int(m.GetMaybeCell()), HasPrior: m.GetHasMaybe(),
+			PriorSentAt: d(m.GetMaybeAt()), Plan: m.GetPlan()}
 		for _, t := range m.GetTries() {
-			r.Tries = append(r.Tries, admission.AttemptState{Server: t.GetServer(), At: d(t.GetAt()), Live: t.GetLive()})
+			r.Attempts = append(r.Attempts, admission.AttemptState{Server: t.GetServer(), SentAt: d(t.GetAt()), IsLive: t.GetLive()})
 		}
 		s.Requests = append(s.Requests, r)
 	}
 	for _, m := range g.GetCalls() {
 		s.Calls = append(s.Calls, admission.CallState{Name: m.GetName(), Customer: m.GetCustomer(),
-			Ledger: int(m.GetLedger()), Request: m.GetRequest(), HasRequest: m.GetHasRequest(), Window: m.GetWindow(),
-			By: m.GetBy(), Own: m.GetOwn(), RequestTurn: int(m.GetRequestTurn()), Plan: m.GetPlan()})
+			Counter: int(m.GetLedger()), Request: m.GetRequest(), HasRequest: m.GetHasRequest(), Window: m.GetWindow(),
+			Delta: m.GetBy(), RequestDelta: m.GetOwn(), RequestIndex: int(m.GetRequestTurn()), Plan: m.GetPlan()})
 	}
 	return s
 }
--- a/internal/handover/convert_test.go
+++ b/internal/handover/convert_test.go
@@ -36,7 +36,7 @@
 		ev := rapid.Make[admission.AttemptEnded]().Draw(t, "attempt")
 		ev.Outcome = admission.Outcome(rapid.IntRange(0, int(admission.OutcomeCount)-1).Draw(t, "outcome"))
 		ev.Attempt %= 8
-		ev.Done, ev.Billed, ev.Used, ev.Report, ev.Gone = true, 0, 0, nil, false // not told
+		ev.Done, ev.Billed, ev.Used, ev.Report, ev.NotReplayable = true, 0, 0, nil, false // not told
 		got, at := FromAttempt(there(t, Attempt(ev, time.Hour), &pb.AttemptEnded{}))
 		require.Equal(t, time.Hour, at)
 		require.Equal(t, ev, got)
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -28,7 +28,7 @@
 const noiseMemory = time.Minute
 
 // reuse is what was seen of resets.
-type reuse struct{ kept, fresh estimate.Fading }
+type reuse struct{ kept, fresh estimate.FadingAverage }
 
 // learn takes in the end of a request: whether it was reset before a byte of its answer came, soon after it was
 // written.
@@ -37,7 +37,7 @@
 	if kept {
 		of = &r.kept
 	}
-	of.Tell(now, reuseMemory, reuseGain, reset)
+	of.LearnBool(now, reuseMemory, reuseGain, reset)
 }
 
 // risky tells whether kept connections lose so many more than new ones that a handshake costs less.
--- a/internal/settings/combine.go
+++ b/internal/settings/combine.go
@@ -76,13 +76,13 @@
 	s.Gateways = max(older.Gateways, newer.Gateways)
 	s.MaxUnits = max(older.MaxUnits, newer.MaxUnits)
 	s.MaxAttempts = least(older.MaxAttempts, newer.MaxAttempts)
-	s.SecondCopies = older.SecondCopies && newer.SecondCopies
+	s.CanHedge = older.CanHedge && newer.CanHedge
 	s.CanProbe = older.CanProbe && newer.CanProbe
-	s.CanTell = older.CanTell && newer.CanTell
+	s.CanMessagePeers = older.CanMessagePeers && newer.CanMessagePeers
 	s.DrainGrace = least(older.DrainGrace, newer.DrainGrace)
-	s.ColdFor = max(older.ColdFor, newer.ColdFor)
-	s.ColdFrom = min(older.ColdFrom, newer.ColdFrom)
-	s.TipMultiple = least(older.TipMultiple, newer.TipMultiple)
+	s.WarmUpTime = max(older.WarmUpTime, newer.WarmUpTime)
+	s.InitialCapacity = min(older.InitialCapacity, newer.InitialCapacity)
+	s.ColdOverloadFactor = least(older.ColdOverloadFactor, newer.ColdOverloadFactor)
 	s.Classes = slices.Clone(newer.Classes)
 	for _, o := range older.Classes {
 		i := slices.IndexFunc(s.Classes, func(c admission.Class) bool { return c.Name == o.Name })
@@ -108,7 +108,7 @@
 		}
 		p := &s.Plans[i]
 		p.Rate, p.Burst = least(p.Rate, o.Rate), least(p.Burst, o.Burst)
-		p.AtOnce = least(p.AtOnce, o.AtOnce)
+		p.MaxInFlight = least(p.MaxInFlight, o.MaxInFlight)
 		if o.CeilingRate > 0 && p.CeilingRate > 0 {
 			p.CeilingSlack = min(p.CeilingSlack, o.CeilingSlack)
 		} else if o.CeilingRate > 0 {
--- a/internal/settings/combine_test.go
+++ b/internal/settings/combine_test.go
@@ -29,13 +29,13 @@
 func drawSettings(t *rapid.T, label string) admission.Settings {
 	f := func(n string) float64 { return float64(rapid.IntRange(0, 5).Draw(t, label+n)) }
 	s := admission.Settings{Gateways: rapid.IntRange(1, 4).Draw(t, label), MaxAttempts: rapid.IntRange(0, 4).Draw(t, label),
-		DrainGrace: time.Duration(f("grace")), TipMultiple: f("tip"), ColdFrom: f("cold") / 5,
-		SecondCopies: rapid.Bool().Draw(t, label)}
+		DrainGrace: time.Duration(f("grace")), ColdOverloadFactor: f("tip"), InitialCapacity: f("cold") / 5,
+		CanHedge: rapid.Bool().Draw(t, label)}
 	for _, name := range []string{"a", "b"} {
 		if rapid.Bool().Draw(t, label+name) {
 			s.Classes = append(s.Classes, admission.Class{Name: name, Effect: admission.Effect(rapid.IntRange(0, 2).Draw(t, label)),
 				Scope: admission.Scope(rapid.IntRange(0, 2).Draw(t, label)), RepeatWindow: time.Duration(f("window")), Deadline: time.Duration(f("deadline"))})
-			s.Plans = append(s.Plans, admission.Plan{Name: name, Rate: f("rate"), Burst: f("burst"), AtOnce: int(f("open")),
+			s.Plans = append(s.Plans, admission.Plan{Name: name, Rate: f("rate"), Burst: f("burst"), MaxInFlight: int(f("open")),
 				CeilingRate: f("ceiling"), CeilingBurst: f("depth"), CeilingSlack: f("slack")})
 		}
 	}
@@ -58,9 +58,9 @@
 			require.GreaterOrEqual(t, s.Gateways, o.Gateways)
 			within(t, float64(s.MaxAttempts), float64(o.MaxAttempts), "attempts")
 			within(t, float64(s.DrainGrace), float64(o.DrainGrace), "grace")
-			within(t, s.TipMultiple, o.TipMultiple, "tip")
-			require.LessOrEqual(t, s.ColdFrom, o.ColdFrom)
-			require.False(t, s.SecondCopies && !o.SecondCopies)
+			within(t, s.ColdOverloadFactor, o.ColdOverloadFactor, "tip")
+			require.LessOrEqual(t, s.InitialCapacity, o.InitialCapacity)
+			require.False(t, s.CanHedge && !o.CanHedge)
 			for _, c := range o.Classes {
 				for _, got := range s.Classes {
 					if got.Name == c.Name {
@@ -78,7 +78,7 @@
 					if got.Name == p.Name {
 						within(t, got.Rate, p.Rate, "rate")
 						within(t, got.Burst, p.Burst, "burst")
-						within(t, float64(got.AtOnce), float64(p.AtOnce), "at once")
+						within(t, float64(got.MaxInFlight), float64(p.MaxInFlight), "at once")
 						within(t, got.CeilingRate, p.CeilingRate, "ceiling")
 						within(t, got.CeilingBurst, p.CeilingBurst, "depth")
 						if p.CeilingRate > 0 {
--- a/internal/settings/follow.go
+++ b/internal/settings/follow.go
@@ -14,11 +14,11 @@
 // their names; those that are not there any more are Gone, and new ones come behind.
 func Follow(was, now admission.Settings) (admission.Settings, error) {
 	var err error
-	now.Classes, err = places("classes", was.Classes, now.Classes, func(c *admission.Class) (string, *bool) { return c.Name, &c.Gone })
+	now.Classes, err = places("classes", was.Classes, now.Classes, func(c *admission.Class) (string, *bool) { return c.Name, &c.IsRemoved })
 	if err != nil {
 		return admission.Settings{}, err
 	}
-	now.Plans, err = places("tiersOfService", was.Plans, now.Plans, func(p *admission.Plan) (string, *bool) { return p.Name, &p.Gone })
+	now.Plans, err = places("tiersOfService", was.Plans, now.Plans, func(p *admission.Plan) (string, *bool) { return p.Name, &p.IsRemoved })
 	if err != nil {
 		return admission.Settings{}, err
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -227,24 +227,24 @@
 		p.fail("discovery", "is neither push nor ask: %q", discovery)
 	}
 	s := admission.Settings{
-		Gateways: p.Int("balancers"), Me: p.Int("me"), Zone: p.Text("zone"), Tick: p.Millis("period"),
-		MustAsk: discovery == "ask", HasCounter: extra.Bool("hasCounter"), Settles: extra.Bool("settles"),
-		CounterLimit: extra.Millis("counterTimeout"), MaxUnits: extra.Int("maxUnits"),
+		Gateways: p.Int("balancers"), Index: p.Int("me"), Zone: p.Text("zone"), Tick: p.Millis("period"),
+		MustSubscribe: discovery == "ask", HasCounter: extra.Bool("hasCounter"), HasBilledUnits: extra.Bool("settles"),
+		CounterTimeout: extra.Millis("counterTimeout"), MaxUnits: extra.Int("maxUnits"),
 		MaxAttempts: limits.Int("maxAttempts"), MaxRetryAfter: limits.Millis("maxRetryAfter"),
-		RetryAfter: limits.Bool("retryAfter"), CanCancel: limits.Bool("cancelling"),
-		CanProbe: limits.Bool("probes"), CanTell: limits.Bool("mayTell"),
-		SecondCopies: limits.Bool("parallelTries"), DialLimit: limits.Millis("dialTimeout"),
-		ReportsOnAns: stats.Text("how") == "answers", AnswerSlack: rules.Millis("answerSlack"),
+		CanSendRetryAfter: limits.Bool("retryAfter"), CanCancel: limits.Bool("cancelling"),
+		CanProbe: limits.Bool("probes"), CanMessagePeers: limits.Bool("mayTell"),
+		CanHedge: limits.Bool("parallelTries"), DialTimeout: limits.Millis("dialTimeout"),
+		HasAnswerReports: stats.Text("how") == "answers", AnswerSlack: rules.Millis("answerSlack"),
 		AskWithin: rules.Millis("askWithin"), DrainGrace: rules.Millis("drainGrace"),
-		ColdFor: rules.Millis("cold"), ColdFrom: rules.Float("coldFrom"),
-		TipMultiple: rules.Float("tipMultiple"), TipTime: rules.Millis("fall"),
-		CrossZone: p.Object("prices").Float("crossZone"),
+		WarmUpTime: rules.Millis("cold"), InitialCapacity: rules.Float("coldFrom"),
+		ColdOverloadFactor: rules.Float("tipMultiple"), ColdOverloadTime: rules.Millis("fall"),
+		CrossZoneCost: p.Object("prices").Float("crossZone"),
 	}
 	if s.Gateways < 1 {
 		p.fail("balancers", "is %d, need at least 1", s.Gateways)
 	}
-	if s.Me < 0 || s.Me >= s.Gateways {
-		p.fail("me", "is %d, need 0 to %d", s.Me, s.Gateways-1)
+	if s.Index < 0 || s.Index >= s.Gateways {
+		p.fail("me", "is %d, need 0 to %d", s.Index, s.Gateways-1)
 	}
 	for _, name := range stats.Texts("names") {
 		s.ReportNames = append(s.ReportNames, cmp.Or(reports[name], name))
@@ -258,14 +258,14 @@
 		if !ok {
 			c.fail("dedupScope", "is not known: %q", c.Text("dedupScope"))
 		}
-		s.Classes = append(s.Classes, admission.Class{Name: c.Text("name"), Aim: c.Millis("onTime"),
-			Deadline: c.Millis("deadline"), Worth: c.Float("value"), LateShare: c.Float("lateShare"),
-			Effect: effect, Scope: group, RepeatWindow: c.Millis("repeatWindow"), Stream: c.Bool("stream")})
+		s.Classes = append(s.Classes, admission.Class{Name: c.Text("name"), LatencyTarget: c.Millis("onTime"),
+			Deadline: c.Millis("deadline"), Worth: c.Float("value"), LateWorth: c.Float("lateShare"),
+			Effect: effect, Scope: group, RepeatWindow: c.Millis("repeatWindow"), IsStream: c.Bool("stream")})
 	}
 	for _, t := range p.List("tiersOfService") {
 		s.Plans = append(s.Plans, admission.Plan{Name: t.Text("name"), Rate: t.Float("quotaRate"),
-			Burst: t.Float("storeSize"), AtOnce: t.Int("atOnce"), Price: t.Float("valueFactor"),
-			OverWorth: t.Float("overWorth"), OverCost: t.Float("overrunCost"), CeilingRate: t.Float("hardRate"),
+			Burst: t.Float("storeSize"), MaxInFlight: t.Int("atOnce"), WorthFactor: t.Float("valueFactor"),
+			OverQuotaWorth: t.Float("overWorth"), OverQuotaCost: t.Float("overrunCost"), CeilingRate: t.Float("hardRate"),
 			CeilingBurst: t.Float("neverOverDepth"), CeilingSlack: t.Float("hardSlack")})
 	}
 	if err := p.Err(); err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -63,11 +63,11 @@
 		Plans: []admission.Plan{{Name: "q"}}})
 	require.NoError(t, err)
 	gone := class("a", 1)
-	gone.Gone = true
+	gone.IsRemoved = true
 	require.Equal(t, []admission.Class{gone, class("b", 4), class("c", 3)}, next.Classes)
-	require.Equal(t, []admission.Plan{{Name: "p", Gone: true}, {Name: "q"}}, next.Plans)
+	require.Equal(t, []admission.Plan{{Name: "p", IsRemoved: true}, {Name: "q"}}, next.Plans)
 	require.Equal(t, 2, next.MaxAttempts)
-	require.False(t, start.Classes[0].Gone, "who has the old settings keeps them as they are")
+	require.False(t, start.Classes[0].IsRemoved, "who has the old settings keeps them as they are")
 	back, err := Follow(next, admission.Settings{Classes: []admission.Class{class("a", 5)}, Plans: []admission.Plan{{Name: "p"}}})
 	require.NoError(t, err)
 	require.Equal(t, class("a", 5), back.Classes[0], "one that returns has its place")
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -250,8 +250,8 @@
 			return nil, errors.New("priceUnits and doors must not be negative")
 		}
 		return admission.RequestArrived{ID: id, Class: class, Plan: plan, Customer: ev.Account,
-			ExpiresIn: ev.ExpiresIn.duration(), Units: ev.PriceUnits, Doors: ev.Doors,
-			FirstDoor: ev.FirstDoor, Retry: ev.IsRetry, Write: ev.Write}, nil
+			ExpiresIn: ev.ExpiresIn.duration(), Units: ev.PriceUnits, Gateways: ev.Doors,
+			FirstGateway: ev.FirstDoor, IsRetry: ev.IsRetry, IsWrite: ev.Write}, nil
 	case "Finished":
 		id, err := rid()
 		if err == nil && !okEnding {
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -63,14 +63,14 @@
 		b = text(open(b, "WakeAt", inst), "nonce", strconv.FormatUint(a.Token, 10))
 		b = number(b, "alarmTime", millis(a.At))
 	case admission.CounterAdd:
-		b = number(open(b, "Incr", inst), "keepFor", millis(a.Keep))
-		b = number(b, "by", a.By)
+		b = number(open(b, "Incr", inst), "keepFor", millis(a.TTL))
+		b = number(b, "by", a.Delta)
 		b = text(b, "entryName", a.Name)
 	case admission.Probe:
 		b = text(open(b, "Check", inst), "worker", a.Server)
 	case admission.CloseIdle:
 		b = text(open(b, "Close", inst), "worker", a.Server)
-	case admission.Tell:
+	case admission.SendPeerMessage:
 		b = number(open(b, "Post", inst), "whom", float64(a.To))
 		b = text(b, "payload", hex.EncodeToString(a.Payload))
 	case admission.Subscribe:
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -34,14 +34,14 @@
 		t.Fatal(err)
 	}
 	s := l.Settings
-	if l.Kind != Born || l.Instance != 3 || l.Seed != 18446744073709551615 || s.Gateways != 4 || s.Me != 3 ||
-		s.Tick != 4*time.Millisecond || !s.MustAsk || !s.HasCounter || !s.Settles || !s.SecondCopies ||
-		s.CounterLimit != 80*time.Millisecond || s.ColdFor != 18*time.Second || s.ColdFrom != 0.18 {
+	if l.Kind != Born || l.Instance != 3 || l.Seed != 18446744073709551615 || s.Gateways != 4 || s.Index != 3 ||
+		s.Tick != 4*time.Millisecond || !s.MustSubscribe || !s.HasCounter || !s.HasBilledUnits || !s.CanHedge ||
+		s.CounterTimeout != 80*time.Millisecond || s.WarmUpTime != 18*time.Second || s.InitialCapacity != 0.18 {
 		t.Fatalf("%+v", l)
 	}
-	wantClass := admission.Class{Name: "page", Aim: 800 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1.5,
-		LateShare: 0.2, Effect: admission.Keyed, Scope: admission.ScopeCell, RepeatWindow: 6 * time.Second}
-	wantPlan := admission.Plan{Name: "plus", Rate: 8.5, Burst: 36, AtOnce: 3, Price: 1.3, CeilingRate: 17,
+	wantClass := admission.Class{Name: "page", LatencyTarget: 800 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1.5,
+		LateWorth: 0.2, Effect: admission.Keyed, Scope: admission.ScopeCell, RepeatWindow: 6 * time.Second}
+	wantPlan := admission.Plan{Name: "plus", Rate: 8.5, Burst: 36, MaxInFlight: 3, WorthFactor: 1.3, CeilingRate: 17,
 		CeilingBurst: 72, CeilingSlack: 7.2}
 	if s.Classes[0] != wantClass || s.Plans[0] != wantPlan {
 		t.Fatalf("%+v %+v", s.Classes, s.Plans)
@@ -52,8 +52,8 @@
 	d := born(t)
 	for line, want := range map[string]admission.Event{
 		`{"NewRequest":{"gatekeeper":3,"rid":4294967295,"type":"page","plan":"plus","account":4569004829183723,"expiresIn":240.5,"priceUnits":2,"doors":3,"firstDoor":1,"isRetry":true,"write":true,"new":[1]}}`: admission.RequestArrived{
-			ID: 4294967295, Customer: 4569004829183723, ExpiresIn: 240500 * time.Microsecond, Units: 2, Doors: 3,
-			FirstDoor: 1, Retry: true, Write: true},
+			ID: 4294967295, Customer: 4569004829183723, ExpiresIn: 240500 * time.Microsecond, Units: 2, Gateways: 3,
+			FirstGateway: 1, IsRetry: true, IsWrite: true},
 		`{"Finished":{"gatekeeper":3,"rid":7,"worker":"w","took":18.5,"billed":3,"ending":"OK","shot":1,"ended":true,"pressure":[1,2]}}`: admission.AttemptEnded{
 			ID: 7, Attempt: 1, Server: "w", Outcome: admission.OK, Took: 18500 * time.Microsecond, Done: true, Billed: 3,
 			Report: []float64{1, 2}},
@@ -119,10 +119,10 @@
 		`{"TurnAway":{"gatekeeper":3,"rid":9}}`:                              admission.Refuse{ID: 9},
 		`{"RespondError":{"gatekeeper":3,"rid":9}}`:                          admission.Fail{ID: 9},
 		`{"WakeAt":{"gatekeeper":3,"nonce":"4","alarmTime":8912.25}}`:        admission.SetTimer{Token: 4, At: 8912250 * time.Microsecond},
-		`{"Incr":{"gatekeeper":3,"keepFor":3000,"by":-4.5,"entryName":"n"}}`: admission.CounterAdd{Name: "n", By: -4.5, Keep: 3 * time.Second},
+		`{"Incr":{"gatekeeper":3,"keepFor":3000,"by":-4.5,"entryName":"n"}}`: admission.CounterAdd{Name: "n", Delta: -4.5, TTL: 3 * time.Second},
 		`{"Check":{"gatekeeper":3,"worker":"w"}}`:                            admission.Probe{Server: "w"},
 		`{"Close":{"gatekeeper":3,"worker":"w"}}`:                            admission.CloseIdle{Server: "w"},
-		`{"Post":{"gatekeeper":3,"whom":-1,"payload":"6869"}}`:               admission.Tell{To: -1, Payload: []byte("hi")},
+		`{"Post":{"gatekeeper":3,"whom":-1,"payload":"6869"}}`:               admission.SendPeerMessage{To: -1, Payload: []byte("hi")},
 		`{"KeepInformed":{"gatekeeper":3,"on":true}}`:                        admission.Subscribe{On: true},
 		`{"ReadList":{"gatekeeper":3}}`:                                      admission.FetchList{},
 		`{"Debug":{"gatekeeper":3,"msg":"a \"b\"\n"}}`:                       admission.Log{Text: "a \"b\"\n"},
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -235,7 +235,7 @@
 // inTime tells whether a stream was served while its answer was of use.
 func (e *Exporter) inTime(r *core.Record) bool {
 	set := e.set.Load()
-	return r.Kind == core.Served && r.Class >= 0 && r.Class < len(set.Classes) && r.Took <= set.Classes[r.Class].Aim
+	return r.Kind == core.Served && r.Class >= 0 && r.Class < len(set.Classes) && r.Took <= set.Classes[r.Class].LatencyTarget
 }
 
 // told is a generator of ids that gives out those that a context tells of: they went into headers long before
