--- a/admission/cold_test.go
+++ b/admission/cold_test.go
@@ -60,10 +60,10 @@
 	w.heavy, w.rng = gateways/6, rand.New(rand.NewPCG(seed, 2))
 	for me, d := range w.doors {
 		*d.g.source = *rand.NewPCG(seed<<8+uint64(me), 0) // as in a fleet, each draws for itself
-		d.g.s.WarmUpTime, d.g.s.InitialCapacity = 16*time.Second, 0.15
-		d.g.s.ColdOverloadFactor, d.g.s.ColdOverloadTime = 2, 3*time.Second
+		d.g.settings.WarmUpTime, d.g.settings.InitialCapacity = 16*time.Second, 0.15
+		d.g.settings.ColdOverloadFactor, d.g.settings.ColdOverloadTime = 2, 3*time.Second
 	}
-	s, alike, rate := w.doors[0].g.s, []float64{1}, 0.6*servers*capacity
+	s, alike, rate := w.doors[0].g.settings, []float64{1}, 0.6*servers*capacity
 	w.ask(5*time.Second, rate, alike)
 	began := map[string]*coldServer{}
 	w.sent = func(server string) {
--- a/admission/estimate/estimate.go
+++ b/admission/estimate/estimate.go
@@ -44,14 +44,14 @@
 	DoubtedAt      time.Duration // when it was last doubted, 0: never
 }
 
-// doubtMost is the time that one doubt may stand for: before that none of its kind came.
-const doubtMost = time.Second
+// maxDoubtTime is the time that one doubt may stand for: before that none of its kind came.
+const maxDoubtTime = time.Second
 
 // Doubt fades what is expected where it is over the most that is of use: a kind of request that is kept out for it
 // brings no answer that could tell otherwise.
 func (w *LatencyModel) Doubt(now time.Duration, memory, expected, most float64) {
 	if expected > most {
-		w.Latency *= Decay(min(now-w.DoubtedAt, doubtMost), memory)
+		w.Latency *= Decay(min(now-w.DoubtedAt, maxDoubtTime), memory)
 		w.DoubtedAt = now
 	}
 }
@@ -83,8 +83,8 @@
 	return from + (1-from)*max(0, (now-boot).Seconds())/full.Seconds()
 }
 
-// mostPower is the highest power given by Powers.
-const mostPower = 16
+// maxExponent is the highest power given by Powers.
+const maxExponent = 16
 
 // Exponents gives for each item the power that a part is to be taken to, so that the part of the one with most at
 // stake stays and the others' are less, each by its stake.
@@ -95,7 +95,7 @@
 	}
 	for i, t := range items {
 		if powers[i] = 1; most > 0 {
-			powers[i] = most / max(most/mostPower, stake(t))
+			powers[i] = most / max(most/maxExponent, stake(t))
 		}
 	}
 	return powers
@@ -112,8 +112,8 @@
 	m[kind]++
 }
 
-// levelSteps halve the interval that a level is looked for in.
-const levelSteps = 24
+// bisectionSteps halve the interval that a level is looked for in.
+const bisectionSteps = 24
 
 // Level is the x at which the kinds' parts, each x to the power given, add up to a part of the whole.
 func (m Mix) Level(powers []float64, part float64) float64 {
@@ -125,7 +125,7 @@
 		all += n
 	}
 	low, high := 0.0, 1.0
-	for range levelSteps {
+	for range bisectionSteps {
 		x, sum := (low+high)/2, 0.0
 		for i, n := range m {
 			sum += n * math.Pow(x, powers[i])
--- a/admission/estimate/estimate_test.go
+++ b/admission/estimate/estimate_test.go
@@ -36,7 +36,7 @@
 
 func TestMostAtStakeKeepsItsPart(t *testing.T) {
 	p := Exponents([]float64{4, 1, 0}, func(f float64) float64 { return f })
-	require.Equal(t, []float64{1, 4, mostPower}, p)
+	require.Equal(t, []float64{1, 4, maxExponent}, p)
 	require.Equal(t, []float64{1, 1}, Exponents([]float64{0, 0}, func(f float64) float64 { return f }))
 }
 
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -62,7 +62,7 @@
 		f.users[x.Server][me] = true
 		o, after := took(x.Server)
 		end := AttemptEnded{ID: x.ID, Server: x.Server, Outcome: o, Took: after, Done: o == OK,
-			Attempt: len(f.doors[me].g.requests[x.ID].tries) - 1}
+			Attempt: len(f.doors[me].g.requests[x.ID].attempts) - 1}
 		at := now + max(ms, after)
 		f.ends[at] = append(f.ends[at], func() { f.give(me, at, end, took) })
 	}
@@ -74,7 +74,7 @@
 		f := newFleet(t, size.doors, size.hosts)
 		f.run(40*size.doors, max(ms, 1000*ms/time.Duration(10*size.doors)),
 			func(string) (Outcome, time.Duration) { return OK, 60 * ms })
-		share := f.doors[0].g.near * size.doors / size.hosts
+		share := f.doors[0].g.subsetSize * size.doors / size.hosts
 		for _, h := range f.hosts {
 			if n := len(f.users[h.Name]); n == 0 || n > share*3/2+2 {
 				t.Errorf("%d doors, %d hosts: host %s is used by %d doors, its share is %d", size.doors, size.hosts,
@@ -127,7 +127,7 @@
 func TestManyDoorsHoldACeilingTogether(t *testing.T) {
 	for _, doors := range []int{3, 26, 80} {
 		f := newFleet(t, doors, 12)
-		s := f.doors[0].g.s
+		s := f.doors[0].g.settings
 		p := s.Plans[hard]
 		store, worst, sent, lost := p.CeilingBurst, 0.0, 0, 0
 		totals, last := map[string]float64{}, f.doors[0].now
@@ -175,7 +175,7 @@
 	s := sized()
 	s.Classes[0].Worth, s.Classes[1].Worth = 1, 3
 	d := newDesk(t, s, "s1")
-	d.g.admit = 0.8
+	d.g.admitShare = 0.8
 	let := [2]int{}
 	for id := uint64(1); id <= 400; id++ {
 		class := int(id % 2)
@@ -184,7 +184,7 @@
 		for _, x := range find[Send](d.look()) {
 			delete(d.g.requests, x.ID)
 		}
-		d.g.held, d.g.live, d.g.servers["s1"].out = nil, 0, nil
+		d.g.held, d.g.liveAttempts, d.g.servers["s1"].outstanding = nil, 0, nil
 	}
 	if let[1] < 180 || let[0] < 118 || let[0] > 143 { // 0.94 and 0.66 of them, 0.8 of all
 		t.Errorf("of 200 each, %d of high and %d of low worth are let in", let[1], let[0])
@@ -199,7 +199,7 @@
 func TestManyDoorsWarmHostsUpTogether(t *testing.T) {
 	for _, doors := range []int{3, 80} {
 		f := newFleet(t, doors, 30)
-		s := f.doors[0].g.s
+		s := f.doors[0].g.settings
 		boot := f.doors[0].now
 		for _, d := range f.doors {
 			for i := range f.hosts[:10] {
@@ -229,17 +229,17 @@
 	for _, slow := range []int{1, 8} {
 		s := sized()
 		d := newDesk(t, s, "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
-		d.g.stats[0] = estimate.LatencyModel{Latency: 0.05, Units: 1}
+		d.g.classLatency[0] = estimate.LatencyModel{Latency: 0.05, Units: 1}
 		for i := range slow {
-			d.g.order[i].resp, d.g.order[i].heard = 4, d.now
+			d.g.preferred[i].relativeLatency, d.g.preferred[i].lastResponseAt = 4, d.now
 		}
 		for id := uint64(1); id <= 20; id++ {
-			r := &request{id: id, class: &s.Classes[0], at: d.now, due: d.now + 500*ms}
-			took := attempt{s: d.g.order[int(id)%slow], at: d.now}
-			d.g.observe(&took, r, AttemptEnded{ID: id, Outcome: OK, Took: 400 * ms})
+			r := &request{id: id, class: &s.Classes[0], arrivedAt: d.now, due: d.now + 500*ms}
+			took := attempt{server: d.g.preferred[int(id)%slow], sentAt: d.now}
+			d.g.learnFromAttempt(&took, r, AttemptEnded{ID: id, Outcome: OK, Took: 400 * ms})
 		}
-		if one := slow == 1; one && d.g.admit < 1 || !one && d.g.admit > 0.5 {
-			t.Errorf("%d of 8 hosts slow: %.2f is admitted", slow, d.g.admit)
+		if one := slow == 1; one && d.g.admitShare < 1 || !one && d.g.admitShare > 0.5 {
+			t.Errorf("%d of 8 hosts slow: %.2f is admitted", slow, d.g.admitShare)
 		}
 	}
 }
@@ -253,7 +253,7 @@
 	d := newDesk(t, s, "s1")
 	passed := [2]int{}
 	for id := range uint64(4000) {
-		d.g.admit = 0.8
+		d.g.admitShare = 0.8
 		class := int(id % 2)
 		d.do(RequestArrived{ID: id + 1, Class: class, Plan: free, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 1})
 		for _, sent := range find[Send](d.look()) {
--- a/admission/follow.go
+++ b/admission/follow.go
@@ -13,92 +13,92 @@
 
 func (SettingsChanged) isEvent() {}
 
-// note books an event that asks for no decision.
-func (g *Gateway) note(ev Event) {
+// onUpdate books an event that asks for no decision.
+func (g *Gateway) onUpdate(ev Event) {
 	switch ev := ev.(type) {
 	case SettingsChanged:
-		g.follow(ev.Settings)
+		g.onSettingsChanged(ev.Settings)
 	case FleetChanged:
-		g.fleetChanged(ev)
+		g.onFleetChanged(ev)
 	case RequestComplete:
-		g.whole(ev.ID)
+		g.onRequestComplete(ev.ID)
 	}
 }
 
-// whole starts a request's time anew, now that all of it has come, and its attempts': until then no server had
+// onRequestComplete starts a request's time anew, now that all of it has come, and its attempts': until then no server had
 // anything to run.
-func (g *Gateway) whole(id uint64) {
+func (g *Gateway) onRequestComplete(id uint64) {
 	r := g.requests[id]
-	if r == nil || !r.open {
+	if r == nil || !r.isPartial {
 		return
 	}
-	r.open = false
-	late := g.now - r.at
-	r.at, r.due, r.deadline = g.now, r.due+late, r.deadline+late
-	for i := range r.tries {
-		if t := &r.tries[i]; t.live {
-			t.at = g.now
-			t.s.out = append(t.s.out, g.now)
+	r.isPartial = false
+	late := g.now - r.arrivedAt
+	r.arrivedAt, r.due, r.deadline = g.now, r.due+late, r.deadline+late
+	for i := range r.attempts {
+		if t := &r.attempts[i]; t.isLive {
+			t.sentAt = g.now
+			t.server.outstanding = append(t.server.outstanding, g.now)
 		}
 	}
 }
 
-func (g *Gateway) follow(s Settings) {
-	if s.validate() != nil || len(s.Classes) < len(g.s.Classes) || len(s.Plans) < len(g.s.Plans) {
+func (g *Gateway) onSettingsChanged(s Settings) {
+	if s.validate() != nil || len(s.Classes) < len(g.settings.Classes) || len(s.Plans) < len(g.settings.Plans) {
 		return
 	}
-	was := g.s
-	g.use(s)
-	g.unsettle(was.Plans)
+	was := g.settings
+	g.applySettings(s)
+	g.suspendTotals(was.Plans)
 	fleet := was.Gateways != s.Gateways || was.Index != s.Index
 	for _, c := range g.customers {
 		old := *c.plan
-		if c.plan = &g.s.Plans[c.index]; old == *c.plan && !fleet {
+		if c.plan = &g.settings.Plans[c.planIndex]; old == *c.plan && !fleet {
 			continue
 		}
-		c.doors = min(c.doors, float64(s.Gateways))
-		c.dealt = false // its parts are dealt anew with its next request
-		c.level = min(c.level, c.plan.Burst)
-		if was := c.rate; c.plan.Rate > 0 { // windows of another length begin anew
-			c.rate = newLedger("q"+c.key()+".", c.plan.window(), spread(c.id))
-			c.rate.put(was.state())
+		c.gateways = min(c.gateways, float64(s.Gateways))
+		c.isCeilingSplit = false // its parts are dealt anew with its next request
+		c.quotaTokens = min(c.quotaTokens, c.plan.Burst)
+		if was := c.quotaCounter; c.plan.Rate > 0 { // windows of another length begin anew
+			c.quotaCounter = newWindowCounter("q"+c.counterKey()+".", c.plan.windowLength(), hashFraction(c.id))
+			c.quotaCounter.restore(was.state())
 		}
 	}
 	if fleet {
-		g.rank()
+		g.rankServers()
 	}
 }
 
-// unsettle notes for which plans the counter's windows have another length now. Those that were begun under the former
+// suspendTotals notes for which plans the counter's windows have another length now. Those that were begun under the former
 // length go on beside the new ones, so for as long as either lasts no total shows that a request is under its ceiling:
 // settings that follow each other quickly would else let in what a window may show once for each.
-func (g *Gateway) unsettle(was []Plan) {
+func (g *Gateway) suspendTotals(was []Plan) {
 	for i, before := range was {
-		now := &g.s.Plans[i]
+		now := &g.settings.Plans[i]
 		if now.Rate <= 0 || before.Rate == now.Rate && before.Burst == now.Burst {
 			continue
 		}
-		longest := now.window()
+		longest := now.windowLength()
 		if before.Rate > 0 {
-			longest = max(longest, before.window())
+			longest = max(longest, before.windowLength())
 		}
-		g.settled[i] = max(g.settled[i], g.now+longest)
+		g.totalsValidFrom[i] = max(g.totalsValidFrom[i], g.now+longest)
 	}
 }
 
-// use has the gateway work with settings, and makes room for what is known of each class and plan.
-func (g *Gateway) use(s Settings) {
-	g.s = s
-	for len(g.stats) < len(s.Classes) {
-		g.stats, g.mix = append(g.stats, estimate.LatencyModel{}), append(g.mix, 1)
+// applySettings has the gateway work with settings, and makes room for what is known of each class and plan.
+func (g *Gateway) applySettings(s Settings) {
+	g.settings = s
+	for len(g.classLatency) < len(s.Classes) {
+		g.classLatency, g.classMix = append(g.classLatency, estimate.LatencyModel{}), append(g.classMix, 1)
 	}
-	for len(g.press) < len(s.Plans) {
-		g.press, g.settled = append(g.press, evidence{}), append(g.settled, 0)
+	for len(g.planDemand) < len(s.Plans) {
+		g.planDemand, g.totalsValidFrom = append(g.planDemand, demandEstimate{}), append(g.totalsValidFrom, 0)
 	}
-	g.thin, g.shed = estimate.Exponents(s.Plans, Plan.stake), estimate.Exponents(s.Classes, func(c Class) float64 {
+	g.queryExponents, g.admitExponents = estimate.Exponents(s.Plans, Plan.wrongDecisionCost), estimate.Exponents(s.Classes, func(c Class) float64 {
 		if c.IsRemoved {
 			return 0
 		}
-		return c.stake()
+		return c.refusalCost()
 	})
 }
--- a/admission/follow_test.go
+++ b/admission/follow_test.go
@@ -33,7 +33,7 @@
 	d.do(RequestArrived{ID: 2, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Gateways: 1})
 	for _, id := range []uint64{1, 2} {
 		r := d.g.requests[id]
-		d.do(AttemptEnded{ID: id, Server: r.tries[0].s.Name, Outcome: Broken, Took: ms})
+		d.do(AttemptEnded{ID: id, Server: r.attempts[0].server.Name, Outcome: Broken, Took: ms})
 	}
 	if sent(1) != 2 || sent(2) != 1 {
 		t.Errorf("the old one was sent %d times, the new one %d", sent(1), sent(2))
@@ -45,7 +45,7 @@
 	d.do(RequestArrived{ID: 1, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Gateways: 1})
 	d.do(SettingsChanged{followed(func(s *Settings) { s.MaxAttempts = 1 })})
 	d.got = nil
-	d.do(AttemptEnded{ID: 1, Server: d.g.requests[1].tries[0].s.Name, Outcome: Broken, Took: ms})
+	d.do(AttemptEnded{ID: 1, Server: d.g.requests[1].attempts[0].server.Name, Outcome: Broken, Took: ms})
 	for _, a := range d.got {
 		if _, again := a.(Send); again {
 			t.Errorf("sent again beyond the attempts allowed now: %v", d.got)
@@ -59,29 +59,29 @@
 // What is known of customers, servers and the counter goes on; a smaller store is cut, never filled up.
 func TestStateSurvivesNewSettings(t *testing.T) {
 	d := newDesk(t, base(), "s1")
-	c := d.g.customer(7, rate, 2, 0)
-	c.level, c.rate.window, c.rate.seen = 5, d.g.customers[7].rate.index(d.now), 3
-	d.g.servers["s1"].resp, d.g.stats[0].Latency = 3, 0.2
+	c := d.g.ensureCustomer(7, rate, 2, 0)
+	c.quotaTokens, c.quotaCounter.window, c.quotaCounter.lastTotal = 5, d.g.customers[7].quotaCounter.windowAt(d.now), 3
+	d.g.servers["s1"].relativeLatency, d.g.classLatency[0].Latency = 3, 0.2
 	d.do(SettingsChanged{followed(func(s *Settings) {
 		s.Classes = append(s.Classes, Class{Name: "new", LatencyTarget: ms, Deadline: time.Second, Worth: 1})
 		s.Plans[rate].WorthFactor = 9
 	})})
-	if got := d.g.customer(7, rate, 2, 0); got != c || c.level != 5 || c.rate.seen != 3 || c.plan.WorthFactor != 9 {
+	if got := d.g.ensureCustomer(7, rate, 2, 0); got != c || c.quotaTokens != 5 || c.quotaCounter.lastTotal != 3 || c.plan.WorthFactor != 9 {
 		t.Errorf("the customer has %+v", got)
 	}
-	if d.g.servers["s1"].resp != 3 || d.g.stats[0].Latency != 0.2 || len(d.g.stats) != 5 || len(d.g.shed) != 5 {
+	if d.g.servers["s1"].relativeLatency != 3 || d.g.classLatency[0].Latency != 0.2 || len(d.g.classLatency) != 5 || len(d.g.admitExponents) != 5 {
 		t.Error("what is known of servers and classes is lost")
 	}
 	d.do(SettingsChanged{followed(func(s *Settings) {
 		s.Classes = append(s.Classes, Class{Name: "new", IsRemoved: true})
 		s.Plans[rate].Burst = 2
 	})})
-	if c.level != 2 || c.rate.span != time.Second || c.rate.seen != 0 {
-		t.Errorf("store %v, window %v, seen %v", c.level, c.rate.span, c.rate.seen)
+	if c.quotaTokens != 2 || c.quotaCounter.length != time.Second || c.quotaCounter.lastTotal != 0 {
+		t.Errorf("store %v, window %v, seen %v", c.quotaTokens, c.quotaCounter.length, c.quotaCounter.lastTotal)
 	}
-	before := d.g.s.MaxAttempts
+	before := d.g.settings.MaxAttempts
 	d.do(SettingsChanged{followed(func(s *Settings) { s.MaxAttempts, s.Gateways = 1, 0 })})
-	if d.g.s.MaxAttempts != before {
+	if d.g.settings.MaxAttempts != before {
 		t.Error("settings that can't be worked with are taken")
 	}
 }
@@ -135,7 +135,7 @@
 			t.Fatalf("let in after %d changes, within the former window", i+1)
 		}
 	}
-	d.wait(s.Plans[joint].window())
+	d.wait(s.Plans[joint].windowLength())
 	if !some() {
 		t.Error("nobody is let in once the windows are of one length")
 	}
@@ -148,16 +148,16 @@
 		d.do(ServerList{Kind: ListChanges, Servers: []ServerEntry{{Name: "s1", Zone: "a", Size: 1, Boot: boot}}})
 	}
 	at(d.now - time.Minute)
-	if w := d.g.warmth(d.g.servers["s1"]); w != 1 {
+	if w := d.g.capacityShare(d.g.servers["s1"]); w != 1 {
 		t.Fatalf("warmth %v a minute after its start", w)
 	}
-	d.g.servers["s1"].bad = 3
+	d.g.servers["s1"].failures = 3
 	at(d.now - 2*time.Minute)
-	if s := d.g.servers["s1"]; s.bad != 0 || s.coldAt != d.now-2*time.Minute {
+	if s := d.g.servers["s1"]; s.failures != 0 || s.startedAt != d.now-2*time.Minute {
 		t.Errorf("not taken for a restart: %+v", s)
 	}
 	at(0)
-	if s := d.g.servers["s1"]; s.coldAt != d.now-2*time.Minute {
+	if s := d.g.servers["s1"]; s.startedAt != d.now-2*time.Minute {
 		t.Error("that its start is long ago is no restart")
 	}
 }
--- a/admission/gateway.go
+++ b/admission/gateway.go
@@ -17,61 +17,61 @@
 	}
 	source := rand.NewPCG(seed, 0)
 	g := &Gateway{source: source, rng: rand.New(source), requests: map[uint64]*request{},
-		customers: map[uint64]*customer{}, calls: map[string][]*call{}, servers: map[string]*server{},
-		usual: firstGuess, outFor: firstGuess, callRate: 1, admit: 1,
-		budget: math.Min(budgetMost, budgetSum/float64(s.Gateways)),
-		asked:  foretellAt, askShare: min(1, max(askLeast, askAtFirst/float64(s.Gateways)))}
-	g.use(s)
+		customers: map[uint64]*customer{}, counterCalls: map[string][]*counterCall{}, servers: map[string]*server{},
+		meanLatency: initialLatency, meanTimeInFlight: initialLatency, callsPerRequest: 1, admitShare: 1,
+		retryBudget:       math.Min(maxRetryBudget, initialFleetRetries/float64(s.Gateways)),
+		queryShareAverage: predictionThreshold, queryShare: min(1, max(minQueryShare, initialFleetQueryShare/float64(s.Gateways)))}
+	g.applySettings(s)
 	return g, nil
 }
 
-// stake is what turning a request of a class away costs. Worth squared left the least under half of its due.
-func (c Class) stake() float64 { return math.Pow(c.Worth, worthPower) }
+// refusalCost is what turning a request of a class away costs. Worth squared left the least under half of its due.
+func (c Class) refusalCost() float64 { return math.Pow(c.Worth, worthExponent) }
 
 // Handle takes one event at the time now and returns what is to be done; the next call reuses the slice.
 func (g *Gateway) Handle(now time.Duration, ev Event) []Action {
-	g.out = g.out[:0]
+	g.actions = g.actions[:0]
 	g.now = max(now, g.now)
-	if !g.started {
-		g.started, g.began, g.answeredAt = true, now, now // no answer was due before the start
-		g.timer(timerSweep, 0, g.now+sweepEvery)
-		if g.s.MustSubscribe {
-			g.do(Subscribe{On: true})
+	if !g.isStarted {
+		g.isStarted, g.ceilingStart, g.counterAnsweredAt = true, now, now // no answer was due before the start
+		g.setTimer(timerExpiry, 0, g.now+expiryInterval)
+		if g.settings.MustSubscribe {
+			g.emit(Subscribe{On: true})
 		}
 	}
 	switch ev := ev.(type) {
 	case RequestArrived:
-		g.arrive(ev)
+		g.onArrival(ev)
 	case AttemptEnded:
-		g.ended(ev)
+		g.onAttemptEnded(ev)
 	case ClientLeft:
 		if r := g.requests[ev.ID]; r != nil {
-			g.callOff(r)
+			g.cancelAttempts(r)
 			g.finish(r)
 		}
 	case ServerList:
-		g.list(ev)
+		g.onServerList(ev)
 	case CounterAnswered:
-		g.answered(ev)
+		g.onCounterAnswer(ev)
 	case TimerFired:
-		g.fired(ev.Token)
+		g.onTimer(ev.Token)
 	default:
-		g.note(ev)
+		g.onUpdate(ev)
 	}
-	return g.out
+	return g.actions
 }
 
-func (g *Gateway) fired(token uint64) {
-	r := g.requests[token/timerKinds]
-	switch token % timerKinds {
-	case timerPatience:
-		if r != nil && len(r.calls) > 0 {
-			g.decideAlone(r)
+func (g *Gateway) onTimer(token uint64) {
+	r := g.requests[token/timerKindCount]
+	switch token % timerKindCount {
+	case timerCounterWait:
+		if r != nil && len(r.pendingCalls) > 0 {
+			g.decideLocally(r)
 		}
-	case timerHold:
-		g.recheck()
-	case timerSweep:
-		g.timer(timerSweep, 0, g.now+sweepEvery)
-		g.forget()
+	case timerRecheck:
+		g.recheckHeld()
+	case timerExpiry:
+		g.setTimer(timerExpiry, 0, g.now+expiryInterval)
+		g.expireCustomers()
 	}
 }
--- a/admission/gateway_test.go
+++ b/admission/gateway_test.go
@@ -81,7 +81,7 @@
 }
 
 func (d *desk) ask(id uint64, class, plan int, units int) {
-	d.do(RequestArrived{ID: id, Class: class, Plan: plan, Customer: 5, ExpiresIn: d.g.s.Classes[class].Deadline,
+	d.do(RequestArrived{ID: id, Class: class, Plan: plan, Customer: 5, ExpiresIn: d.g.settings.Classes[class].Deadline,
 		Units: units, Gateways: 2})
 }
 
@@ -137,13 +137,13 @@
 	add := one[CounterAdd](d)
 	d.do(CounterAnswered{Name: add.Name, Total: 11, Took: 2 * ms, Outcome: OK})
 	none[Send](d)
-	l := d.g.customers[5].rate
+	l := d.g.customers[5].quotaCounter
 	r := one[Refuse](d)
-	if l.span != 4*time.Second || l.index(d.now+r.RetryAfter) != l.window+1 || l.index(d.now+r.RetryAfter-1) != l.window {
-		t.Fatalf("retry after %v is not the end of the customer's window of %v", r.RetryAfter, l.span)
+	if l.length != 4*time.Second || l.windowAt(d.now+r.RetryAfter) != l.window+1 || l.windowAt(d.now+r.RetryAfter-1) != l.window {
+		t.Fatalf("retry after %v is not the end of the customer's window of %v", r.RetryAfter, l.length)
 	}
 	// The units refused ride back on the next call for that name.
-	d.g.callRate = 0 // keep it asking
+	d.g.callsPerRequest = 0 // keep it asking
 	d.ask(2, 0, rate, 1)
 	if next := one[CounterAdd](d); next.Name != add.Name || next.Delta != 1-3 {
 		t.Fatalf("next call %+v after %+v", next, add)
@@ -172,8 +172,8 @@
 	add := one[CounterAdd](d)
 	d.do(CounterAnswered{Name: add.Name, Total: 8, Took: 2 * ms, Outcome: OK})
 	one[Send](d)
-	d.g.callRate = 0 // keep it asking
-	d.wait(20 * ms)  // a new window, whose count begins at nothing
+	d.g.callsPerRequest = 0 // keep it asking
+	d.wait(20 * ms)         // a new window, whose count begins at nothing
 	d.ask(2, 0, rate, 8)
 	for _, add := range find[CounterAdd](d.look()) {
 		total := add.Delta
@@ -190,7 +190,7 @@
 	d := newDesk(t, base(), "s1")
 	d.ask(1, 0, rate, 1)
 	timer := one[SetTimer](d)
-	if timer.At > d.now+patience {
+	if timer.At > d.now+counterWait {
 		t.Fatalf("waits %v", timer.At-d.now)
 	}
 	d.now = timer.At
@@ -202,7 +202,7 @@
 	d := newDesk(t, base(), "s1", "s2", "s3", "s4")
 	sent := 0
 	id := uint64(0)
-	for range breakAfter {
+	for range breakerThreshold {
 		id++
 		d.ask(id, 0, rate, 1)
 		got := d.look()
@@ -210,11 +210,11 @@
 			d.do(CounterAnswered{Name: add.Name, Outcome: Unreachable})
 		}
 		sent += len(find[Send](got)) + len(find[Send](d.look()))
-		if d.g.askShare = 1; d.g.open { // every request asks, however crowded
+		if d.g.queryShare = 1; d.g.isBreakerOpen { // every request asks, however crowded
 			break
 		}
 	}
-	if !d.g.open {
+	if !d.g.isBreakerOpen {
 		t.Fatal("the breaker is closed")
 	}
 	for range 20 {
@@ -227,11 +227,11 @@
 	if sent < 2 || sent > 6 { // three at full mirror, half of the other five, the last on credit
 		t.Fatalf("sent %d of a burst of 8, with half a share", sent)
 	}
-	d.wait(probeEvery + ms)
+	d.wait(counterProbeInterval + ms)
 	d.ask(99, 0, rate, 1)
 	add := one[CounterAdd](d)
 	d.do(CounterAnswered{Name: add.Name, Total: 4, Took: 2 * ms, Outcome: OK})
-	if d.g.open {
+	if d.g.isBreakerOpen {
 		t.Fatal("the breaker is open after an answer")
 	}
 }
@@ -245,10 +245,10 @@
 		d := newDesk(t, s, "s1", "s2", "s3", "s4")
 		ask := func(id uint64) []Action {
 			d.wait(5 * time.Second)
-			d.g.askShare = 1
+			d.g.queryShare = 1
 			d.do(RequestArrived{ID: id, Class: 0, Plan: rate, Customer: 5, ExpiresIn: time.Second, Units: 1, Gateways: 80})
 			for i, a := range d.got {
-				if add, ok := a.(CounterAdd); ok && !d.g.open {
+				if add, ok := a.(CounterAdd); ok && !d.g.isBreakerOpen {
 					total := 1.0
 					if heavy && id%4 > 0 { // a quarter of the demand comes before the window is used up
 						total = 30
@@ -268,7 +268,7 @@
 		for id := uint64(1); id <= 40; id++ {
 			ask(id)
 		}
-		d.g.open, d.g.nextProbe = true, 24*time.Hour
+		d.g.isBreakerOpen, d.g.nextCounterProbe = true, 24*time.Hour
 		sent := 0
 		for id := uint64(100); id < 200; id++ {
 			sent += len(find[Send](ask(id)))
@@ -285,7 +285,7 @@
 	add := one[CounterAdd](d)
 	d.do(CounterAnswered{Name: add.Name, Total: 8, Took: 2 * ms, Outcome: OK})
 	d.look()
-	d.g.callRate = 0 // keep it asking
+	d.g.callsPerRequest = 0 // keep it asking
 	d.ask(2, 0, rate, 4)
 	add = one[CounterAdd](d)
 	d.do(CounterAnswered{Name: add.Name, Total: 4, Took: 2 * ms, Outcome: OK})
@@ -312,7 +312,7 @@
 	none[Send](d)
 	answer()
 	d.wait(40 * ms)
-	d.end(1, 0, d.g.requests[1].tries[0].s.Name, OK)
+	d.end(1, 0, d.g.requests[1].attempts[0].server.Name, OK)
 	answer()
 	if total != 1 {
 		t.Fatalf("the gauge stands at %v with one out", total)
@@ -470,13 +470,13 @@
 		tight.AnswerSlack = 4 * ms
 		d := newDesk(t, tight) // no server at all, a silent counter
 		d.do(RequestArrived{ID: 1, Class: 0, Plan: rate, Customer: 5, ExpiresIn: left, Units: 1, Gateways: 2})
-		due := d.now + left + d.g.s.AnswerSlack
+		due := d.now + left + d.g.settings.AnswerSlack
 		for n := 0; len(find[Refuse](d.got)) == 0; n++ {
 			timers := find[SetTimer](d.look())
 			if len(timers) == 0 || n > 10 {
 				t.Fatalf("%v left: no answer and no timer", left)
 			}
-			d.now = max(d.now+d.g.s.Tick, timers[0].At)
+			d.now = max(d.now+d.g.settings.Tick, timers[0].At)
 			if d.now > due {
 				t.Fatalf("%v left: answered too late", left)
 			}
@@ -560,7 +560,7 @@
 	if warm := (sent["s2"] + sent["s3"]) / 2; sent["s1"] == 0 || 2*sent["s1"] > warm {
 		t.Fatalf("sent %v", sent)
 	}
-	d.wait(d.g.s.WarmUpTime)
+	d.wait(d.g.settings.WarmUpTime)
 	sent = d.load(5000, 300, 10*ms)
 	if sent["s1"] < 50 {
 		t.Fatalf("still shy of a warm server: %v", sent)
@@ -655,7 +655,7 @@
 	if sent := d.load(1000, 20, 10*ms); sent["s1"] != 0 {
 		t.Fatalf("ejected, but sent %v", sent)
 	}
-	d.wait(ejectFirst)
+	d.wait(minEjection)
 	if sent := d.load(2000, 100, 10*ms); sent["s1"] == 0 {
 		t.Fatal("never tried again")
 	}
@@ -673,13 +673,13 @@
 			d.end(s.ID, 0, s.Server, OK)
 		}
 	}
-	d.wait(2 * forgetAfter)
-	d.do(TimerFired{Token: timerSweep})
+	d.wait(2 * customerTTL)
+	d.do(TimerFired{Token: timerExpiry})
 	d.do(ServerList{Kind: ListFull})
 	g := d.g
-	if len(g.requests)+len(g.customers)+len(g.calls)+len(g.servers)+len(g.ring)+len(g.held) != 0 {
+	if len(g.requests)+len(g.customers)+len(g.counterCalls)+len(g.servers)+len(g.serversByName)+len(g.held) != 0 {
 		t.Fatalf("left: %d requests, %d customers, %d calls, %d servers, %d held", len(g.requests),
-			len(g.customers), len(g.calls), len(g.servers), len(g.held))
+			len(g.customers), len(g.counterCalls), len(g.servers), len(g.held))
 	}
 }
 
@@ -903,23 +903,23 @@
 	for range 50 {
 		call(OK, far)
 	}
-	if d.g.askShare < 1 {
-		t.Fatalf("%v of the requests ask a far counter", d.g.askShare)
+	if d.g.queryShare < 1 {
+		t.Fatalf("%v of the requests ask a far counter", d.g.queryShare)
 	}
 	for range 100 { // fewer and fewer ask
 		call(TimedOut, s.CounterTimeout)
 	}
-	if !d.g.open {
+	if !d.g.isBreakerOpen {
 		t.Fatal("the breaker is closed")
 	}
-	d.wait(2 * probeEvery)
+	d.wait(2 * counterProbeInterval)
 	call(OK, far) // the probe that is due is made, however few ask
-	if d.g.open {
+	if d.g.isBreakerOpen {
 		t.Fatal("the breaker stays open")
 	}
-	d.g.askShare = 1
+	d.g.queryShare = 1
 	call(OK, 3*far)
-	if d.g.askShare >= 1 {
+	if d.g.queryShare >= 1 {
 		t.Fatal("a crowded counter is asked as ever")
 	}
 }
@@ -949,8 +949,8 @@
 		t.Fatalf("sent %v", sent)
 	}
 	// Once nothing was sent there for long, it is as good as any again.
-	if s := d.g.servers["s1"]; s.turned.Value == 0 || s.turnedBy(d.now+time.Minute) > 0.01 {
-		t.Fatalf("turned away is remembered for ever: %v", s.turned)
+	if s := d.g.servers["s1"]; s.rejectShare.Value == 0 || s.rejectShareAt(d.now+time.Minute) > 0.01 {
+		t.Fatalf("turned away is remembered for ever: %v", s.rejectShare)
 	}
 }
 
@@ -964,10 +964,10 @@
 		name, total, id := "", 0.0, uint64(0)
 		for step := range 600 { // 30 s, ten a second asked here and five taken elsewhere
 			d.wait(50 * ms)
-			d.g.asked, d.g.askShare = asked, 0
+			d.g.queryShareAverage, d.g.queryShare = asked, 0
 			total += 0.25
 			if step%20 == 0 { // one a second asks
-				d.g.askShare = 1
+				d.g.queryShare = 1
 			}
 			if step%2 == 1 {
 				continue
@@ -978,7 +978,7 @@
 				got := d.look()
 				for _, add := range find[CounterAdd](got) {
 					if name != add.Name { // a new window
-						name, total = add.Name, 5*d.g.customers[5].rate.into(d.now).Seconds()
+						name, total = add.Name, 5*d.g.customers[5].quotaCounter.elapsed(d.now).Seconds()
 					}
 					total += add.Delta
 					d.do(CounterAnswered{Name: name, Total: total, Took: 2 * ms, Outcome: OK})
@@ -1032,7 +1032,7 @@
 		one[Send](d)
 		d.end(id, 0, "s1", Broken)
 		d.look()
-		if shunned := d.g.shunned(d.g.servers["s1"]); shunned != (id == 2) {
+		if shunned := d.g.isSuspect(d.g.servers["s1"]); shunned != (id == 2) {
 			t.Fatalf("after %d broken answers: shunned %v", id, shunned)
 		}
 	}
@@ -1046,10 +1046,10 @@
 	asks := func(share, spent float64) (n int) {
 		d := newDesk(t, s, "s1", "s2")
 		for id := uint64(1); id <= 200; id++ {
-			d.g.asked, d.g.askShare = share, share
-			c := d.g.customer(5, rate, 2, 0)
-			d.g.turn(c, &c.rate)
-			c.level, c.levelAt, c.rate.fold = 100-spent, d.now, spent
+			d.g.queryShareAverage, d.g.queryShare = share, share
+			c := d.g.ensureCustomer(5, rate, 2, 0)
+			d.g.rollWindow(c, &c.quotaCounter)
+			c.quotaTokens, c.quotaTokensAt, c.quotaCounter.pending = 100-spent, d.now, spent
 			d.ask(id, 0, rate, 1)
 			if n += len(find[CounterAdd](d.got)); len(find[Send](d.look())) > 0 {
 				d.end(id, 0, "s1", OK)
@@ -1074,10 +1074,10 @@
 	s.Plans[rate].Rate, s.Plans[rate].Burst = 10, 20
 	run := func(asked float64) (sent int) {
 		d := newDesk(t, s, "s1", "s2", "s3")
-		c := d.g.customer(5, rate, 2, 0)
-		c.take = 1
+		c := d.g.ensureCustomer(5, rate, 2, 0)
+		c.othersRate = 1
 		for id := uint64(1); id <= 160; id++ { // eight a second for 20 s
-			d.g.open, d.g.nextProbe, d.g.asked = true, d.now+time.Hour, asked
+			d.g.isBreakerOpen, d.g.nextCounterProbe, d.g.queryShareAverage = true, d.now+time.Hour, asked
 			d.wait(125 * ms)
 			d.ask(id, 0, rate, 1)
 			for _, snd := range find[Send](d.look()) {
--- a/admission/present.go
+++ b/admission/present.go
@@ -14,52 +14,52 @@
 
 func (FleetChanged) isEvent() {}
 
-// present is what was last told.
-type present struct {
-	out    []int
-	unsure bool
+// membership is what was last told.
+type membership struct {
+	absent      []int
+	isUncertain bool
 }
 
-func (g *Gateway) fleetChanged(ev FleetChanged) {
-	if g.fleet.unsure && !ev.IsUncertain { // until now the others had what is ours from here on
-		g.began = max(g.began, g.now)
+func (g *Gateway) onFleetChanged(ev FleetChanged) {
+	if g.membership.isUncertain && !ev.IsUncertain { // until now the others had what is ours from here on
+		g.ceilingStart = max(g.ceilingStart, g.now)
 	}
-	g.fleet = present{out: slices.Clone(ev.Absent), unsure: ev.IsUncertain}
+	g.membership = membership{absent: slices.Clone(ev.Absent), isUncertain: ev.IsUncertain}
 	for _, c := range g.customers {
-		c.dealt = false // doors and parts are dealt anew with its next request
+		c.isCeilingSplit = false // doors and parts are dealt anew with its next request
 	}
 }
 
-// row is where a gateway stands in the row of all that begins with number first and goes round.
-func row(gateway, first, all int) int { return (gateway - first%all + all) % all }
+// circularOffset is where a gateway stands in the circularOffset of all that begins with number first and goes round.
+func circularOffset(gateway, first, all int) int { return (gateway - first%all + all) % all }
 
-// doors is how many of the gateways from number first on, so many of all in a row, are there: 1 at least.
-func (p present) doors(n, first, all int) float64 {
+// countFrom is how many of the gateways from number first on, so many of all in a row, are there: 1 at least.
+func (p membership) countFrom(n, first, all int) float64 {
 	n = max(1, min(n, all))
 	here := n
-	for _, o := range p.out {
-		if row(o, first, all) < n {
+	for _, o := range p.absent {
+		if circularOffset(o, first, all) < n {
 			here--
 		}
 	}
 	return float64(max(1, here))
 }
 
-// place is where gateway me stands in that row, among those that are there.
-func (p present) place(me, first, all int) int {
-	at := row(me, first, all)
+// position is where gateway me stands in that row, among those that are there.
+func (p membership) position(me, first, all int) int {
+	at := circularOffset(me, first, all)
 	place := at
-	for _, o := range p.out {
-		if row(o, first, all) < at {
+	for _, o := range p.absent {
+		if circularOffset(o, first, all) < at {
 			place--
 		}
 	}
 	return place
 }
 
-// sure is 1, and 0 while others may count this gateway out.
-func (p present) sure() float64 {
-	if p.unsure {
+// ceilingFactor is 1, and 0 while others may count this gateway out.
+func (p membership) ceilingFactor() float64 {
+	if p.isUncertain {
 		return 0
 	}
 	return 1
--- a/admission/present_test.go
+++ b/admission/present_test.go
@@ -10,7 +10,7 @@
 func ceilingFleet(t *testing.T, doors int) *fleet {
 	f := newFleet(t, doors, 4)
 	for _, d := range f.doors {
-		d.g.s.Plans[hard] = Plan{Name: "hard", CeilingRate: 18, CeilingBurst: 45, CeilingSlack: 4.5}
+		d.g.settings.Plans[hard] = Plan{Name: "hard", CeilingRate: 18, CeilingBurst: 45, CeilingSlack: 4.5}
 	}
 	return f
 }
@@ -46,20 +46,20 @@
 		sum, fill := 0.0, 0.0
 		for me, d := range f.doors {
 			d.g.Handle(d.now, FleetChanged{Absent: out})
-			c := d.g.customer(7, hard, 4, 1)
-			if c.doors != float64(4-len(out)) {
-				t.Errorf("out %v: %v doors", out, c.doors)
+			c := d.g.ensureCustomer(7, hard, 4, 1)
+			if c.gateways != float64(4-len(out)) {
+				t.Errorf("out %v: %v doors", out, c.gateways)
 			}
 			gone := false
 			for _, o := range out {
 				gone = gone || o == me
 			}
 			if !gone {
-				sum, fill = sum+c.part, fill+c.fill
+				sum, fill = sum+c.ceilingBurst, fill+c.ceilingRate
 			}
 		}
-		p := f.doors[0].g.s.Plans[hard]
-		if whole := p.CeilingBurst + slackUsed*p.CeilingSlack; math.Abs(sum-whole) > 1e-6 || math.Abs(fill-p.CeilingRate) > 1e-6 {
+		p := f.doors[0].g.settings.Plans[hard]
+		if whole := p.CeilingBurst + usedSlackShare*p.CeilingSlack; math.Abs(sum-whole) > 1e-6 || math.Abs(fill-p.CeilingRate) > 1e-6 {
 			t.Errorf("out %v: parts %v of %v, filled at %v of %v", out, sum, whole, fill, p.CeilingRate)
 		}
 	}
@@ -75,7 +75,7 @@
 	}
 	told(f, now+3*time.Second, FleetChanged{}, 0, 1)
 	for me, d := range f.doors { // nor has it saved up a part meanwhile, for a customer that it meets now
-		if c := d.g.customer(8, hard, 2, 0); c.underCeiling(now+3*time.Second+ms, 1) {
+		if c := d.g.ensureCustomer(8, hard, 2, 0); c.hasCeilingTokens(now+3*time.Second+ms, 1) {
 			t.Errorf("gateway %d has a part at once", me)
 		}
 	}
@@ -105,16 +105,16 @@
 
 // A customer's set goes round the numbers; only those of the set that are out count.
 func TestOnlyTheCustomersOwnDoorsCount(t *testing.T) {
-	p := present{out: []int{0, 3}}
+	p := membership{absent: []int{0, 3}}
 	for _, c := range []struct {
 		n, first int
 		want     float64
 	}{{2, 1, 2}, {2, 3, 1}, {4, 2, 2}, {5, 0, 3}, {1, 0, 1}, {9, 4, 3}} {
-		if got := p.doors(c.n, c.first, 5); got != c.want {
+		if got := p.countFrom(c.n, c.first, 5); got != c.want {
 			t.Errorf("%d from %d: %v, want %v", c.n, c.first, got, c.want)
 		}
 	}
-	if p.place(4, 2, 5) != 1 || p.place(1, 2, 5) != 2 || (present{}).place(1, 2, 5) != 4 {
-		t.Error("places", p.place(4, 2, 5), p.place(1, 2, 5), present{}.place(1, 2, 5))
+	if p.position(4, 2, 5) != 1 || p.position(1, 2, 5) != 2 || (membership{}).position(1, 2, 5) != 4 {
+		t.Error("places", p.position(4, 2, 5), p.position(1, 2, 5), membership{}.position(1, 2, 5))
 	}
 }
--- a/admission/readout.go
+++ b/admission/readout.go
@@ -7,8 +7,8 @@
 // AvoidedServers tells how many servers of the list get nothing now: those that drain, are ejected, silent or away.
 func (g *Gateway) AvoidedServers(now time.Duration) (n int) {
 	g.now = max(g.now, now)
-	for _, s := range g.ring {
-		if s.State == Draining || s.State == Up && (g.shunned(s) || s.broken >= awayAt) {
+	for _, s := range g.serversByName {
+		if s.State == Draining || s.State == Up && (g.isSuspect(s) || s.connectionFailures >= downThreshold) {
 			n++
 		}
 	}
--- a/admission/rendezvous/rendezvous.go
+++ b/admission/rendezvous/rendezvous.go
@@ -10,8 +10,8 @@
 	"slices"
 )
 
-// mix spreads 64 bits evenly (the finaliser of SplitMix64).
-func mix(x uint64) uint64 {
+// mix64 spreads 64 bits evenly (the finaliser of SplitMix64).
+func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
@@ -21,23 +21,23 @@
 func Key(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
-	return mix(h.Sum64())
+	return mix64(h.Sum64())
 }
 
 // weight is how much a door prefers a host: highest random weight, as in rendezvous hashing.
-func weight(key uint64, door int) uint64 { return mix(key + uint64(door+1)*0x9e3779b97f4a7c15) }
+func weight(key uint64, door int) uint64 { return mix64(key + uint64(door+1)*0x9e3779b97f4a7c15) }
 
-// mostWork bounds the weights computed for one order. Beyond it the load is not bounded: by then a host has so
+// maxWeights bounds the weights computed for one order. Beyond it the load is not bounded: by then a host has so
 // many doors, or a door so many hosts, that chance evens it out.
-const mostWork = 1 << 20
+const maxWeights = 1 << 20
 
-// spare is the room that a host's share has beyond the mean, so that the last doors to choose still find hosts
+// shareMargin is the room that a host's share has beyond the mean, so that the last doors to choose still find hosts
 // they have not chosen yet.
-const spare = 1.1
+const shareMargin = 1.1
 
 // Share is the most subsets that a host is in, where every door finds k hosts that are not full.
 func Share(hosts, doors, k int) int {
-	return int(math.Ceil(spare * float64(min(k, hosts)*doors) / float64(max(1, hosts))))
+	return int(math.Ceil(shareMargin * float64(min(k, hosts)*doors) / float64(max(1, hosts))))
 }
 
 // Order returns the indices of hosts, given by their keys, in the order in which door me of doors prefers them.
@@ -48,18 +48,18 @@
 	n := len(keys)
 	order := byWeight(keys, me)
 	k = min(k, n)
-	if k <= 0 || k == n || me < 0 || me >= doors || (me+1)*n > mostWork {
+	if k <= 0 || k == n || me < 0 || me >= doors || (me+1)*n > maxWeights {
 		return order
 	}
 	most, taken := Share(n, doors, k), make([]int, n)
-	top := make([]pair, 0, k+1)
+	top := make([]weightedHost, 0, k+1)
 	for door := 0; door <= me; door++ {
 		top = top[:0]
 		for i, key := range keys {
 			if taken[i] >= most {
 				continue
 			}
-			p := pair{weight(key, door), i}
+			p := weightedHost{weight(key, door), i}
 			if len(top) == k && p.weight <= top[k-1].weight {
 				continue
 			}
@@ -69,14 +69,14 @@
 			}
 		}
 		for _, p := range top {
-			taken[p.at]++
+			taken[p.index]++
 		}
 	}
 	in := make([]bool, n)
 	own := make([]int, 0, n)
 	for _, p := range top {
-		in[p.at] = true
-		own = append(own, p.at)
+		in[p.index] = true
+		own = append(own, p.index)
 	}
 	return append(own, slices.DeleteFunc(order, func(i int) bool { return in[i] })...)
 }
@@ -94,26 +94,26 @@
 	return sorted
 }
 
-// pair is a host's weight for a door, and its index.
-type pair struct {
+// weightedHost is a host's weight for a door, and its index.
+type weightedHost struct {
 	weight uint64
-	at     int
+	index  int
 }
 
-func byPreference(a, b pair) int {
-	return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.at, b.at))
+func byPreference(a, b weightedHost) int {
+	return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.index, b.index))
 }
 
 // byWeight sorts all hosts by a door's weights, the most preferred first.
 func byWeight(keys []uint64, door int) []int {
-	pairs := make([]pair, len(keys))
+	pairs := make([]weightedHost, len(keys))
 	for i, key := range keys {
-		pairs[i] = pair{weight(key, door), i}
+		pairs[i] = weightedHost{weight(key, door), i}
 	}
 	slices.SortFunc(pairs, byPreference)
 	order := make([]int, len(keys))
 	for i, p := range pairs {
-		order[i] = p.at
+		order[i] = p.index
 	}
 	return order
 }
--- a/admission/size_test.go
+++ b/admission/size_test.go
@@ -21,13 +21,13 @@
 
 // read has the desk learn one total of a customer, at a part of its window, and returns its estimate.
 func (d *desk) read(customer uint64, part, total float64) float64 {
-	c := d.g.customer(customer, rate, 300, 0)
-	l := &c.rate
-	d.now += l.span - l.into(d.now) + time.Duration(part*float64(l.span))
+	c := d.g.ensureCustomer(customer, rate, 300, 0)
+	l := &c.quotaCounter
+	d.now += l.length - l.elapsed(d.now) + time.Duration(part*float64(l.length))
 	d.g.now = d.now
-	d.g.turn(c, l)
-	d.g.weigh(c, l, &call{c: c, l: l, window: l.window, by: 1}, total+1)
-	return d.g.pressOf(c)
+	d.g.rollWindow(c, l)
+	d.g.learnDemand(c, l, &counterCall{customer: c, counter: l, window: l.window, delta: 1}, total+1)
+	return d.g.demandRatio(c)
 }
 
 func TestOneEarlyTotalIsNotTrustedLikeAWholeWindow(t *testing.T) {
@@ -51,10 +51,10 @@
 
 func TestFirstAnswerOfTheCounterDoesNotMakeAllDoorsAsk(t *testing.T) {
 	d := newDesk(t, sized(), "s1")
-	before := d.g.askShare
-	d.g.counterWorks(ms)
-	if d.g.askShare > before+2*crowdedGain {
-		t.Errorf("the part that asks went from %.2f to %.2f with one answer", before, d.g.askShare)
+	before := d.g.queryShare
+	d.g.counterSucceeded(ms)
+	if d.g.queryShare > before+2*queryShareGain {
+		t.Errorf("the part that asks went from %.2f to %.2f with one answer", before, d.g.queryShare)
 	}
 }
 
@@ -62,12 +62,12 @@
 	s := sized()
 	s.Plans[openPlan].OverQuotaCost, s.Plans[openPlan].OverQuotaWorth = 0, 0.3
 	d := newDesk(t, s, "s1")
-	d.g.askShare = 0.3
-	if dear, cheap := d.g.asking(rate), d.g.asking(openPlan); dear != 0.3 || cheap >= 0.2 {
+	d.g.queryShare = 0.3
+	if dear, cheap := d.g.planQueryShare(rate), d.g.planQueryShare(openPlan); dear != 0.3 || cheap >= 0.2 {
 		t.Errorf("asks for %.2f of the dear plan's requests, %.2f of the cheap one's", dear, cheap)
 	}
-	d.g.askShare = 1
-	if cheap := d.g.asking(openPlan); cheap != 1 {
+	d.g.queryShare = 1
+	if cheap := d.g.planQueryShare(openPlan); cheap != 1 {
 		t.Errorf("a counter with room is asked for %.2f", cheap)
 	}
 }
@@ -76,9 +76,9 @@
 	s := sized()
 	sum := 0.0
 	for range s.Gateways {
-		sum += newDesk(t, s, "s1").g.budget
+		sum += newDesk(t, s, "s1").g.retryBudget
 	}
-	if sum > budgetSum+1e-6 {
+	if sum > initialFleetRetries+1e-6 {
 		t.Errorf("%d gateways start with %.0f retries", s.Gateways, sum)
 	}
 }
@@ -120,29 +120,29 @@
 
 func TestFewLostAnswersDoNotThrottle(t *testing.T) {
 	d := newDesk(t, sized(), "s1")
-	r := &request{class: &d.g.s.Classes[0], at: d.now, due: d.now + 500*ms}
+	r := &request{class: &d.g.settings.Classes[0], arrivedAt: d.now, due: d.now + 500*ms}
 	end := func(o Outcome, n int) {
 		for range n {
 			s := &server{}
-			d.g.observe(&attempt{s: s, at: d.now}, r, AttemptEnded{Outcome: o, Took: 60 * ms})
+			d.g.learnFromAttempt(&attempt{server: s, sentAt: d.now}, r, AttemptEnded{Outcome: o, Took: 60 * ms})
 		}
 	}
 	for range 20 {
 		end(OK, 3)
 		end(TimedOut, 1)
 	}
-	if d.g.admit < 0.9 {
-		t.Errorf("admits %.2f with a quarter of the answers lost", d.g.admit)
+	if d.g.admitShare < 0.9 {
+		t.Errorf("admits %.2f with a quarter of the answers lost", d.g.admitShare)
 	}
 	end(TimedOut, 40)
-	if d.g.admit > 0.3 {
-		t.Errorf("admits %.2f with no answer at all", d.g.admit)
+	if d.g.admitShare > 0.3 {
+		t.Errorf("admits %.2f with no answer at all", d.g.admitShare)
 	}
 }
 
 func TestAnAttemptEndsWhenItsAnswerIsWorthNothing(t *testing.T) {
 	d := newDesk(t, sized(), "s1")
-	d.g.budget = 0
+	d.g.retryBudget = 0
 	d.ask(1, 0, free, 1)
 	if x := one[Send](d); x.Wait != 500*ms {
 		t.Errorf("waits %v for an answer that is worth nothing after 500 ms", x.Wait)
@@ -155,7 +155,7 @@
 	s := sized()
 	s.Classes[0].LateWorth = 0.2
 	d = newDesk(t, s, "s1")
-	d.g.budget = 0
+	d.g.retryBudget = 0
 	d.ask(1, 0, free, 1)
 	if x := one[Send](d); x.Wait != 0 {
 		t.Errorf("waits only %v though late answers are worth something", x.Wait)
@@ -164,7 +164,7 @@
 
 func TestWhatCantBeAnsweredBeforeItsClientGoesIsRefusedAtOnce(t *testing.T) {
 	d := newDesk(t, sized(), "s1")
-	d.g.stats[0] = estimate.LatencyModel{Latency: 0.3, Units: 1}
+	d.g.classLatency[0] = estimate.LatencyModel{Latency: 0.3, Units: 1}
 	d.do(RequestArrived{ID: 1, Class: 0, Plan: free, Customer: 5, ExpiresIn: 200 * ms, Units: 1, Gateways: 2})
 	none[Send](d)
 	one[Refuse](d)
@@ -179,17 +179,17 @@
 	d.do(ClientLeft{ID: 1})
 	off := one[Cancel](d)
 	d.end(off.ID, off.Attempt, "s1", Cancelled)
-	if c := d.g.customers[5]; c.out != 0 || c.reg != 0 {
-		t.Errorf("still counts %d out and %v on the gauge", c.out, c.reg)
+	if c := d.g.customers[5]; c.inFlight != 0 || c.inFlightCounted != 0 {
+		t.Errorf("still counts %d out and %v on the gauge", c.inFlight, c.inFlightCounted)
 	}
 	none[Send](d)
 }
 
 func TestACapsLoadCountsWhatIsNeverAnswered(t *testing.T) {
 	d := newDesk(t, sized(), "s1", "s2", "s3", "s4")
-	d.g.budget = 0
+	d.g.retryBudget = 0
 	for id := uint64(1); id <= 60; id++ {
-		d.g.budget = 0
+		d.g.retryBudget = 0
 		d.ask(id, 0, free, 1)
 		for _, x := range find[Send](d.look()) {
 			d.wait(500 * ms)
@@ -198,14 +198,14 @@
 		}
 		d.wait(10 * time.Second) // ejections end
 	}
-	if d.g.outFor < 0.2 {
-		t.Errorf("a request is taken to be out for %.2f s, all were for 0.5", d.g.outFor)
+	if d.g.meanTimeInFlight < 0.2 {
+		t.Errorf("a request is taken to be out for %.2f s, all were for 0.5", d.g.meanTimeInFlight)
 	}
 }
 
 func TestAnAskedRequestDecidesByItsOwnUnits(t *testing.T) {
 	d := newDesk(t, sized(), "s1")
-	d.g.askShare = 0.05 // an asked request stands for ten that did not ask, more than the burst
+	d.g.queryShare = 0.05 // an asked request stands for ten that did not ask, more than the burst
 	for id := uint64(1); ; id++ {
 		d.do(RequestArrived{ID: id, Class: 0, Plan: rate, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 300})
 		got := d.look()
@@ -217,12 +217,12 @@
 			d.look()
 			continue
 		}
-		if adds[0].Delta <= d.g.s.Plans[rate].Burst {
+		if adds[0].Delta <= d.g.settings.Plans[rate].Burst {
 			t.Fatalf("adds only %v", adds[0].Delta)
 		}
 		d.do(CounterAnswered{Name: adds[0].Name, Total: adds[0].Delta, Took: ms})
 		one[Send](d)
-		if p := d.g.pressOf(d.g.customers[id]); p > pressFirst {
+		if p := d.g.demandRatio(d.g.customers[id]); p > initialQuotaDemand {
 			t.Errorf("alone in its window, a request makes its customer ask %.2f of what fits", p)
 		}
 		return
@@ -234,9 +234,9 @@
 	for range 4 {
 		d.read(3, 0.9, 40)
 	}
-	d.g.open = true
+	d.g.isBreakerOpen = true
 	d.g.now += time.Minute
-	if p := d.g.pressOf(d.g.customers[3]); p < 3 {
+	if p := d.g.demandRatio(d.g.customers[3]); p < 3 {
 		t.Errorf("after a minute without a counter a heavy customer is taken to ask %.2f of what fits", p)
 	}
 }
@@ -248,10 +248,10 @@
 	sum := 0.0
 	for range 7 { // doors of one customer, all asked for all they can give
 		d := newDesk(t, s, "s1")
-		c := d.g.customer(5, hard, 2, 0)
+		c := d.g.ensureCustomer(5, hard, 2, 0)
 		d.g.now += time.Hour
-		for c.underCeiling(d.g.now, 0.5) {
-			c.hard -= 0.5
+		for c.hasCeilingTokens(d.g.now, 0.5) {
+			c.ceilingTokens -= 0.5
 			sum += 0.5
 		}
 	}
@@ -270,7 +270,7 @@
 	for id := uint64(1); id <= 200; id++ { // a flood at a cold start, nothing answered yet
 		d.ask(id, 0, free, 1)
 	}
-	if n := len(find[Send](d.got)); float64(n*s.Gateways) > 1.4*leastOut*float64(len(servers)) {
+	if n := len(find[Send](d.got)); float64(n*s.Gateways) > 1.4*minServerAttempts*float64(len(servers)) {
 		t.Errorf("%d gateways may have %d attempts each out at %d servers", s.Gateways, n, len(servers))
 	}
 }
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -154,23 +154,25 @@
 	RequestIndex        int // its place among the request's calls
 }
 
-func (d decaying) state() DecayingCount    { return DecayingCount{d.n, d.at} }
-func (d DecayingCount) decaying() decaying { return decaying{d.Count, d.At} }
-func (e evidence) state() DemandState      { return DemandState{e.asked, e.span, e.at} }
-func (s DemandState) evidence() evidence   { return evidence{s.Demand, s.Observed, s.At} }
+func (d eventRate) state() DecayingCount       { return DecayingCount{d.count, d.at} }
+func (d DecayingCount) eventRate() eventRate   { return eventRate{d.Count, d.At} }
+func (e demandEstimate) state() DemandState    { return DemandState{e.demand, e.observed, e.at} }
+func (s DemandState) estimate() demandEstimate { return demandEstimate{s.Demand, s.Observed, s.At} }
 
-func (l *ledger) state() WindowCounterState {
-	return WindowCounterState{l.span, l.phase, l.window, l.seen, l.seenAt, l.fold}
+func (l *windowCounter) state() WindowCounterState {
+	return WindowCounterState{l.length, l.phase, l.window, l.lastTotal, l.lastTotalAt, l.pending}
 }
 
-// put takes over a ledger's count. Windows of another length share no count with ours: then it begins anew.
-func (l *ledger) put(s WindowCounterState) {
-	if s.Length == l.span {
-		l.phase, l.window, l.seen, l.seenAt, l.fold = s.Phase, s.Window, s.LastTotal, s.LastTotalAt, s.Pending
+// restore takes over a ledger's count. Windows of another length share no count with ours: then it begins anew.
+func (l *windowCounter) restore(s WindowCounterState) {
+	if s.Length == l.length {
+		l.phase, l.window, l.lastTotal, l.lastTotalAt, l.pending = s.Phase, s.Window, s.LastTotal, s.LastTotalAt, s.Pending
 	}
 }
 
-func (c *customer) ledgers() [3]*ledger { return [3]*ledger{&c.rate, &c.gauge, &c.demand} }
+func (c *customer) counters() [3]*windowCounter {
+	return [3]*windowCounter{&c.quotaCounter, &c.inFlightCounter, &c.demandCounter}
+}
 
 // CustomerCount tells how many customers are.
 func (g *Gateway) CustomerCount() int { return len(g.customers) }
@@ -179,7 +181,7 @@
 func (g *Gateway) Customers(since time.Duration) []uint64 {
 	var ids []uint64
 	for id, c := range g.customers {
-		if c.used >= since {
+		if c.lastSeen >= since {
 			ids = append(ids, id)
 		}
 	}
@@ -191,13 +193,13 @@
 func (g *Gateway) ActiveCustomers() []uint64 {
 	open := map[uint64]bool{}
 	for _, r := range g.requests {
-		if r.cust != nil {
-			open[r.cust.id] = true
+		if r.customer != nil {
+			open[r.customer.id] = true
 		}
 	}
-	for _, q := range g.calls {
+	for _, q := range g.counterCalls {
 		for _, k := range q {
-			open[k.c.id] = true
+			open[k.customer.id] = true
 		}
 	}
 	ids := make([]uint64, 0, len(open))
@@ -213,29 +215,29 @@
 	if c == nil {
 		return CustomerState{}, false
 	}
-	return CustomerState{ID: id, Plan: c.plan.Name, Gateways: c.doors, QuotaCounter: c.rate.state(), InFlightCounter: c.gauge.state(),
-		DemandCounter: c.demand.state(), Demand: c.press.state(), QuotaTokens: c.level, CeilingTokens: c.hard, OthersRate: c.take, PredictedUsage: c.taken,
-		LastSeen: c.used, QuotaTokensAt: c.levelAt, CeilingTokensAt: c.hardAt, InFlight: c.out, InFlightCounted: c.reg, UnderCapShare: c.fit}, true
+	return CustomerState{ID: id, Plan: c.plan.Name, Gateways: c.gateways, QuotaCounter: c.quotaCounter.state(), InFlightCounter: c.inFlightCounter.state(),
+		DemandCounter: c.demandCounter.state(), Demand: c.observedDemand.state(), QuotaTokens: c.quotaTokens, CeilingTokens: c.ceilingTokens, OthersRate: c.othersRate, PredictedUsage: c.predictedUsage,
+		LastSeen: c.lastSeen, QuotaTokensAt: c.quotaTokensAt, CeilingTokensAt: c.ceilingTokensAt, InFlight: c.inFlight, InFlightCounted: c.inFlightCounted, UnderCapShare: c.underCapShare}, true
 }
 
 // PutCustomer enters a customer, or replaces what was entered of it before. Stores are cut to what its plan
 // holds now. One whose plan is gone is left out: it begins anew should it ever ask.
 func (g *Gateway) PutCustomer(s CustomerState) {
-	index := g.plan(s.Plan)
+	index := g.planIndex(s.Plan)
 	if index < 0 {
 		return
 	}
 	delete(g.customers, s.ID)
-	c := g.customer(s.ID, index, int(s.Gateways), 0)
-	c.dealt = false // its first door comes with its next request
+	c := g.ensureCustomer(s.ID, index, int(s.Gateways), 0)
+	c.isCeilingSplit = false // its first door comes with its next request
 	p := c.plan
-	c.doors, c.press, c.fit = s.Gateways, s.Demand.evidence(), s.UnderCapShare
-	c.level, c.levelAt, c.take, c.taken = min(s.QuotaTokens, p.Burst), s.QuotaTokensAt, s.OthersRate, s.PredictedUsage
-	c.hard, c.hardAt = s.CeilingTokens, s.CeilingTokensAt // it is cut to what its part holds at the next look
-	c.used, c.out, c.reg = s.LastSeen, s.InFlight, s.InFlightCounted
-	c.rate.put(s.QuotaCounter)
-	c.gauge.put(s.InFlightCounter)
-	c.demand.put(s.DemandCounter)
+	c.gateways, c.observedDemand, c.underCapShare = s.Gateways, s.Demand.estimate(), s.UnderCapShare
+	c.quotaTokens, c.quotaTokensAt, c.othersRate, c.predictedUsage = min(s.QuotaTokens, p.Burst), s.QuotaTokensAt, s.OthersRate, s.PredictedUsage
+	c.ceilingTokens, c.ceilingTokensAt = s.CeilingTokens, s.CeilingTokensAt // it is cut to what its part holds at the next look
+	c.lastSeen, c.inFlight, c.inFlightCounted = s.LastSeen, s.InFlight, s.InFlightCounted
+	c.quotaCounter.restore(s.QuotaCounter)
+	c.inFlightCounter.restore(s.InFlightCounter)
+	c.demandCounter.restore(s.DemandCounter)
 }
 
 // State returns all but the customers. Equal gateways give equal states: lists are in order.
@@ -244,21 +246,21 @@
 	if err != nil {
 		return State{}, fmt.Errorf("state: random source: %w", err)
 	}
-	st := State{Now: g.now, CeilingStart: g.began, IsStarted: g.started, Random: random, LogLines: g.logs,
-		CounterFailures: g.failures, IsBreakerOpen: g.open, NextCounterProbe: g.nextProbe, CounterAnsweredAt: g.answeredAt, CounterBaseline: g.ease,
-		CallsPerRequest: g.callRate, QueryShare: g.askShare, QueryShareAverage: g.asked, RecheckAt: g.holdAt, RetryBudget: g.budget,
-		Answers: g.served.state(), TimeoutShare: g.unheard, MeanLatency: g.usual, MeanTimeInFlight: g.outFor, AdmitShare: g.admit,
-		LiveAttempts: g.live, TopClassShortage: g.short.Value, TopClassShortageAt: g.short.At}
-	for i, c := range g.s.Classes {
-		st.Classes = append(st.Classes, ClassState{c.Name, g.stats[i].Latency, g.stats[i].Units, g.stats[i].DoubtedAt, g.mix[i]})
+	st := State{Now: g.now, CeilingStart: g.ceilingStart, IsStarted: g.isStarted, Random: random, LogLines: g.logLines,
+		CounterFailures: g.counterFailures, IsBreakerOpen: g.isBreakerOpen, NextCounterProbe: g.nextCounterProbe, CounterAnsweredAt: g.counterAnsweredAt, CounterBaseline: g.counterBaseline,
+		CallsPerRequest: g.callsPerRequest, QueryShare: g.queryShare, QueryShareAverage: g.queryShareAverage, RecheckAt: g.recheckAt, RetryBudget: g.retryBudget,
+		Answers: g.answers.state(), TimeoutShare: g.timeoutShare, MeanLatency: g.meanLatency, MeanTimeInFlight: g.meanTimeInFlight, AdmitShare: g.admitShare,
+		LiveAttempts: g.liveAttempts, TopClassShortage: g.topClassShortage.Value, TopClassShortageAt: g.topClassShortage.At}
+	for i, c := range g.settings.Classes {
+		st.Classes = append(st.Classes, ClassState{c.Name, g.classLatency[i].Latency, g.classLatency[i].Units, g.classLatency[i].DoubtedAt, g.classMix[i]})
 	}
-	for i, p := range g.s.Plans {
-		st.Plans = append(st.Plans, PlanState{p.Name, g.press[i].state()})
+	for i, p := range g.settings.Plans {
+		st.Plans = append(st.Plans, PlanState{p.Name, g.planDemand[i].state()})
 	}
-	for _, s := range g.ring {
-		st.Servers = append(st.Servers, ServerHealth{Entry: s.ServerEntry, StartedAt: s.coldAt, RelativeLatency: s.resp,
-			Outstanding: slices.Clone(s.out), LastResponseAt: s.heard, EjectedUntil: s.ejected, Failures: s.bad, Errors: s.errors, ConnectionFailures: s.broken,
-			RejectShare: s.turned.Value, RejectShareAt: s.turned.At, RejectLatency: s.turnTook, Throughput: s.thru.state()})
+	for _, s := range g.serversByName {
+		st.Servers = append(st.Servers, ServerHealth{Entry: s.ServerEntry, StartedAt: s.startedAt, RelativeLatency: s.relativeLatency,
+			Outstanding: slices.Clone(s.outstanding), LastResponseAt: s.lastResponseAt, EjectedUntil: s.ejectedUntil, Failures: s.failures, Errors: s.errors, ConnectionFailures: s.connectionFailures,
+			RejectShare: s.rejectShare.Value, RejectShareAt: s.rejectShare.At, RejectLatency: s.rejectLatency, Throughput: s.throughput.state()})
 	}
 	for _, r := range g.requests {
 		st.Requests = append(st.Requests, r.state())
@@ -267,7 +269,7 @@
 	for _, r := range g.held {
 		st.Held = append(st.Held, r.id)
 	}
-	for name, q := range g.calls {
+	for name, q := range g.counterCalls {
 		for _, k := range q {
 			st.Calls = append(st.Calls, k.state(name))
 		}
@@ -277,30 +279,30 @@
 }
 
 func (r *request) state() RequestState {
-	s := RequestState{ID: r.id, Class: r.class.Name, HasCustomer: r.cust != nil, Units: r.units, ArrivedAt: r.at,
-		Deadline: r.deadline, Due: r.due, QuotaCounted: r.inRate, InFlightCounted: r.inGauge, TokensTaken: r.drawn, QuotaWindow: r.rateWindow,
-		SlowStartSample: r.lot, IsOverQuota: r.over, WasSent: r.sent, IsDone: r.done, HasPrior: r.maybe != nil, PriorSentAt: r.maybeAt}
-	if r.cust != nil {
-		s.Customer, s.Plan = r.cust.id, r.cust.plan.Name
+	s := RequestState{ID: r.id, Class: r.class.Name, HasCustomer: r.customer != nil, Units: r.units, ArrivedAt: r.arrivedAt,
+		Deadline: r.deadline, Due: r.due, QuotaCounted: r.quotaCounted, InFlightCounted: r.inFlightCounted, TokensTaken: r.tokensTaken, QuotaWindow: r.quotaWindow,
+		SlowStartSample: r.slowStartSample, IsOverQuota: r.isOverQuota, WasSent: r.wasSent, IsDone: r.isDone, HasPrior: r.priorServer != nil, PriorSentAt: r.priorSentAt}
+	if r.customer != nil {
+		s.Customer, s.Plan = r.customer.id, r.customer.plan.Name
 	}
-	for _, t := range r.tries {
-		s.Attempts = append(s.Attempts, AttemptState{t.s.Name, t.at, t.live})
+	for _, t := range r.attempts {
+		s.Attempts = append(s.Attempts, AttemptState{t.server.Name, t.sentAt, t.isLive})
 	}
-	if r.maybe != nil {
-		s.PriorServer, s.PriorZone, s.PriorCell = r.maybe.Name, r.maybe.Zone, r.maybe.Cell
+	if r.priorServer != nil {
+		s.PriorServer, s.PriorZone, s.PriorCell = r.priorServer.Name, r.priorServer.Zone, r.priorServer.Cell
 	}
 	return s
 }
 
-func (k *call) state(name string) CallState {
-	s := CallState{Name: name, Customer: k.c.id, Plan: k.c.plan.Name, Window: k.window, Delta: k.by, RequestDelta: k.own}
-	for i, l := range k.c.ledgers() {
-		if l == k.l {
+func (k *counterCall) state(name string) CallState {
+	s := CallState{Name: name, Customer: k.customer.id, Plan: k.customer.plan.Name, Window: k.window, Delta: k.delta, RequestDelta: k.requestDelta}
+	for i, l := range k.customer.counters() {
+		if l == k.counter {
 			s.Counter = i
 		}
 	}
-	if k.r != nil {
-		s.Request, s.HasRequest, s.RequestIndex = k.r.id, true, slices.Index(k.r.calls, k)
+	if k.request != nil {
+		s.Request, s.HasRequest, s.RequestIndex = k.request.id, true, slices.Index(k.request.pendingCalls, k)
 	}
 	return s
 }
@@ -313,113 +315,113 @@
 		return fmt.Errorf("state: random source: %w", err)
 	}
 	g.source, g.rng = source, rand.New(source)
-	g.now, g.began, g.started, g.logs = st.Now, st.CeilingStart, st.IsStarted, st.LogLines
-	g.failures, g.open, g.nextProbe, g.answeredAt, g.ease = st.CounterFailures, st.IsBreakerOpen, st.NextCounterProbe, st.CounterAnsweredAt, st.CounterBaseline
-	g.callRate, g.askShare, g.asked, g.holdAt, g.budget = st.CallsPerRequest, st.QueryShare, st.QueryShareAverage, st.RecheckAt, st.RetryBudget
-	g.served, g.unheard, g.usual, g.outFor = st.Answers.decaying(), st.TimeoutShare, st.MeanLatency, st.MeanTimeInFlight
-	g.admit, g.live, g.short = st.AdmitShare, st.LiveAttempts, estimate.FadingAverage{Value: st.TopClassShortage, At: st.TopClassShortageAt}
+	g.now, g.ceilingStart, g.isStarted, g.logLines = st.Now, st.CeilingStart, st.IsStarted, st.LogLines
+	g.counterFailures, g.isBreakerOpen, g.nextCounterProbe, g.counterAnsweredAt, g.counterBaseline = st.CounterFailures, st.IsBreakerOpen, st.NextCounterProbe, st.CounterAnsweredAt, st.CounterBaseline
+	g.callsPerRequest, g.queryShare, g.queryShareAverage, g.recheckAt, g.retryBudget = st.CallsPerRequest, st.QueryShare, st.QueryShareAverage, st.RecheckAt, st.RetryBudget
+	g.answers, g.timeoutShare, g.meanLatency, g.meanTimeInFlight = st.Answers.eventRate(), st.TimeoutShare, st.MeanLatency, st.MeanTimeInFlight
+	g.admitShare, g.liveAttempts, g.topClassShortage = st.AdmitShare, st.LiveAttempts, estimate.FadingAverage{Value: st.TopClassShortage, At: st.TopClassShortageAt}
 	for _, c := range st.Classes {
-		if i := g.class(c.Name); i >= 0 {
-			g.stats[i] = estimate.LatencyModel{Latency: c.Latency, Units: c.Units, DoubtedAt: c.DoubtedAt}
+		if i := g.classIndex(c.Name); i >= 0 {
+			g.classLatency[i] = estimate.LatencyModel{Latency: c.Latency, Units: c.Units, DoubtedAt: c.DoubtedAt}
 			if c.Frequency > 0 { // else it is of a process that did not tell
-				g.mix[i] = c.Frequency
+				g.classMix[i] = c.Frequency
 			}
 		}
 	}
 	for _, p := range st.Plans {
-		if i := g.plan(p.Name); i >= 0 {
-			g.press[i] = p.Demand.evidence()
+		if i := g.planIndex(p.Name); i >= 0 {
+			g.planDemand[i] = p.Demand.estimate()
 		}
 	}
-	g.servers, g.ring, g.order = map[string]*server{}, nil, nil
+	g.servers, g.serversByName, g.preferred = map[string]*server{}, nil, nil
 	for _, s := range st.Servers {
-		own := &server{ServerEntry: s.Entry, coldAt: s.StartedAt, resp: s.RelativeLatency, out: slices.Clone(s.Outstanding), heard: s.LastResponseAt,
-			ejected: s.EjectedUntil, bad: s.Failures, errors: s.Errors, broken: s.ConnectionFailures,
-			turned: estimate.FadingAverage{Value: s.RejectShare, At: s.RejectShareAt}, turnTook: s.RejectLatency, thru: s.Throughput.decaying()}
+		own := &server{ServerEntry: s.Entry, startedAt: s.StartedAt, relativeLatency: s.RelativeLatency, outstanding: slices.Clone(s.Outstanding), lastResponseAt: s.LastResponseAt,
+			ejectedUntil: s.EjectedUntil, failures: s.Failures, errors: s.Errors, connectionFailures: s.ConnectionFailures,
+			rejectShare: estimate.FadingAverage{Value: s.RejectShare, At: s.RejectShareAt}, rejectLatency: s.RejectLatency, throughput: s.Throughput.eventRate()}
 		g.servers[s.Entry.Name] = own
-		g.ring = append(g.ring, own)
+		g.serversByName = append(g.serversByName, own)
 	}
-	g.rank()
+	g.rankServers()
 	for _, s := range st.Requests {
-		g.resumeRequest(s)
+		g.restoreRequest(s)
 	}
 	for _, id := range st.Held {
 		r := g.requests[id]
 		if r == nil { // over already, and its place not yet looked at
-			r = &request{id: id, done: true}
+			r = &request{id: id, isDone: true}
 		}
 		g.held = append(g.held, r)
 	}
-	g.resumeCalls(st.Calls)
+	g.restoreCalls(st.Calls)
 	return nil
 }
 
-func (g *Gateway) class(name string) int {
-	return slices.IndexFunc(g.s.Classes, func(c Class) bool { return c.Name == name })
+func (g *Gateway) classIndex(name string) int {
+	return slices.IndexFunc(g.settings.Classes, func(c Class) bool { return c.Name == name })
 }
 
-func (g *Gateway) plan(name string) int {
-	return slices.IndexFunc(g.s.Plans, func(p Plan) bool { return p.Name == name })
+func (g *Gateway) planIndex(name string) int {
+	return slices.IndexFunc(g.settings.Plans, func(p Plan) bool { return p.Name == name })
 }
 
-// server returns one of the list, or for one that is not in it yet, or not any more, what an outcome is owed to.
-func (g *Gateway) server(name string) *server {
+// serverOrStub returns one of the list, or for one that is not in it yet, or not any more, what an outcome is owed to.
+func (g *Gateway) serverOrStub(name string) *server {
 	if s := g.servers[name]; s != nil {
 		return s
 	}
-	return &server{ServerEntry: ServerEntry{Name: name, State: Gone}, resp: 1}
+	return &server{ServerEntry: ServerEntry{Name: name, State: Gone}, relativeLatency: 1}
 }
 
-func (g *Gateway) resumeRequest(s RequestState) {
-	ci := g.class(s.Class)
+func (g *Gateway) restoreRequest(s RequestState) {
+	ci := g.classIndex(s.Class)
 	if ci < 0 {
 		return
 	}
-	r := &request{id: s.ID, class: &g.s.Classes[ci], ci: ci, units: s.Units, at: s.ArrivedAt, deadline: s.Deadline, due: s.Due,
-		inRate: s.QuotaCounted, inGauge: s.InFlightCounted, drawn: s.TokensTaken, rateWindow: s.QuotaWindow, lot: s.SlowStartSample, over: s.IsOverQuota,
-		sent: s.WasSent, done: s.IsDone, maybeAt: s.PriorSentAt}
+	r := &request{id: s.ID, class: &g.settings.Classes[ci], classIndex: ci, units: s.Units, arrivedAt: s.ArrivedAt, deadline: s.Deadline, due: s.Due,
+		quotaCounted: s.QuotaCounted, inFlightCounted: s.InFlightCounted, tokensTaken: s.TokensTaken, quotaWindow: s.QuotaWindow, slowStartSample: s.SlowStartSample, isOverQuota: s.IsOverQuota,
+		wasSent: s.WasSent, isDone: s.IsDone, priorSentAt: s.PriorSentAt}
 	if s.HasCustomer {
-		r.cust = g.onPlan(s.Customer, s.Plan)
+		r.customer = g.customerOnPlan(s.Customer, s.Plan)
 	}
 	for _, t := range s.Attempts {
-		if r.tries = append(r.tries, attempt{g.server(t.Server), t.SentAt, t.IsLive}); t.IsLive {
-			r.live++
+		if r.attempts = append(r.attempts, attempt{g.serverOrStub(t.Server), t.SentAt, t.IsLive}); t.IsLive {
+			r.liveAttempts++
 		}
 	}
 	if s.HasPrior {
-		if r.maybe = g.servers[s.PriorServer]; r.maybe == nil {
-			r.maybe = &server{ServerEntry: ServerEntry{Name: s.PriorServer, Zone: s.PriorZone, Cell: s.PriorCell}}
+		if r.priorServer = g.servers[s.PriorServer]; r.priorServer == nil {
+			r.priorServer = &server{ServerEntry: ServerEntry{Name: s.PriorServer, Zone: s.PriorZone, Cell: s.PriorCell}}
 		}
 	}
 	g.requests[s.ID] = r
 }
 
-// onPlan returns a customer if it is still on a plan. One that has changed began anew with that, and what was
+// customerOnPlan returns a customer if it is still on a plan. One that has changed began anew with that, and what was
 // open of its former plan touches none of its present stores.
-func (g *Gateway) onPlan(id uint64, plan string) *customer {
+func (g *Gateway) customerOnPlan(id uint64, plan string) *customer {
 	if c := g.customers[id]; c != nil && c.plan.Name == plan {
 		return c
 	}
 	return nil
 }
 
-func (g *Gateway) resumeCalls(calls []CallState) {
+func (g *Gateway) restoreCalls(calls []CallState) {
 	for _, s := range calls {
-		c := g.onPlan(s.Customer, s.Plan)
+		c := g.customerOnPlan(s.Customer, s.Plan)
 		if c == nil || s.Counter < 0 || s.Counter > 2 {
 			continue
 		}
-		k := &call{c: c, l: c.ledgers()[s.Counter], window: s.Window, by: s.Delta, own: s.RequestDelta}
+		k := &counterCall{customer: c, counter: c.counters()[s.Counter], window: s.Window, delta: s.Delta, requestDelta: s.RequestDelta}
 		if r := g.requests[s.Request]; s.HasRequest && r != nil {
-			k.r = r
-			for len(r.calls) <= s.RequestIndex {
-				r.calls = append(r.calls, nil)
+			k.request = r
+			for len(r.pendingCalls) <= s.RequestIndex {
+				r.pendingCalls = append(r.pendingCalls, nil)
 			}
-			r.calls[s.RequestIndex] = k
+			r.pendingCalls[s.RequestIndex] = k
 		}
-		g.calls[s.Name] = append(g.calls[s.Name], k)
+		g.counterCalls[s.Name] = append(g.counterCalls[s.Name], k)
 	}
 	for _, r := range g.requests {
-		r.calls = slices.DeleteFunc(r.calls, func(k *call) bool { return k == nil })
+		r.pendingCalls = slices.DeleteFunc(r.pendingCalls, func(k *counterCall) bool { return k == nil })
 	}
 }
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -101,7 +101,7 @@
 func copied(t require.TestingT, g *Gateway, seed uint64) *Gateway {
 	st, err := g.State()
 	require.NoError(t, err)
-	twin, err := New(g.s, seed)
+	twin, err := New(g.settings, seed)
 	require.NoError(t, err)
 	for _, id := range g.Customers(0) {
 		c, ok := g.Customer(id)
@@ -172,7 +172,7 @@
 func TestASuccessorAndItsPredecessorKeepACeilingTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := started(t)
-		plan := p.g.s.Plans[1]
+		plan := p.g.settings.Plans[1]
 		began, sent := p.now, 0.0
 		arrive := func() Event {
 			p.next++
@@ -234,11 +234,11 @@
 	at := p.sends[0].Server
 	next := copied(t, p.g, 3)
 	next.Adopt(p.now)
-	require.Len(t, next.servers[at].out, 1)
-	require.Equal(t, 1.0, next.live)
+	require.Len(t, next.servers[at].outstanding, 1)
+	require.Equal(t, 1.0, next.liveAttempts)
 	next.PredecessorAttemptEnded(p.now, AttemptEnded{ID: 1, Outcome: OK, Took: 10 * ms})
-	require.Empty(t, next.servers[at].out)
-	require.Zero(t, next.live)
+	require.Empty(t, next.servers[at].outstanding)
+	require.Zero(t, next.liveAttempts)
 	require.Equal(t, 1, next.PredecessorRequests())
 	next.PredecessorDone(p.now, 1)
 	require.Zero(t, next.PredecessorRequests())
--- a/admission/starve_test.go
+++ b/admission/starve_test.go
@@ -130,7 +130,7 @@
 		w.sent(a.Server)
 	}
 	r := w.doors[me].g.requests[a.ID]
-	n, class, began := len(r.tries)-1, r.ci, w.now
+	n, class, began := len(r.attempts)-1, r.classIndex, w.now
 	h, work := w.hosts[a.Server], r.class.LatencyTarget/8
 	slot := 0
 	for i, free := range h.free {
@@ -148,7 +148,7 @@
 		h.free[slot] = done
 	}
 	w.at(done, func() {
-		if o == OK && r.tries[n].live && r.at >= w.from && w.now <= r.due {
+		if o == OK && r.attempts[n].isLive && r.arrivedAt >= w.from && w.now <= r.due {
 			w.served[class]++
 		}
 		w.end(me, a.ID, n, o)
@@ -162,11 +162,11 @@
 
 func (w *town) end(me int, id uint64, n int, o Outcome) {
 	r := w.doors[me].g.requests[id]
-	if r == nil || !r.tries[n].live {
+	if r == nil || !r.attempts[n].isLive {
 		return
 	}
-	w.tell(me, AttemptEnded{ID: id, Attempt: n, Server: r.tries[n].s.Name, Outcome: o, Took: w.now - r.tries[n].at,
-		Done: o == OK || r.done})
+	w.tell(me, AttemptEnded{ID: id, Attempt: n, Server: r.attempts[n].server.Name, Outcome: o, Took: w.now - r.attempts[n].sentAt,
+		Done: o == OK || r.isDone})
 }
 
 // ask lets requests come for a while, so many a second in all, of classes by their shares.
@@ -187,7 +187,7 @@
 			me = (me - len(w.doors)) % w.heavy
 		}
 		w.tell(me, RequestArrived{ID: uint64(w.n), Class: class, Plan: free, Customer: uint64(w.n), Units: 1, Gateways: 1,
-			FirstGateway: me, ExpiresIn: w.doors[0].g.s.Classes[class].Deadline})
+			FirstGateway: me, ExpiresIn: w.doors[0].g.settings.Classes[class].Deadline})
 	}
 }
 
--- a/admission/worth_test.go
+++ b/admission/worth_test.go
@@ -40,11 +40,11 @@
 
 // settle answers all that is out, and what is sent on for it.
 func (d *desk) settle() {
-	for d.g.live > 0 {
+	for d.g.liveAttempts > 0 {
 		for _, id := range slices.Sorted(maps.Keys(d.g.requests)) {
-			if r := d.g.requests[id]; r != nil && r.live > 0 {
+			if r := d.g.requests[id]; r != nil && r.liveAttempts > 0 {
 				d.wait(5 * ms)
-				d.do(AttemptEnded{ID: id, Attempt: len(r.tries) - 1, Outcome: OK, Took: 100 * ms, Done: true})
+				d.do(AttemptEnded{ID: id, Attempt: len(r.attempts) - 1, Outcome: OK, Took: 100 * ms, Done: true})
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 		t.Run(name, func(t *testing.T) {
 			d := newShape(t, classes)
 			require.Equal(t, 6, d.fill(1, 0), "three at each, nobody else wants any")
-			require.Zero(t, d.g.short.Value, "those of less worth that find none tell nothing")
+			require.Zero(t, d.g.topClassShortage.Value, "those of less worth that find none tell nothing")
 			require.Zero(t, d.fill(100, 1))
 			d.settle()
 			low := d.fill(200, 0)
@@ -94,11 +94,11 @@
 			}
 			slow := classes[0].LatencyTarget * 4 / 10 // far over what it is left among others
 			for id := range uint64(20) {
-				d.g.short = estimate.FadingAverage{Value: 1, At: d.now}
+				d.g.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
 				require.True(t, answer(id+1, slow))
 			}
 			for id := range uint64(400) {
-				d.g.short = estimate.FadingAverage{Value: 1, At: d.now}
+				d.g.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
 				require.True(t, answer(id+100, 50*ms))
 			}
 			require.GreaterOrEqual(t, d.fill(1000, 0), 2)
@@ -119,7 +119,7 @@
 	d := newShape(t, []Class{{LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Worth: 1, Effect: Keyed, Scope: ScopeZone,
 		RepeatWindow: 3 * time.Second}, {LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Worth: 3}})
 	for id := range uint64(6) {
-		d.g.short = estimate.FadingAverage{Value: 1, At: d.now}
+		d.g.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
 		d.do(RequestArrived{ID: id + 1, Plan: free, Customer: 5, ExpiresIn: 3 * time.Second, Units: 1, Gateways: 2,
 			PriorAttempt: &PriorAttempt{Server: "gone", Zone: "a", SentAt: d.now}})
 		one[Send](d)
@@ -142,10 +142,10 @@
 			s.Classes = append(s.Classes, Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Worth: w})
 		}
 		g := newDesk(t, s, "a", "b").g
-		g.mix = c.share
-		level, sum := g.mix.Level(g.shed, fits), 0.0
+		g.classMix = c.share
+		level, sum := g.classMix.Level(g.admitExponents, fits), 0.0
 		for i, share := range c.share {
-			let := math.Pow(level, g.shed[i])
+			let := math.Pow(level, g.admitExponents[i])
 			sum += share * let
 			require.GreaterOrEqual(t, let, fits/2, "%s: class %d", name, i)
 		}
@@ -157,7 +157,7 @@
 func TestWhatMoreWorthLackedIsForgotten(t *testing.T) {
 	for name, classes := range shapes() {
 		d := newShape(t, classes)
-		d.g.short = estimate.FadingAverage{Value: 1, At: d.now}
+		d.g.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
 		require.Less(t, d.fill(1, 0), 6, name)
 		d.settle()
 		d.wait(time.Minute)
@@ -167,9 +167,9 @@
 	d := newShape(t, s.Classes)
 	s.Classes[0].Worth = 5
 	d.do(SettingsChanged{Settings: s})
-	require.Greater(t, d.g.shed[1], 1.0)
+	require.Greater(t, d.g.admitExponents[1], 1.0)
 	s.Classes = append([]Class(nil), s.Classes...)
 	s.Classes[0].IsRemoved = true
 	d.do(SettingsChanged{Settings: s})
-	require.Equal(t, 1.0, d.g.shed[1], "the most that is left is the most")
+	require.Equal(t, 1.0, d.g.admitExponents[1], "the most that is left is the most")
 }
