--- a/admission/ceiling.go
+++ b/admission/ceiling.go
@@ -1,6 +1,7 @@
 package admission
 
-// The hard ceiling: own parts of the store, and what the counter shows to fit, whatever else is going on.
+// Hard ceilings. Each gateway has its own part of a customer's ceiling, and at many gateways some of it is
+// admitted by totals of the counter. No failure of counter or peers lets more through.
 
 import (
 	"math"
@@ -8,35 +9,47 @@
 )
 
 const (
-	usedSlackShare      = 0.95 // of a ceiling's slack: the rest is for clocks and roundings
-	minCeilingBurst     = 4.0  // of the largest requests: a smaller part is of little use where traffic is uneven
-	totalsCeilingShare  = 0.3  // of the store is left to what totals show, where parts would be smaller
-	totalsQueryExponent = 0.25 // power of the asking of who has no part of its own to go by
+	// Share of a ceiling's slack that is used; the rest covers clock differences and rounding.
+	usedSlackShare = 0.95
+	// Smallest useful part of a ceiling, in requests of the largest size: with less a gateway can't serve
+	// uneven traffic.
+	minCeilingBurst = 4.0
+	// Share of the ceiling that is admitted by totals where the parts would be smaller.
+	totalsCeilingShare = 0.3
+	// Exponent on the query share of a request for which its gateway has no ceiling tokens.
+	totalsQueryExponent = 0.25
 )
 
-// splitCeiling splits a ceiling's store over a customer's doors: the parts add up to the whole and none lends, so no
-// trouble of counter or peers breaks the rule. At many doors a part would be less than a few requests, or
-// than one, which is none. Then as many doors hold a part as there are requests in what is left beside the
-// totals'. Any span of time meets the windows that it holds and two edges: half of theirs a window is never
-// more than all of it and its refill, whatever is sent by doors that know no earlier window. Harms uneven
-// traffic.
-func (g *Gateway) splitCeiling(c *customer, first int) {
-	p, unit, doors := c.plan, math.Max(1, float64(g.settings.MaxUnits)), g.settings.Gateways
-	whole, sure := p.CeilingBurst+usedSlackShare*p.CeilingSlack, g.membership.ceilingFactor()
-	c.isCeilingSplit, c.ceilingBurst, c.ceilingRate = true, sure*whole/c.gateways, sure*p.CeilingRate/c.gateways
-	if c.ceilingBurst >= minCeilingBurst*unit || p.Rate <= 0 || !g.settings.HasCounter {
+// splitCeiling computes this gateway's part of a customer's ceiling. The parts add up to the whole and are
+// never lent, so no failure of the counter or of peers breaks the ceiling.
+//
+// At many gateways a part would be less than a few requests, or than one, which is none. Then a share of the
+// ceiling is admitted by totals of the counter, and as many gateways hold a part as there are requests in
+// the rest. Any span of time touches the counter windows that it contains and one at each edge. As one window
+// admits at most half of the totals' share, all of them admit no more than that share and its refill, even
+// through gateways that know no earlier window.
+//
+// The split harms customers whose traffic is uneven over their gateways.
+func (g *Gateway) splitCeiling(c *customer, firstGateway int) {
+	p, maxUnits, gateways := c.plan, math.Max(1, float64(g.settings.MaxUnits)), g.settings.Gateways
+	whole, factor := p.CeilingBurst+usedSlackShare*p.CeilingSlack, g.membership.ceilingFactor()
+	c.isCeilingSplit, c.ceilingBurst, c.ceilingRate =
+		true, factor*whole/c.gateways, factor*p.CeilingRate/c.gateways
+	if c.ceilingBurst >= minCeilingBurst*maxUnits || p.Rate <= 0 || !g.settings.HasCounter {
 		return
 	}
 	c.ceilingTotalLimit = totalsCeilingShare * whole / 2
-	own, place := sure*(whole-2*c.ceilingTotalLimit), g.membership.position(g.settings.Index, first, doors)
-	holders := math.Floor(math.Min(c.gateways, own/unit))
-	c.ceilingBurst, c.ceilingRate = own/holders, (p.CeilingRate-c.ceilingTotalLimit*p.Rate/p.Burst)/holders
-	if float64((place+int(hashFraction(c.id)*c.gateways))%int(c.gateways)) >= holders {
+	held, position := factor*(whole-2*c.ceilingTotalLimit),
+		g.membership.position(g.settings.Index, firstGateway, gateways)
+	holders := math.Floor(math.Min(c.gateways, held/maxUnits))
+	c.ceilingBurst, c.ceilingRate = held/holders, (p.CeilingRate-c.ceilingTotalLimit*p.Rate/p.Burst)/holders
+	if float64((position+int(hashFraction(c.id)*c.gateways))%int(c.gateways)) >= holders {
 		c.ceilingBurst, c.ceilingRate = 0, 0
 	}
 }
 
-// hasCeilingTokens: this gateway's part holds the units. It starts empty, as an earlier life may have spent it.
+// hasCeilingTokens reports whether this gateway's part of the ceiling holds so many units now. The part
+// starts empty, as a previous process may have used it up.
 func (c *customer) hasCeilingTokens(now time.Duration, units float64) bool {
 	c.ceilingTokens = math.Min(c.ceilingBurst, c.ceilingTokens+c.ceilingRate*(now-c.ceilingTokensAt).Seconds())
 	c.ceilingTokensAt = now
--- a/admission/counter.go
+++ b/admission/counter.go
@@ -1,6 +1,6 @@
 package admission
 
-// Counter trouble: a local share, a circuit breaker.
+// Failures and overload of the shared counter: fewer queries, a circuit breaker, local decisions.
 
 import (
 	"math"
@@ -8,23 +8,33 @@
 )
 
 const (
-	breakerThreshold      = 4                      // calls lost in a row open the breaker
-	queryShareCut         = 0.8                    // a call turned away or late: this much of the asking goes on...
-	queryShareGain        = 0.01                   // ...and each answer in time brings this much back,
-	queryShareRecovery    = 0.05                   // and each second between answers, for who asks little
-	underCapWeight        = 0.2                    // EWMA weight of a total read, in what fits
-	slowCounterThreshold  = 0.25                   // of a call's time limit: an answer later than this shows crowding,
-	slowCounterFactor     = 2.0                    // and so many times what one takes at a counter at ease,
-	counterBaselineWeight = 0.005                  // EWMA weight of one that took more than that, in what it takes
-	counterProbeInterval  = 250 * time.Millisecond // calls made while the breaker is open, to see whether it is back,
-	fleetProbeInterval    = 10 * time.Millisecond  // and by all gateways together at most one in this time
+	// Calls lost in a row that open the circuit breaker.
+	breakerThreshold = 4
+	// Factor on the query share for a call that is refused, lost or answered late.
+	queryShareCut = 0.8
+	// Query share regained with each answer in time,
+	queryShareGain = 0.01
+	// and for each second since the previous answer, for a gateway that seldom queries.
+	queryShareRecovery = 0.05
+	// EWMA weight of a total in the share of totals that are under the in-flight cap.
+	underCapWeight = 0.2
+	// An answer is late, and the counter crowded, after this share of the call's time limit,
+	slowCounterThreshold = 0.25
+	// but not before this multiple of the latency of a counter that is not crowded.
+	slowCounterFactor = 2.0
+	// EWMA weight of an answer slower than that latency.
+	counterBaselineWeight = 0.005
+	// Interval between the calls that test, while the breaker is open, whether the counter answers again.
+	counterProbeInterval = 250 * time.Millisecond
+	// Shortest mean interval between such calls of all gateways together.
+	fleetProbeInterval = 10 * time.Millisecond
 )
 
-// counterFailed: crowded or lost. Fewer requests ask, the others are counted with the next call; calls
-// lost in a row open the breaker.
-func (g *Gateway) counterFailed(o Outcome) {
+// counterFailed handles a call that was refused or lost. Fewer requests query the counter; the units of the
+// others are added with the next call. Calls lost in a row open the breaker.
+func (g *Gateway) counterFailed(outcome Outcome) {
 	g.queryShare = math.Max(minQueryShare, g.queryShare*queryShareCut)
-	if o != Full {
+	if outcome != Full {
 		g.counterFailures++
 	}
 	if g.counterFailures >= breakerThreshold && !g.isBreakerOpen {
@@ -33,21 +43,25 @@
 	}
 }
 
+// nextProbeTime returns when the counter may be tried again while the breaker is open.
 func (g *Gateway) nextProbeTime() time.Duration {
 	return g.now + max(counterProbeInterval, time.Duration(g.settings.Gateways)*fleetProbeInterval)
 }
 
+// counterSucceeded handles an answered call: it closes the breaker, and raises the query share or, if the
+// answer is late, lowers it. A counter that is far away but steady is not taken for crowded.
 func (g *Gateway) counterSucceeded(took time.Duration) {
 	g.counterFailures = 0
 	if g.counterBaseline == 0 || took < g.counterBaseline {
 		g.counterBaseline = took
 	}
 	g.counterBaseline += time.Duration(counterBaselineWeight * float64(took-g.counterBaseline))
-	if took > seconds(max(slowCounterThreshold*g.settings.CounterTimeout.Seconds(), slowCounterFactor*g.counterBaseline.Seconds())) {
+	if took > seconds(max(slowCounterThreshold*g.settings.CounterTimeout.Seconds(),
+		slowCounterFactor*g.counterBaseline.Seconds())) {
 		g.queryShare = math.Max(minQueryShare, g.queryShare*queryShareCut)
 	} else {
-		ease := queryShareGain + queryShareRecovery*(g.now-g.counterAnsweredAt).Seconds()
-		if g.queryShare = math.Min(1, g.queryShare+ease); g.isBreakerOpen {
+		gain := queryShareGain + queryShareRecovery*(g.now-g.counterAnsweredAt).Seconds()
+		if g.queryShare = math.Min(1, g.queryShare+gain); g.isBreakerOpen {
 			g.isBreakerOpen = false
 			g.log(maxLogLines, "counter back")
 		}
@@ -55,28 +69,29 @@
 	g.counterAnsweredAt = g.now
 }
 
-// decideLocally decides without waiting for the counter: by the mirror, and while the breaker is open each unit
-// sent from here stands for one at every door. At a sparse door that would refuse nearly all, so lots are
-// drawn. Guards against a counter slow, silent, crowded or refusing; harms when demand changes meanwhile.
+// decideLocally decides a request without waiting for the counter, by the local tokens. While the breaker is
+// open, each unit sent from here is charged for all gateways of the customer. At a sparse gateway that would
+// refuse nearly all, so a random sample is admitted there. It covers a counter that is slow, silent, crowded
+// or refusing; it is wrong when demand changes in the meantime.
 func (g *Gateway) decideLocally(r *request) {
 	c := r.customer
 	p := c.plan
-	over := r.isOverQuota
+	isOver := r.isOverQuota
 	g.refillQuota(c)
-	heft := 1.0
+	weight := 1.0
 	if (g.isBreakerOpen || !g.settings.HasCounter) && !g.predictsOthers(c) {
-		heft = c.gateways
+		weight = c.gateways
 	}
 	if p.Rate > 0 && !(c.isSparse(r.units) && g.settings.HasCounter) {
-		over = over || c.quotaTokens < r.units
+		isOver = isOver || c.quotaTokens < r.units
 	} else if p.Rate > 0 || p.MaxInFlight > 0 {
-		over = over || !g.sampleAdmits(c)
+		isOver = isOver || !g.sampleAdmits(c)
 	}
-	over = over || p.CeilingRate > 0 && !r.isShownUnderCeiling && !c.hasCeilingTokens(g.now, r.units)
-	g.decide(r, over, heft)
+	isOver = isOver || p.CeilingRate > 0 && !r.isShownUnderCeiling && !c.hasCeilingTokens(g.now, r.units)
+	g.decide(r, isOver, weight)
 }
 
-// fitShare is the part of what all doors ask of a customer that fitShare its quota, as far as known.
+// fitShare estimates the share of a customer's demand, over all gateways, that fits its quota.
 func (g *Gateway) fitShare(c *customer) float64 {
 	if c.plan.MaxInFlight > 0 && g.capCounter(c) == &c.inFlightCounter {
 		return c.underCapShare
@@ -84,66 +99,72 @@
 	return 1 / g.demandRatio(c)
 }
 
-// sampleAdmits lets in unchecked the part that fits. On a gauge that is the chance to find room; to find none costs.
+// sampleAdmits draws whether a request is admitted unchecked, so that the share that fits passes. Under the
+// in-flight counter that share is the chance of finding a free slot, and a send without one costs: requests
+// pass only above the chance at which a send breaks even.
 func (g *Gateway) sampleAdmits(c *customer) bool {
-	worth := c.plan.OverQuotaCost / (1 + c.plan.OverQuotaCost)
+	breakEven := c.plan.OverQuotaCost / (1 + c.plan.OverQuotaCost)
 	switch {
 	case c.plan.MaxInFlight > 0 && c.inFlight >= c.plan.MaxInFlight:
 		return false
 	case c.plan.MaxInFlight > 0 && g.capCounter(c) == &c.inFlightCounter:
-		return g.rng.Float64() < (g.fitShare(c)-worth)/(1-worth)
+		return g.rng.Float64() < (g.fitShare(c)-breakEven)/(1-breakEven)
 	}
 	return g.rng.Float64() < g.fitShare(c)
 }
 
-// capCounter is what a cap on attempts out is held by: a gauge, or by many doors at a crowded counter demand.
+// capCounter returns the counter that enforces an in-flight cap: the in-flight counter or, with many
+// gateways at a crowded counter, the demand counter.
 func (g *Gateway) capCounter(c *customer) *windowCounter {
-	if g.planQueryShare(c.planIndex) < inFlightCounterThreshold && c.gateways > 2*float64(c.plan.MaxInFlight) {
+	if g.planQueryShare(c.planIndex) < inFlightCounterThreshold &&
+		c.gateways > 2*float64(c.plan.MaxInFlight) {
 		return &c.demandCounter
 	}
 	return &c.inFlightCounter
 }
 
-// demandCapacity is what fits of a ledger's demand, in units a second: the rate, or of a cap a part.
-func (g *Gateway) demandCapacity(c *customer, l *windowCounter) float64 {
-	if l == &c.demandCounter {
+// demandCapacity returns how much demand on a counter fits, in units a second: the quota's rate, or a part of
+// the rate at which an in-flight cap frees its slots.
+func (g *Gateway) demandCapacity(c *customer, counter *windowCounter) float64 {
+	if counter == &c.demandCounter {
 		return capDemandShare * float64(c.plan.MaxInFlight) / g.meanTimeInFlight
 	}
 	return c.plan.Rate
 }
 
-// learnDemand learns from one total what all doors have asked since the last look, or the window's start: that is
-// no arrival of ours, so there the call's own units tell nothing.
-func (g *Gateway) learnDemand(c *customer, l *windowCounter, k *counterCall, total float64) {
-	since, news := (g.now - l.lastTotalAt).Seconds(), total-l.lastTotal
-	if l.lastTotal == 0 {
-		news -= k.delta
-	}
-	l.lastTotalAt = g.now
-	if since <= 0 || news < 0 {
+// learnDemand learns from a total how much was asked through all gateways since the previous total. The
+// first total of a window covers the time from the start of the window. That is no arrival at this gateway,
+// so the call's own units are no sign of the demand in that time and are left out.
+func (g *Gateway) learnDemand(c *customer, counter *windowCounter, call *counterCall, total float64) {
+	elapsed, demand := (g.now - counter.lastTotalAt).Seconds(), total-counter.lastTotal
+	if counter.lastTotal == 0 {
+		demand -= call.delta
+	}
+	counter.lastTotalAt = g.now
+	if elapsed <= 0 || demand < 0 {
 		return
 	}
-	news /= g.demandCapacity(c, l)
+	demand /= g.demandCapacity(c, counter)
 	for _, e := range []*demandEstimate{&c.observedDemand, &g.planDemand[c.planIndex]} {
 		e.decay(g.now, demandMemory)
-		e.demand, e.observed = e.demand+news, e.observed+since
+		e.demand, e.observed = e.demand+demand, e.observed+elapsed
 	}
 }
 
-// demandRatio estimates what all doors ask of a customer over what fits. Its plan's mean counts as if seen for
-// some requests: one total is not trusted, and who is not asked about, as most at many doors, is like the
-// others.
+// demandRatio estimates a customer's demand over all gateways as a multiple of what fits its quota. The mean
+// of its plan counts like some units of observed demand: a single total is not trusted, and a customer of
+// which no total was read, as most are at many gateways, is taken to be like the others.
 func (g *Gateway) demandRatio(c *customer) float64 {
-	l, first := &c.quotaCounter, initialQuotaDemand
+	counter, initial := &c.quotaCounter, initialQuotaDemand
 	if c.plan.MaxInFlight > 0 {
-		l, first = &c.demandCounter, initialCapDemand
+		counter, initial = &c.demandCounter, initialCapDemand
 	}
-	plan := g.planDemand[c.planIndex].mean(first, l.length.Seconds())
-	if c.plan.OverQuotaCost == 0 { // nothing is lost by letting in who is not known to ask too much
-		plan = math.Min(1, plan)
+	planMean := g.planDemand[c.planIndex].mean(initial, counter.length.Seconds())
+	if c.plan.OverQuotaCost == 0 { // admitting a customer that is not known to ask too much costs nothing
+		planMean = math.Min(1, planMean)
 	}
-	if !g.isBreakerOpen { // what was known last is kept through an outage
+	if !g.isBreakerOpen { // during an outage the last observations are kept
 		c.observedDemand.decay(g.now, demandMemory)
 	}
-	return c.observedDemand.mean(plan, demandPriorUnits/g.demandCapacity(c, l))
+	return c.observedDemand.mean(planMean, demandPriorUnits/g.demandCapacity(c, counter))
 }
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -1,6 +1,7 @@
 package admission
 
-// Quota: SQR-073's fixed windows on the shared counter.
+// Quotas. Rule SQR-073 counts units in fixed windows on the shared counter. Each gateway keeps a local
+// token bucket per customer, which the totals it reads from the counter correct.
 
 import (
 	"math"
@@ -9,35 +10,66 @@
 )
 
 const (
-	minTokensFactor          = 0.7                   // of a request's units: with less than this in store, don't ask
-	minCallsPerRequest       = 0.75                  // calls per request kept up whatever is known (design: a call each)
-	counterWait              = 25 * time.Millisecond // for a call: small beside any aim, many times a call's usual time
-	initialFleetQueryShare   = 30.0                  // over the number of gateways: the part that asks at a start
-	minQueryShare            = 0.1                   // of requests ask, however crowded the counter is
-	sampledFitThreshold      = 0.5                   // of what is asked fits: of more demand than that, a part asks
-	inFlightCounterThreshold = 0.5                   // of the asking left: below it a cap is held by demand alone
-	capDemandShare           = 0.25                  // of a cap: what demand is cut to; a lot is blind, sends beyond cost
-	inFlightWindow           = 4 * time.Second       // window of counts for a cap on attempts out: leaks end with it
-	demandMemory             = 10.0                  // seconds for which what all doors asked of a customer is remembered
-	demandPriorUnits         = 4.0                   // for which its plan's mean counts beside it
-	initialQuotaDemand       = 1.5                   // taken for granted of a plan before any total is read
-	initialCapDemand         = 2.5                   // the same of a cap, where what is out is not known either
-	othersRateMemory         = 2.0                   // seconds over which what other doors take is averaged,
-	predictionThreshold      = 0.5                   // and where less than this of the requests could ask for long,
-	minUrgency               = 0.5                   // weight in asking of who has spent nothing since the last total,
-	urgencyFactor            = 8.0                   // and what the part spent of the mirror adds
-	queryShareWeight         = 0.001                 // EWMA weight of a request in that, it is foretold
-	counterTTLWindows        = 2.5                   // windows for which a name is kept: the next one still reads it
-	customerTTL              = 90 * time.Second      // a customer unseen this long is forgotten: its store is full again
-	expiryInterval           = 5 * time.Second       // how often the forgetting is done
-	timeInFlightWeight       = 0.05                  // EWMA weight of a request in how long one is out
-	callsPerRequestWeight    = 0.02                  // EWMA weight of a request in the calls per request
+	// A request is refused without a counter query when the local bucket holds less than this share of its
+	// units.
+	minTokensFactor = 0.7
+	// Counter calls per request, scaled by the query share, that are kept up even where the decision is
+	// already certain. The design asks for one call per request.
+	minCallsPerRequest = 0.75
+	// Longest wait of a request for the counter: short against any latency target, and many times what a
+	// call usually takes.
+	counterWait = 25 * time.Millisecond
+	// Query shares of all gateways together at their start; each begins with an equal part.
+	initialFleetQueryShare = 30.0
+	// Smallest share of requests that query the counter, however crowded it is.
+	minQueryShare = 0.1
+	// Share of the demand that fits the quota, below which a sparse gateway lets only a sample of the
+	// requests query the counter.
+	sampledFitThreshold = 0.5
+	// Query share below which the in-flight cap may be enforced by the demand counter alone.
+	inFlightCounterThreshold = 0.5
+	// Share of the in-flight cap that demand is cut to under the demand counter: random sampling does not
+	// see what is in flight, and sends beyond the cap cost.
+	capDemandShare = 0.25
+	// Window of the in-flight and demand counters. In-flight counts that are never returned end with it.
+	inFlightWindow = 4 * time.Second
+	// Time constant in seconds with which observed demand is forgotten.
+	demandMemory = 10.0
+	// Units of demand that the mean of the plan counts for beside a customer's own observations.
+	demandPriorUnits = 4.0
+	// Demand assumed of a plan before any total is read, as a multiple of what fits the quota.
+	initialQuotaDemand = 1.5
+	// The same for an in-flight cap, where the number in flight is unknown as well.
+	initialCapDemand = 2.5
+	// Time constant in seconds of the average rate used through other gateways.
+	othersRateMemory = 2.0
+	// Average query share below which the use through other gateways is predicted between totals.
+	predictionThreshold = 0.5
+	// Query weight of a customer that has used nothing since the last total.
+	minUrgency = 0.5
+	// Query weight added in proportion to the share of the local tokens used since the last total.
+	urgencyFactor = 8.0
+	// EWMA weight of a request in the average query share.
+	queryShareWeight = 0.001
+	// Windows for which the shared counter keeps a name: the next window still reads it.
+	counterTTLWindows = 2.5
+	// A customer that sends nothing for this time is dropped: by then its buckets are full again.
+	customerTTL = 90 * time.Second
+	// Interval between searches for such customers.
+	expiryInterval = 5 * time.Second
+	// EWMA weight of a request in the mean time in flight.
+	timeInFlightWeight = 0.05
+	// EWMA weight of a request in the counter calls per request.
+	callsPerRequestWeight = 0.02
 )
 
-func (g *Gateway) ensureCustomer(id uint64, index, doors, first int) *customer {
-	c, plan := g.customers[id], &g.settings.Plans[index]
+// ensureCustomer returns the customer with this id on the plan with this index, and creates it with full
+// local tokens if it is unknown or was on another plan. Its requests come through so many gateways, of
+// which firstGateway is the first.
+func (g *Gateway) ensureCustomer(id uint64, planIndex, gateways, firstGateway int) *customer {
+	c, plan := g.customers[id], &g.settings.Plans[planIndex]
 	if c == nil || c.plan != plan {
-		c = &customer{id: id, plan: plan, planIndex: index, underCapShare: 1, quotaTokens: plan.Burst,
+		c = &customer{id: id, plan: plan, planIndex: planIndex, underCapShare: 1, quotaTokens: plan.Burst,
 			quotaTokensAt: g.now, ceilingTokensAt: g.ceilingStart}
 		key, phase := c.counterKey(), hashFraction(id)
 		if plan.Rate > 0 {
@@ -48,73 +80,81 @@
 		g.customers[id] = c
 	}
 	if !c.isCeilingSplit {
-		c.gateways = g.membership.countFrom(doors, first, g.settings.Gateways)
-		g.splitCeiling(c, first)
+		c.gateways = g.membership.countFrom(gateways, firstGateway, g.settings.Gateways)
+		g.splitCeiling(c, firstGateway)
 	}
 	c.lastSeen = g.now
 	return c
 }
 
-// predictsOthers tells whether a customer's mirror takes off what other doors take, by what they took of late.
+// predictsOthers reports whether a customer's local tokens are reduced by the use that is predicted for
+// other gateways from the recent totals.
 func (g *Gateway) predictsOthers(c *customer) bool {
-	return g.settings.HasCounter && g.queryShareAverage < predictionThreshold && (!g.isBreakerOpen || c.othersRate > 0)
+	return g.settings.HasCounter && g.queryShareAverage < predictionThreshold &&
+		(!g.isBreakerOpen || c.othersRate > 0)
 }
 
-// refillQuota brings the mirror of the store up to now. What the other doors take is taken off as totals last
-// showed: a door that seldom asks would see none of it. It keeps its even part of the rate, else it might
-// never ask again. Harms when others stop.
+// refillQuota brings the local tokens up to the present and deducts the use predicted for other gateways:
+// a gateway that seldom queries the counter would not see it otherwise. The gateway keeps at least its
+// equal share of the rate, or it might never query again. Too much is deducted when the others stop.
 func (g *Gateway) refillQuota(c *customer) {
-	span := (g.now - c.quotaTokensAt).Seconds()
-	taken := 0.0
-	// While all ask, totals are fresh; without a counter what is sent from here stands for all doors.
+	elapsed := (g.now - c.quotaTokensAt).Seconds()
+	predicted := 0.0
+	// While all requests query, totals are fresh. Without a counter the gateway's own requests are charged
+	// for all gateways instead.
 	if g.predictsOthers(c) {
-		taken = span * math.Min(c.othersRate, c.plan.Rate*(1-1/c.gateways))
+		predicted = elapsed * math.Min(c.othersRate, c.plan.Rate*(1-1/c.gateways))
 	}
-	c.quotaTokens = math.Min(c.plan.Burst, c.quotaTokens+c.plan.Rate*span-taken)
-	c.predictedUsage += taken
+	c.quotaTokens = math.Min(c.plan.Burst, c.quotaTokens+c.plan.Rate*elapsed-predicted)
+	c.predictedUsage += predicted
 	c.quotaTokensAt = g.now
 }
 
-// isSparse tells whether a door's own share of the quota is less than a request of so many units. Such a
-// door's mirror is stale, and what it owes the counter finds no call to ride on in time.
+// isSparse reports whether one gateway's equal share of the customer's quota is less than a request of so
+// many units. The local tokens of such a gateway are stale, and its pending units find no call in time.
 func (c *customer) isSparse(units float64) bool { return c.plan.Burst < c.gateways*units }
 
-// canDefer tells whether what is not on the counter yet canDefer on the next call. At a sparse door an asked
-// request counts for those that did not ask, too.
+// canDefer reports whether units that are not counted yet may be added with the next counter call. At a
+// sparse gateway a request that queries is counted for those that do not, too.
 func (c *customer) canDefer(units float64) bool { return c.plan.CeilingRate > 0 || !c.isSparse(units) }
 
-// rollWindow moves a ledger to the window of now. A gauge takes along what is out of ours; leaks stay behind.
-func (g *Gateway) rollWindow(c *customer, l *windowCounter) {
-	if w := l.windowAt(g.now); w != l.window {
-		if l == &c.quotaCounter { // what was foretold for the last window can't be put right any more
-			c.predictedUsage = math.Min(c.predictedUsage, c.othersRate*l.elapsed(g.now).Seconds())
+// rollWindow moves a counter to the present window. An in-flight counter carries over what this gateway has
+// in flight; what was never returned stays behind.
+func (g *Gateway) rollWindow(c *customer, counter *windowCounter) {
+	if window := counter.windowAt(g.now); window != counter.window {
+		if counter == &c.quotaCounter { // predictions for the previous window can't be corrected any more
+			c.predictedUsage = math.Min(c.predictedUsage, c.othersRate*counter.elapsed(g.now).Seconds())
 		}
-		l.window, l.lastTotal, l.pending, l.lastTotalAt = w, 0, 0, g.now-l.elapsed(g.now)
-		if l == &c.inFlightCounter {
-			l.pending = c.inFlightCounted
+		counter.window, counter.lastTotal, counter.pending, counter.lastTotalAt =
+			window, 0, 0, g.now-counter.elapsed(g.now)
+		if counter == &c.inFlightCounter {
+			counter.pending = c.inFlightCounted
 		}
 	}
 }
 
-func (g *Gateway) callCounter(k *counterCall, name string) {
-	g.counterCalls[name] = append(g.counterCalls[name], k)
+// callCounter orders a call to the shared counter and keeps it until its answer arrives.
+func (g *Gateway) callCounter(call *counterCall, name string) {
+	g.counterCalls[name] = append(g.counterCalls[name], call)
 	g.callsPerRequest += callsPerRequestWeight
-	keep := time.Duration(counterTTLWindows * float64(k.counter.length))
-	g.emit(CounterAdd{Name: name, Delta: k.delta, TTL: min(keep, time.Minute)})
+	ttl := time.Duration(counterTTLWindows * float64(call.counter.length))
+	g.emit(CounterAdd{Name: name, Delta: call.delta, TTL: min(ttl, time.Minute)})
 }
 
-// queryCounter makes the ordinary path's call for a request on one ledger.
-func (g *Gateway) queryCounter(r *request, l *windowCounter, units float64) {
-	g.rollWindow(r.customer, l)
-	k := &counterCall{request: r, customer: r.customer, counter: l, window: l.window, delta: units + l.pending, requestDelta: units}
-	l.pending = 0
-	r.pendingCalls = append(r.pendingCalls, k)
-	r.addCounted(l, units)
-	g.callCounter(k, l.name(l.window))
+// queryCounter adds the units of a request, and all that is pending, to one of the customer's counters. The
+// request waits for the total.
+func (g *Gateway) queryCounter(r *request, counter *windowCounter, units float64) {
+	g.rollWindow(r.customer, counter)
+	call := &counterCall{request: r, customer: r.customer, counter: counter, window: counter.window,
+		delta: units + counter.pending, requestDelta: units}
+	counter.pending = 0
+	r.pendingCalls = append(r.pendingCalls, call)
+	r.addCounted(counter, units)
+	g.callCounter(call, counter.name(counter.window))
 }
 
-// returnUnits takes off the counter what a request that was not sent had added to its window, with the next
-// call, and what it had on the gauge, at once: others decide by it.
+// returnUnits takes back what a finished request had added to the counters. Quota units of a request that
+// was not sent go with the next call. The in-flight count goes at once, as other gateways decide by it.
 func (g *Gateway) returnUnits(r *request) {
 	c := r.customer
 	if c == nil {
@@ -135,6 +175,9 @@
 	}
 }
 
+// onArrival decides on a new request: load shedding first, then the ceiling, then the quota and the
+// in-flight cap. It decides locally, or lets the request query the counter and wait for the total. A
+// request without a plan is only routed; one of an unknown class or a known id is ignored.
 func (g *Gateway) onArrival(ev RequestArrived) {
 	if ev.Class < 0 || ev.Class >= len(g.settings.Classes) || g.requests[ev.ID] != nil {
 		return
@@ -147,13 +190,14 @@
 	}
 	c := g.ensureCustomer(ev.Customer, ev.Plan, ev.Gateways, ev.FirstGateway)
 	r.customer = c
-	if g.rng.Float64() >= math.Pow(g.classMix.Level(g.admitExponents, g.admitShare), g.admitExponents[r.classIndex]) {
+	if g.rng.Float64() >=
+		math.Pow(g.classMix.Level(g.admitExponents, g.admitShare), g.admitExponents[r.classIndex]) {
 		g.giveUp(r, ReasonLoadShed)
 		return
 	}
 	p := c.plan
-	needy := p.CeilingRate > 0 && !c.hasCeilingTokens(g.now, r.units)
-	if needy && c.ceilingTotalLimit == 0 {
+	needsTotal := p.CeilingRate > 0 && !c.hasCeilingTokens(g.now, r.units)
+	if needsTotal && c.ceilingTotalLimit == 0 {
 		g.decide(r, true, 1)
 		return
 	}
@@ -166,21 +210,22 @@
 	if !g.isBreakerOpen {
 		g.queryShareAverage += queryShareWeight * (g.queryShare - g.queryShareAverage)
 	}
-	known := p.Rate > 0 && c.quotaTokens < minTokensFactor*r.units || p.MaxInFlight > 0 && c.inFlight >= p.MaxInFlight ||
+	isKnownOver := p.Rate > 0 && c.quotaTokens < minTokensFactor*r.units ||
+		p.MaxInFlight > 0 && c.inFlight >= p.MaxInFlight ||
 		c.isSparse(r.units) && g.rng.Float64() >= g.fitShare(c)/sampledFitThreshold
-	if known && g.callsPerRequest > minCallsPerRequest*g.queryShare && !g.isBreakerOpen {
+	if isKnownOver && g.callsPerRequest > minCallsPerRequest*g.queryShare && !g.isBreakerOpen {
 		g.decide(r, true, 1)
 		return
 	}
-	probing := g.isBreakerOpen && g.now >= g.nextCounterProbe
+	isProbe := g.isBreakerOpen && g.now >= g.nextCounterProbe
 	share := g.planQueryShare(c.planIndex)
 	if g.queryShareAverage < predictionThreshold && c.canDefer(r.units) {
 		share = math.Pow(share, 1/c.urgency())
 	}
-	if needy { // it is turned away unless a total shows that it fits
+	if needsTotal { // it is refused unless a total shows that it fits
 		share = math.Pow(share, totalsQueryExponent)
 	}
-	if g.isBreakerOpen && !probing || !probing && g.rng.Float64() >= share {
+	if g.isBreakerOpen && !isProbe || !isProbe && g.rng.Float64() >= share {
 		g.decideLocally(r)
 		return
 	}
@@ -192,140 +237,156 @@
 	if p.MaxInFlight > 0 {
 		g.queryCounter(r, g.capCounter(c), 1/share)
 	}
-	if probing {
+	if isProbe {
 		g.nextCounterProbe = g.nextProbeTime()
 		g.decideLocally(r)
 		return
 	}
-	g.setTimer(timerCounterWait, r.id, min(g.now+max(counterWait, 4*g.settings.Tick), max(g.now, r.deadline-2*g.settings.Tick)))
+	g.setTimer(timerCounterWait, r.id,
+		min(g.now+max(counterWait, 4*g.settings.Tick), max(g.now, r.deadline-2*g.settings.Tick)))
 }
 
-// planQueryShare is the part of a plan's requests that ask.
+// planQueryShare returns the share of a plan's requests that query the counter.
 func (g *Gateway) planQueryShare(plan int) float64 {
 	return math.Max(minQueryShare/2, math.Pow(g.queryShare, g.queryExponents[plan]))
 }
 
-// urgency weighs a customer's asking where few can ask, by how much of its mirror was spent here, or
-// foretold, since that was last put right. One far from its quota can wait; what it spends is added later.
+// urgency returns the weight of a customer's queries while few requests may query. It grows with the share
+// of the local tokens that was spent here, or predicted, since the last total. A customer far from its
+// quota can wait: its units are added later.
 func (c *customer) urgency() float64 {
-	return minUrgency + urgencyFactor*math.Min(0.5, (c.quotaCounter.pending+c.predictedUsage)/math.Max(1, c.quotaTokens))
+	return minUrgency +
+		urgencyFactor*math.Min(0.5, (c.quotaCounter.pending+c.predictedUsage)/math.Max(1, c.quotaTokens))
 }
 
-// windowLength is how long one of the counter's windows lasts: in it the rate fills the store once.
+// windowLength returns the length of the plan's counter windows: in it the rate fills the store once.
 func (p Plan) windowLength() time.Duration { return seconds(p.Burst / p.Rate) }
 
-// wrongDecisionCost is what a wrong answer costs on a plan, over the worth of a request.
+// wrongDecisionCost returns the cost of a wrong quota decision on this plan, relative to the worth of a
+// request.
 func (p Plan) wrongDecisionCost() float64 {
 	return p.WorthFactor * (1 + p.OverQuotaCost - p.OverQuotaWorth)
 }
 
-// onCounterAnswer takes the answer of a counter call; for one name they come in the order of calls.
+// onCounterAnswer handles the answer to the oldest open call of its counter name: answers of one name
+// arrive in the order of the calls. Answers to unknown names are ignored.
 func (g *Gateway) onCounterAnswer(ev CounterAnswered) {
-	q := g.counterCalls[ev.Name]
-	if len(q) == 0 {
+	queue := g.counterCalls[ev.Name]
+	if len(queue) == 0 {
 		return
 	}
-	k := q[0]
-	if g.counterCalls[ev.Name] = q[1:]; len(q) == 1 {
+	call := queue[0]
+	if g.counterCalls[ev.Name] = queue[1:]; len(queue) == 1 {
 		delete(g.counterCalls, ev.Name)
 	}
 	if ev.Outcome == OK {
 		g.counterSucceeded(ev.Took)
-		g.applyTotal(k, ev.Total)
+		g.applyTotal(call, ev.Total)
 		return
 	}
 	g.counterFailed(ev.Outcome)
-	if k.window == k.counter.window && ev.Outcome != TimedOut { // a call out of time may have been added
-		k.counter.pending += k.delta // else it is still due, but for the part of a request that still asks
-		if k.request != nil {
-			k.counter.pending -= k.requestDelta
-			k.request.addCounted(k.counter, -k.requestDelta)
+	// A call that timed out may have been added. Any other failed call is still to be added, except for the
+	// part of a request that is decided now.
+	if call.window == call.counter.window && ev.Outcome != TimedOut {
+		call.counter.pending += call.delta
+		if call.request != nil {
+			call.counter.pending -= call.requestDelta
+			call.request.addCounted(call.counter, -call.requestDelta)
 		}
 	}
-	if k.request != nil {
-		g.decideLocally(k.request)
+	if call.request != nil {
+		g.decideLocally(call.request)
 	}
 }
 
-// applyTotal applies a applyTotal read to the mirror and lets the ordinary path decide.
-func (g *Gateway) applyTotal(k *counterCall, total float64) {
-	c, l := k.customer, k.counter
-	if k.window == l.window {
-		span := (g.now - l.lastTotalAt).Seconds()
-		if l != &c.inFlightCounter {
-			g.learnDemand(c, l, k, total)
+// applyTotal corrects the customer's local tokens by a total read from the counter, and decides the request
+// that waits for it once all its calls are answered.
+func (g *Gateway) applyTotal(call *counterCall, total float64) {
+	c, counter := call.customer, call.counter
+	if call.window == counter.window {
+		elapsed := (g.now - counter.lastTotalAt).Seconds()
+		if counter != &c.inFlightCounter {
+			g.learnDemand(c, counter, call, total)
 		}
-		others := total - l.lastTotal - k.delta
-		if l.lastTotal >= 1 && total-k.delta < 1 { // the counter has lost its memory: our mirror stands
+		others := total - counter.lastTotal - call.delta
+		if counter.lastTotal >= 1 && total-call.delta < 1 { // the counter lost its data
 			others = 0
 		}
-		l.lastTotal = total
-		if l == &c.quotaCounter {
+		counter.lastTotal = total
+		if counter == &c.quotaCounter {
 			g.refillQuota(c)
-			c.quotaTokens = math.Max(c.quotaTokens+c.predictedUsage-others-k.requestDelta, -c.plan.Burst)
+			c.quotaTokens = math.Max(c.quotaTokens+c.predictedUsage-others-call.requestDelta, -c.plan.Burst)
 			c.predictedUsage = 0
-			if span > 0 {
-				c.othersRate += (1 - math.Exp(-span/othersRateMemory)) * (math.Max(0, others/span) - c.othersRate)
+			if elapsed > 0 {
+				c.othersRate += (1 - math.Exp(-elapsed/othersRateMemory)) *
+					(math.Max(0, others/elapsed) - c.othersRate)
 			}
 		}
 	}
-	r := k.request
+	r := call.request
 	if r == nil {
 		return
 	}
-	r.pendingCalls = slices.DeleteFunc(r.pendingCalls, func(o *counterCall) bool { return o == k })
-	if l == &c.quotaCounter && k.window == l.window {
-		r.tokensTaken = k.requestDelta
-		// Own stands for others at a sparse door. At a joint ceiling totals hold what was refused, too.
-		r.isOverQuota = r.isOverQuota || c.quotaTokens+k.requestDelta < r.units && (c.ceilingTotalLimit == 0 || total > c.plan.Burst)
-		r.isShownUnderCeiling = total <= c.ceilingTotalLimit && total >= k.requestDelta && // less, and the counter has lost its memory
+	r.pendingCalls = slices.DeleteFunc(r.pendingCalls, func(o *counterCall) bool { return o == call })
+	if counter == &c.quotaCounter && call.window == counter.window {
+		r.tokensTaken = call.requestDelta
+		// At a sparse gateway the call's own units stand for those of other requests. Totals of a customer
+		// whose ceiling is shared through them include what was refused.
+		r.isOverQuota = r.isOverQuota ||
+			c.quotaTokens+call.requestDelta < r.units && (c.ceilingTotalLimit == 0 || total > c.plan.Burst)
+		// A total below the call's own units means that the counter lost its data.
+		r.isShownUnderCeiling = total <= c.ceilingTotalLimit && total >= call.requestDelta &&
 			g.now >= g.totalsValidFrom[c.planIndex]
-	} else if l == &c.inFlightCounter {
-		over := total-k.requestDelta+1 > float64(c.plan.MaxInFlight)
-		r.isOverQuota = r.isOverQuota || over
-		if c.underCapShare -= underCapWeight * c.underCapShare; !over {
+	} else if counter == &c.inFlightCounter {
+		isOver := total-call.requestDelta+1 > float64(c.plan.MaxInFlight)
+		r.isOverQuota = r.isOverQuota || isOver
+		if c.underCapShare -= underCapWeight * c.underCapShare; !isOver {
 			c.underCapShare += underCapWeight
 		}
-	} else if l == &c.demandCounter {
+	} else if counter == &c.demandCounter {
 		r.isOverQuota = r.isOverQuota || !g.sampleAdmits(c)
 	}
-	if k.request, k.requestDelta = nil, 0; len(r.pendingCalls) == 0 {
+	if call.request, call.requestDelta = nil, 0; len(r.pendingCalls) == 0 {
 		g.decide(r, r.isOverQuota, 1)
 	}
 }
 
-// decide lets a request in or refuses it, with the design's advice: until the window's end.
-func (g *Gateway) decide(r *request, over bool, heft float64) {
+// decide admits a request, charged with so many times its units, or refuses it until the end of the quota
+// window, as the design says.
+func (g *Gateway) decide(r *request, isOver bool, weight float64) {
 	c := r.customer
-	if r.detachCalls(); over {
+	if r.detachCalls(); isOver {
 		g.refuse(r, g.quotaRetryAfter(c), ReasonOverQuota)
 		return
 	}
-	g.chargeQuota(r, heft)
+	g.chargeQuota(r, weight)
 	g.route(r)
 }
 
-// chargeQuota takes a request that is let in off the mirror; what is not on the counter rides on the next call.
-func (g *Gateway) chargeQuota(r *request, heft float64) {
+// chargeQuota takes an admitted request off the local tokens, with so many times its units. Units that are
+// not counted yet are added with the next counter call.
+func (g *Gateway) chargeQuota(r *request, weight float64) {
 	if c := r.customer; c.plan.Rate > 0 && c.canDefer(r.units) {
 		g.rollWindow(c, &c.quotaCounter)
-		c.quotaTokens -= r.units*heft - r.tokensTaken
+		c.quotaTokens -= r.units*weight - r.tokensTaken
 		c.quotaCounter.pending += r.units - r.quotaCounted
-		r.tokensTaken, r.quotaCounted, r.quotaWindow = r.units*heft, r.units, c.quotaCounter.window
+		r.tokensTaken, r.quotaCounted, r.quotaWindow = r.units*weight, r.units, c.quotaCounter.window
 	}
 }
 
-// flushInFlight sends a gauge's pending changes at once.
+// flushInFlight sends the pending change of the in-flight count at once.
 func (g *Gateway) flushInFlight(c *customer) {
-	if l := &c.inFlightCounter; l.pending != 0 && g.settings.HasCounter && !g.isBreakerOpen {
-		k := &counterCall{customer: c, counter: l, window: l.window, delta: l.pending}
-		l.pending = 0
-		g.callCounter(k, l.name(l.window))
+	if counter := &c.inFlightCounter; counter.pending != 0 && g.settings.HasCounter && !g.isBreakerOpen {
+		call := &counterCall{customer: c, counter: counter, window: counter.window, delta: counter.pending}
+		counter.pending = 0
+		g.callCounter(call, counter.name(counter.window))
 	}
 }
 
+// quotaRetryAfter returns the time until the customer's quota window ends. An in-flight cap has no window:
+// there it is the mean time until a request ends and frees a slot.
 func (g *Gateway) quotaRetryAfter(c *customer) time.Duration {
-	if c.quotaCounter.length == 0 { // a cap on attempts out has no window: room comes with the next answer
+	if c.quotaCounter.length == 0 {
 		return seconds(g.meanTimeInFlight)
 	}
 	return c.quotaCounter.length - c.quotaCounter.elapsed(g.now)
