--- a/admission/answers.go
+++ b/admission/answers.go
@@ -1,16 +1,20 @@
 package admission
 
-// Final answers: a request's end.
+// Final answers: how a request ends.
 
 import "time"
 
 const (
-	maxLogLines        = 300                    // lines for the operator in one life: a flapping part must not flood
-	overloadRetryAfter = 100 * time.Millisecond // retry-after of what is shed: pressure, not quota
+	// Log lines that a gateway writes in its life: a part that fails and recovers over and over must not
+	// flood the log.
+	maxLogLines = 300
+	// Retry-after of requests that are refused for overload, not for their quota.
+	overloadRetryAfter = 100 * time.Millisecond
 )
 
-// cancelAttempts cancels what is still out for a request nobody waits for any more, so that its slots under a cap
-// and at the servers are free again. It may have run, and an attempt called off is no sign of its server.
+// cancelAttempts cancels the open attempts of a request whose client has left, so that their slots under a
+// cap and at the servers are free again. They may have run, and a cancelled attempt says nothing about its
+// server. Streams and requests that must not run twice are not cancelled.
 func (g *Gateway) cancelAttempts(r *request) {
 	for i, t := range r.attempts {
 		if t.isLive && g.settings.CanCancel && !r.class.IsStream && r.class.Effect != Unsafe {
@@ -19,29 +23,32 @@
 	}
 }
 
-// giveUp gives the final answer of a request that will not be served.
-func (g *Gateway) giveUp(r *request, why Reason) {
+// giveUp ends a request that will not be served: it refuses it, or fails it where a refusal would promise
+// that trying again does no harm.
+func (g *Gateway) giveUp(r *request, reason Reason) {
 	if g.canRefuse(r) {
 		after := overloadRetryAfter
-		if g.now >= r.due { // whatever comes of this request now is too late
+		if g.now >= r.due { // any answer to this request would be too late now
 			after = max(after, g.settings.MaxRetryAfter)
 		}
-		g.refuse(r, after, why)
+		g.refuse(r, after, reason)
 		return
 	}
-	g.emit(Fail{ID: r.id, Reason: why})
+	g.emit(Fail{ID: r.id, Reason: reason})
 	g.finish(r)
 }
 
-func (g *Gateway) refuse(r *request, after time.Duration, why Reason) {
+// refuse ends a request with a refusal, and the advice when to try again if the settings allow it.
+func (g *Gateway) refuse(r *request, after time.Duration, reason Reason) {
 	if !g.settings.CanSendRetryAfter {
 		after = 0
 	}
-	g.emit(Refuse{ID: r.id, RetryAfter: after, Reason: why})
+	g.emit(Refuse{ID: r.id, RetryAfter: after, Reason: reason})
 	g.finish(r)
 }
 
-// finish ends a request; it is forgotten once nothing of it is out.
+// finish marks a request as answered. It is forgotten, and its units are returned, once none of its attempts
+// is open.
 func (g *Gateway) finish(r *request) {
 	r.isDone = true
 	r.detachCalls()
@@ -50,7 +57,8 @@
 	}
 	delete(g.requests, r.id)
 	if r.wasSent {
-		g.meanTimeInFlight += timeInFlightWeight * ((g.now - r.attempts[0].sentAt).Seconds() - g.meanTimeInFlight)
+		g.meanTimeInFlight += timeInFlightWeight *
+			((g.now - r.attempts[0].sentAt).Seconds() - g.meanTimeInFlight)
 		if r.customer != nil {
 			r.customer.inFlight--
 		}
--- a/admission/attempts.go
+++ b/admission/attempts.go
@@ -1,6 +1,7 @@
 package admission
 
-// Attempts of a request: where to, how long, whether again.
+// Attempts: whether a request may be sent on or again, how long it may wait, and what is learned from the
+// end of an attempt.
 
 import (
 	"math"
@@ -9,47 +10,64 @@
 )
 
 const (
-	retryBudgetGain      = 0.1                   // retry budget earned by each request, in attempts
-	initialFleetRetries  = 20.0                  // at a start, over all gateways,
-	maxRetryBudget       = 10.0                  // and its most
-	attemptTimeoutFactor = 4.0                   // times its expected time an attempt has before a further one
-	attemptTimeoutShare  = 0.6                   // of the aim left, too
-	waitMargin           = 1.3                   // times the wait expected has to fit the time left: waits vary
-	lowWorthTargetShare  = 0.3                   // of the aims of more worth: the longest wait for less worth,
-	shortageThreshold    = 0.03                  // where this part of the requests of most worth find no room,
-	shortageWeight       = 0.02                  // EWMA weight of one of them in that,
-	shortageMemory       = 10.0                  // seconds for which it is remembered: the rare tell seldom
-	recheckInterval      = 10 * time.Millisecond // how often the hold queue is looked at
-	heldTargetShare      = 0.15                  // of an aim's worth of answers may wait in the hold queue
-	minHeld              = 4.0                   // requests it may hold at any time
+	// Retries that each arriving request adds to the retry budget.
+	retryBudgetGain = 0.1
+	// Retry budgets of all gateways together at their start.
+	initialFleetRetries = 20.0
+	// Largest retry budget of a gateway.
+	maxRetryBudget = 10.0
+	// An attempt has at least this multiple of its expected time before a retry.
+	attemptTimeoutFactor = 4.0
+	// An attempt has at least this share of the time left to the target before a retry.
+	attemptTimeoutShare = 0.6
+	// Multiple of the expected wait that must fit the time left, as waits vary.
+	waitMargin = 1.3
+	// During a shortage, the longest wait of a request as a share of the targets of classes of more worth.
+	lowWorthTargetShare = 0.3
+	// Share of the requests of the class of most worth without a server in time that is a full shortage.
+	shortageThreshold = 0.03
+	// EWMA weight of a request of that class in that share.
+	shortageWeight = 0.02
+	// Time constant in seconds with which the share is forgotten: a rare class seldom updates it.
+	shortageMemory = 10.0
+	// Interval at which held requests are tried again.
+	recheckInterval = 10 * time.Millisecond
+	// Longest queue of held requests: the answers of this share of a latency target.
+	heldTargetShare = 0.15
+	// Requests that may always be held.
+	minHeld = 4.0
 )
 
-// permitsServer tells whether a further send to a server keeps the effect to one.
+// permitsServer reports whether one more attempt at a server keeps the request's effect to one.
 func (r *request) permitsServer(s *server) bool {
 	if r.priorServer == nil || r.class.Effect == Safe {
 		return true
 	}
-	zone := r.class.Scope != ScopeZone || s.Zone == r.priorServer.Zone
-	cell := r.class.Scope != ScopeCell || s.Cell == r.priorServer.Cell
-	return r.class.Effect == Keyed && zone && cell
+	isInZone := r.class.Scope != ScopeZone || s.Zone == r.priorServer.Zone
+	isInCell := r.class.Scope != ScopeCell || s.Cell == r.priorServer.Cell
+	return r.class.Effect == Keyed && isInZone && isInCell
 }
 
+// canRepeat reports whether the request may be sent again now: it can't have run, or its repeat does no harm.
 func (g *Gateway) canRepeat(r *request) bool {
 	return r.priorServer == nil || r.class.Effect == Safe ||
 		r.class.Effect == Keyed && g.now+2*g.settings.Tick < r.priorSentAt+r.class.RepeatWindow
 }
 
+// canRefuse reports whether the request may still be refused: if its client tries again, at any server, its
+// effect happens no more than once.
 func (g *Gateway) canRefuse(r *request) bool {
-	return r.priorServer == nil || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll
+	return r.priorServer == nil || r.class.Effect == Safe ||
+		r.class.Effect == Keyed && r.class.Scope == ScopeAll
 }
 
-// route sends an admitted request on, holds it, or gives its final answer.
+// route sends an admitted request on, holds it until a server is free, or gives its final answer.
 func (g *Gateway) route(r *request) {
 	if r.isDone {
 		return
 	}
-	if why := g.unroutableReason(r); why != "" {
-		g.giveUp(r, why)
+	if reason := g.unroutableReason(r); reason != "" {
+		g.giveUp(r, reason)
 		return
 	}
 	left := (r.due - g.now).Seconds()
@@ -66,7 +84,8 @@
 		}
 	case s == nil, waitMargin*wait > g.maxWait(r, s, left) &&
 		(len(r.attempts) > 0 || r.class.LateWorth == 0 || r.due == r.deadline):
-		if s != nil && len(s.outstanding) == 0 { // even a free server seems too slow: nothing would tell otherwise
+		// When even a free server seems too slow, no request of the class is sent that could show otherwise.
+		if s != nil && len(s.outstanding) == 0 {
 			g.classLatency[r.classIndex].Doubt(g.now, classDoubtMemory, waitMargin*wait, r.class.usefulSeconds())
 		}
 		if s == nil {
@@ -79,7 +98,8 @@
 	}
 }
 
-// unroutableReason tells why a request can't be sent on, whatever the servers are like; "": it can.
+// unroutableReason returns why a request can't be sent on, whatever the state of the servers, or "" if it
+// can.
 func (g *Gateway) unroutableReason(r *request) Reason {
 	switch {
 	case r.deadline <= g.now+g.settings.Tick:
@@ -92,28 +112,33 @@
 	return ""
 }
 
-// maxWait is how long a request may wait for its answer among others of ours, of what is left of its aim: while
-// those of more worth find no room, less. By their own aims the patient would fill all servers first, and the
-// hasty never fit behind them. A server with nothing out takes any, else nothing would tell that waits are
-// short again; what may have run is let finish. It harms where little worth comes in bursts that fit between.
+// maxWait returns how many seconds a request may wait for its answer behind other attempts, of those left to
+// its target. It is less while classes of more worth find no server in time: if each class waited by its own
+// target, patient requests would fill all servers first, and urgent ones would never fit behind them. A
+// server that holds nothing takes any request, or nothing would show that waits are short again. A request
+// that may have run and can't be refused is allowed to finish. The limit harms where requests of little worth
+// come in bursts that would have fit in between.
 func (g *Gateway) maxWait(r *request, s *server, left float64) float64 {
-	least, ease := left, math.Max(0, 1-g.topClassShortage.Now(g.now, shortageMemory)/shortageThreshold)
+	wait, ease := left, math.Max(0, 1-g.topClassShortage.Now(g.now, shortageMemory)/shortageThreshold)
 	for _, c := range g.settings.Classes {
 		if c.refusalCost() > r.class.refusalCost() && !c.IsRemoved && len(s.outstanding) > 0 && g.canRefuse(r) {
-			least = min(least, lowWorthTargetShare*c.LatencyTarget.Seconds()+ease*left)
+			wait = min(wait, lowWorthTargetShare*c.LatencyTarget.Seconds()+ease*left)
 		}
 	}
-	return least
+	return wait
 }
 
-// canHold: a bounded queue, and nobody stays in it who can't make the aim; else all would be late.
+// canHold reports whether a request may wait in the queue of held requests. The queue is bounded, and no
+// request stays in it that can't meet its target: else all would be late.
 func (g *Gateway) canHold(r *request) bool {
 	left := (r.due - g.now).Seconds()
-	room := math.Max(minHeld, g.answers.rate(g.now, throughputMemory)*heldTargetShare*r.class.LatencyTarget.Seconds())
-	return left > g.expectedLatency(r) && r.deadline-g.now > recheckInterval+2*g.settings.Tick && float64(len(g.held)) < room
+	maxHeld := math.Max(minHeld,
+		g.answers.rate(g.now, throughputMemory)*heldTargetShare*r.class.LatencyTarget.Seconds())
+	return left > g.expectedLatency(r) && r.deadline-g.now > recheckInterval+2*g.settings.Tick &&
+		float64(len(g.held)) < maxHeld
 }
 
-// recheckHeld tries again for the requests that are held, in order.
+// recheckHeld tries to route the held requests again, in order.
 func (g *Gateway) recheckHeld() {
 	held := g.held
 	g.held = nil
@@ -122,6 +147,8 @@
 	}
 }
 
+// send starts an attempt at a server. The first attempt of a request uses up ceiling tokens, unless a total
+// has shown the request to be under its ceiling; without tokens the request is given up.
 func (g *Gateway) send(r *request, s *server, wait float64) {
 	if c := r.customer; !r.wasSent && c != nil {
 		if c.plan.CeilingRate > 0 && !r.isShownUnderCeiling {
@@ -138,10 +165,11 @@
 	g.emit(Send{ID: r.id, Server: s.Name, Wait: g.attemptTimeout(r, wait)})
 }
 
-// attemptTimeout: how long an attempt may take before a further one, at the last until an answer is worth
-// nothing: then its slot under a cap and its server are free at once. 0: until the client leaves.
+// attemptTimeout returns how long an attempt may take before a retry. Where no retry is possible, it is the
+// time until an answer is worth nothing: then its slot under a cap and at its server are free at once. 0 means
+// until the client leaves.
 func (g *Gateway) attemptTimeout(r *request, wait float64) time.Duration {
-	if r.class.Effect == Unsafe || r.class.IsStream { // its client may want to know, however late
+	if r.class.Effect == Unsafe || r.class.IsStream { // its client may want the outcome, however late
 		return 0
 	}
 	last := time.Duration(0)
@@ -151,36 +179,39 @@
 	if g.hasSpentAttempts(r) || g.retryBudget < 1 {
 		return last
 	}
-	e := g.expectedLatency(r)
-	w := max(seconds(attemptTimeoutFactor*math.Max(e, wait)), seconds(attemptTimeoutShare*(r.due-g.now).Seconds()))
-	if g.now+w+seconds(1.5*e) > r.due || g.now+w+2*g.settings.Tick >= r.deadline ||
-		r.class.Effect == Keyed && w+4*g.settings.Tick > r.class.RepeatWindow {
+	expected := g.expectedLatency(r)
+	timeout := max(seconds(attemptTimeoutFactor*math.Max(expected, wait)),
+		seconds(attemptTimeoutShare*(r.due-g.now).Seconds()))
+	if g.now+timeout+seconds(1.5*expected) > r.due || g.now+timeout+2*g.settings.Tick >= r.deadline ||
+		r.class.Effect == Keyed && timeout+4*g.settings.Tick > r.class.RepeatWindow {
 		return last
 	}
-	return w
+	return timeout
 }
 
+// onAttemptEnded handles the end of an attempt: the request is finished, retried or given up. An attempt that
+// surely did not run costs no retry budget.
 func (g *Gateway) onAttemptEnded(ev AttemptEnded) {
 	r := g.requests[ev.ID]
 	t := g.endAttempt(r, ev)
 	if t == nil {
 		return
 	}
-	unran := ev.Outcome == Full || ev.Outcome == Unreachable || ev.Outcome == NotSent
-	if !unran && ev.Outcome != OK && r.priorServer == nil {
+	didNotRun := ev.Outcome == Full || ev.Outcome == Unreachable || ev.Outcome == NotSent
+	if !didNotRun && ev.Outcome != OK && r.priorServer == nil {
 		r.priorServer, r.priorSentAt = t.server, t.sentAt
 	}
 	if c := r.customer; ev.Billed > 0 && ev.Outcome == OK && !r.isDone && c != nil && c.plan.Rate > 0 {
-		diff := float64(ev.Billed) - r.units // settlement rides on the next call
-		c.quotaTokens -= diff
+		correction := float64(ev.Billed) - r.units // added with the next counter call
+		c.quotaTokens -= correction
 		g.rollWindow(c, &c.quotaCounter)
-		c.quotaCounter.pending += diff
+		c.quotaCounter.pending += correction
 	}
 	switch {
 	case ev.Done || r.isDone:
 		g.finish(r)
 	case r.liveAttempts > 0:
-	case unran:
+	case didNotRun:
 		g.route(r)
 	case g.retryBudget >= 1 && g.canRepeat(r) && g.now < r.due:
 		g.retryBudget--
@@ -193,9 +224,10 @@
 	g.recheckHeld()
 }
 
-// learnFromAttempt learns of a server from the end of an attempt.
+// learnFromAttempt updates what is known of a server, of its request's class and of all answers by the end of
+// an attempt.
 func (g *Gateway) learnFromAttempt(t *attempt, r *request, ev AttemptEnded) {
-	s, e, took := t.server, g.expectedLatency(r), ev.Took.Seconds()
+	s, expected, took := t.server, g.expectedLatency(r), ev.Took.Seconds()
 	s.relativeLatency = s.relativeLatencyAt(g.now)
 	if i := slices.Index(s.outstanding, t.sentAt); i >= 0 {
 		s.outstanding = slices.Delete(s.outstanding, i, i+1)
@@ -209,14 +241,14 @@
 		s.errors, s.connectionFailures = 0, 0
 		s.throughput.add(g.now, throughputMemory)
 		g.answers.add(g.now, throughputMemory)
-		s.relativeLatency += latencyWeight * (math.Min(maxRelativeLatency, took/e) - s.relativeLatency)
+		s.relativeLatency += latencyWeight * (math.Min(maxRelativeLatency, took/expected) - s.relativeLatency)
 		if s.failures > 0 {
 			s.failures, s.ejectedUntil = 0, 0
 			g.log(maxLogLines, "server %s back", s.Name)
 		}
 		g.classLatency[r.classIndex].Learn(took, r.units, classLatencyWeight)
 		g.meanLatency += classLatencyWeight * (took - g.meanLatency)
-	case Errored: // one that fails at once looks like the fastest of all
+	case Errored: // by latency alone, a server that fails at once would look like the fastest of all
 		s.lastResponseAt = g.now
 		if s.errors++; s.errors >= maxConsecutiveErrors {
 			s.rejectShare.Learn(g.now, rejectMemory, rejectWeight, 1)
@@ -228,15 +260,17 @@
 		s.rejectLatency += latencyWeight * (took - s.rejectLatency)
 	case TimedOut:
 		g.timeoutShare += timeoutShareWeight * (1 - g.timeoutShare)
-		// Else the answer was lost, or one server is slow.
-		if !g.isOutlier(s) && (g.timeoutShare > maxLossShare || g.meanLatency > slowThreshold*(r.due-r.arrivedAt).Seconds()) {
+		// Otherwise only this answer was lost, or only this server is slow.
+		if !g.isOutlier(s) && (g.timeoutShare > maxLossShare ||
+			g.meanLatency > slowThreshold*(r.due-r.arrivedAt).Seconds()) {
 			g.adjustAdmitShare(true)
 		}
 		if s.lastResponseAt < t.sentAt {
 			g.eject(s)
 		}
-		s.relativeLatency = math.Max(s.relativeLatency, s.relativeLatency+latencyWeight*(math.Min(maxRelativeLatency, took/e)-s.relativeLatency))
-	case Broken: // one answer that can't be read tells little, two in a row that the server is gone
+		s.relativeLatency = math.Max(s.relativeLatency,
+			s.relativeLatency+latencyWeight*(math.Min(maxRelativeLatency, took/expected)-s.relativeLatency))
+	case Broken: // one unreadable answer says little; two in a row mean that the server is gone
 		if s.connectionFailures++; s.connectionFailures > 1 {
 			g.eject(s)
 		}
@@ -246,13 +280,15 @@
 	}
 }
 
-// adjustAdmitShare admits less while answers come late: at many gateways no limit at a server shows a queue. A prompt
-// one stands for those not let in, too, else few would tell that it is over. Harms where requests are long.
-func (g *Gateway) adjustAdmitShare(late bool) {
+// adjustAdmitShare lowers the share of requests that are admitted while answers come late: with many
+// gateways, no limit of one gateway at one server shows the queue there. A prompt answer counts for the
+// requests that were not admitted, too, or few answers would show that the overload is over. It harms where
+// requests are long by nature.
+func (g *Gateway) adjustAdmitShare(isLate bool) {
 	if !g.isLargeFleet() {
 		return
 	}
-	if g.admitShare = math.Min(1, g.admitShare+admitShareGain/g.admitShare); late {
+	if g.admitShare = math.Min(1, g.admitShare+admitShareGain/g.admitShare); isLate {
 		g.admitShare = math.Max(minAdmitShare, g.admitShare*admitShareCut)
 	}
 }
--- a/admission/ceiling.go
+++ b/admission/ceiling.go
@@ -51,7 +51,8 @@
 // hasCeilingTokens reports whether this gateway's part of the ceiling holds so many units now. The part
 // starts empty, as a previous process may have used it up.
 func (c *customer) hasCeilingTokens(now time.Duration, units float64) bool {
-	c.ceilingTokens = math.Min(c.ceilingBurst, c.ceilingTokens+c.ceilingRate*(now-c.ceilingTokensAt).Seconds())
+	c.ceilingTokens = math.Min(c.ceilingBurst,
+		c.ceilingTokens+c.ceilingRate*(now-c.ceilingTokensAt).Seconds())
 	c.ceilingTokensAt = now
 	return c.ceilingTokens >= units
 }
--- a/admission/counter.go
+++ b/admission/counter.go
@@ -12,17 +12,18 @@
 	breakerThreshold = 4
 	// Factor on the query share for a call that is refused, lost or answered late.
 	queryShareCut = 0.8
-	// Query share regained with each answer in time,
+	// Query share regained with each answer in time.
 	queryShareGain = 0.01
-	// and for each second since the previous answer, for a gateway that seldom queries.
+	// Query share regained, with an answer in time, for each second since the previous answer. It serves
+	// gateways that seldom query.
 	queryShareRecovery = 0.05
 	// EWMA weight of a total in the share of totals that are under the in-flight cap.
 	underCapWeight = 0.2
-	// An answer is late, and the counter crowded, after this share of the call's time limit,
+	// Share of a call's time limit after which an answer is late, the sign of a crowded counter.
 	slowCounterThreshold = 0.25
-	// but not before this multiple of the latency of a counter that is not crowded.
+	// Multiple of the baseline latency before which no answer is late.
 	slowCounterFactor = 2.0
-	// EWMA weight of an answer slower than that latency.
+	// EWMA weight of a slower answer in the baseline latency, the latency of a counter that is not crowded.
 	counterBaselineWeight = 0.005
 	// Interval between the calls that test, while the breaker is open, whether the counter answers again.
 	counterProbeInterval = 250 * time.Millisecond
--- a/admission/estimate/estimate.go
+++ b/admission/estimate/estimate.go
@@ -74,9 +74,9 @@
 	return w.Latency * (1 - tell + tell*units/w.Units)
 }
 
-// Warmth is the part of its capacity that a host surely has, which started at boot (0: long ago) with the part
+// WarmUpShare is the part of its capacity that a host surely has, which started at boot (0: long ago) with the part
 // from and comes up evenly in the time full, or faster. A full of 0 is no time.
-func Warmth(now, boot, full time.Duration, from float64) float64 {
+func WarmUpShare(now, boot, full time.Duration, from float64) float64 {
 	if boot == 0 || full <= 0 || now-boot >= full {
 		return 1
 	}
--- a/admission/estimate/estimate_test.go
+++ b/admission/estimate/estimate_test.go
@@ -24,13 +24,13 @@
 		from, full := rapid.Float64Range(0, 1).Draw(t, "from"), time.Duration(rapid.IntRange(1, 30).Draw(t, "full"))*time.Second
 		last := 0.0
 		for age := time.Duration(0); age <= full; age += full / 16 {
-			w := Warmth(time.Hour+age, time.Hour, full, from)
+			w := WarmUpShare(time.Hour+age, time.Hour, full, from)
 			require.GreaterOrEqual(t, w, max(last, from))
 			require.LessOrEqual(t, w, 1.0)
 			last = w
 		}
-		require.Equal(t, 1.0, Warmth(time.Hour+full, time.Hour, full, from))
-		require.Equal(t, 1.0, Warmth(time.Hour, 0, full, from), "started long ago")
+		require.Equal(t, 1.0, WarmUpShare(time.Hour+full, time.Hour, full, from))
+		require.Equal(t, 1.0, WarmUpShare(time.Hour, 0, full, from), "started long ago")
 	})
 }
 
--- a/admission/servers.go
+++ b/admission/servers.go
@@ -1,6 +1,6 @@
 package admission
 
-// Servers: the list, the choice.
+// Servers: the list from discovery, health, slow start and the choice of a server for an attempt.
 
 import (
 	"math"
@@ -12,43 +12,84 @@
 )
 
 const (
-	initialLatency       = 0.1                    // seconds: a latency before any was seen
-	unitsLatencyShare    = 0.6                    // part of a request's work that goes with its units
-	latencyWeight        = 0.15                   // EWMA weight of an answer's latency at a server
-	latencyMemory        = 60.0                   // seconds for which it is remembered of one that gets nothing
-	maxRelativeLatency   = 10.0                   // times the usual: more than this tells no more
-	maxConsecutiveErrors = 3                      // errors in a row eject, and count as turned away;
-	rejectWeight         = 0.15                   // EWMA weight of an answer in the part that a server turns away;
-	rejectMemory         = 5.0                    // seconds for which that is remembered of one that gets nothing,
-	maxRejectShare       = 0.9                    // and no more than this is believed
-	classLatencyWeight   = 0.02                   // EWMA weight of an answer in its class's usual latency,
-	classDoubtMemory     = 30.0                   // seconds for which that is believed where it keeps a class out
-	minEjection          = 500 * time.Millisecond // first ejection after a failure; doubles with each further
-	downThreshold        = 6                      // connections lost in a row, or one not made: it is away
-	downCheckInterval    = time.Second            // between looks whether one that is away is back
-	maxEjection          = 8 * time.Second        // longest ejection, so that recovery is seen within it
-	silenceFactor        = 4.0                    // times its expected time: an attempt out this long is silence
-	minSilence           = 250 * time.Millisecond // and at least this long
-	crossZoneFactor      = 4.0                    // times the price of crossing zones, as extra expected wait
-	costJitter           = 0.05                   // of a cost, so that gateways do not move as one
-	throughputMemory     = 1.0                    // seconds over which answers are counted
-	lateThreshold        = 0.5                    // of the time it is of use for: an answer that took more is late,
-	admitShareCut        = 0.9                    // and this much of the admitting goes on;
-	outlierFactor        = 1.4                    // times the mean slowness of those in use: slow by itself
-	admitShareGain       = 0.009                  // each prompt answer brings this much back, over the part admitted
-	slowThreshold        = 0.2                    // of that time usual for answers: attempts out of time count as late
-	classMixWeight       = 0.02                   // weight of a request in how often its class comes, a fading count
-	timeoutShareWeight   = 0.1                    // EWMA weight of an attempt in the part not answered in time;
-	maxLossShare         = 0.5                    // more than this is no loss of answers: it counts as late, too
-	minAdmitShare        = 0.01                   // of requests are admitted, however late the answers: to see it end
-	worthExponent        = 1.75                   // of a class's worth: where few are admitted, the least goes first
-	minServerAttempts    = 6.0                    // attempts that all gateways together may always have at a server
-	coldShareFactor      = 1.6                    // times its surely warm part of a fair share for a cold server
-	minSubsetSize        = 8                      // a door's subset: hosts that it uses while all is well,
-	minGatewaysPerServer = 8                      // and so many that each host is used by this many doors
-	serverQueueShare     = 0.15                   // of the aim left: what a server holds must be answered within it
+	// Latency in seconds that is assumed before any is known.
+	initialLatency = 0.1
+	// Share of a request's latency that is proportional to its units.
+	unitsLatencyShare = 0.6
+	// EWMA weight of an answer in the latencies of its server.
+	latencyWeight = 0.15
+	// Time constant in seconds with which the latency of a server that gets nothing is forgotten.
+	latencyMemory = 60.0
+	// Largest relative latency that is learned; what is slower says nothing more.
+	maxRelativeLatency = 10.0
+	// Errors since the last good answer that eject a server; from then on each counts as a rejection, too.
+	maxConsecutiveErrors = 3
+	// EWMA weight of an answer in the share of requests that a server rejects.
+	rejectWeight = 0.15
+	// Time constant in seconds with which that share is forgotten for a server that gets nothing.
+	rejectMemory = 5.0
+	// Largest reject share that is assumed of a server.
+	maxRejectShare = 0.9
+	// EWMA weight of an answer in the latency of its class and in the mean latency.
+	classLatencyWeight = 0.02
+	// Time constant in seconds with which the latency of a class is doubted while it keeps the class out.
+	classDoubtMemory = 30.0
+	// Ejection time after the first failure; it doubles with each further one.
+	minEjection = 500 * time.Millisecond
+	// Connection failures since the last good answer from which a server is taken to be down. A connection
+	// that can't be made counts as that many.
+	downThreshold = 6
+	// Interval between attempts that check whether a server that is down is back. For as long after an
+	// ejection a server gets no request that can't be repeated.
+	downCheckInterval = time.Second
+	// Longest ejection: a recovery is noticed within it.
+	maxEjection = 8 * time.Second
+	// Multiple of a server's expected latency after which its oldest attempt counts as silence.
+	silenceFactor = 4.0
+	// Shortest time that counts as silence.
+	minSilence = 250 * time.Millisecond
+	// Extra cost of a server in another zone, as a multiple of the settings' cost of crossing zones.
+	crossZoneFactor = 4.0
+	// Random part of a server's cost, so that gateways do not all move at once.
+	costJitter = 0.05
+	// Time constant in seconds of the rates of answers.
+	throughputMemory = 1.0
+	// An answer is late after this share of the time in which it is of use.
+	lateThreshold = 0.5
+	// Factor on the admitted share for a late answer.
+	admitShareCut = 0.9
+	// Increase of the admitted share with each answer, divided by the share itself.
+	admitShareGain = 0.009
+	// A server is an outlier above this multiple of the mean relative latency of the servers in use.
+	outlierFactor = 1.4
+	// Share of the time in which an answer is of use: while the mean latency is above it, an attempt that
+	// times out counts as a late answer.
+	slowThreshold = 0.2
+	// Largest share of time-outs that is explained by lost answers: above it, they count as late answers.
+	maxLossShare = 0.5
+	// EWMA weight of an attempt in the share of attempts that time out.
+	timeoutShareWeight = 0.1
+	// Weight of a request in the decaying count of its class.
+	classMixWeight = 0.02
+	// Smallest admitted share, however late the answers: some requests must show when they are prompt again.
+	minAdmitShare = 0.01
+	// Exponent of a class's worth in the cost of refusing it: the classes of least worth are refused first.
+	// With 2 the least of them got less than half of an even share.
+	worthExponent = 1.75
+	// Attempts that all gateways together may always have at one server.
+	minServerAttempts = 6.0
+	// A cold server gets at most this multiple of the fair share that its capacity surely allows.
+	coldShareFactor = 1.6
+	// Smallest number of servers that a gateway uses while all are healthy.
+	minSubsetSize = 8
+	// Smallest number of gateways that use each server.
+	minGatewaysPerServer = 8
+	// A server must be able to answer all it holds within this share of the time left to the target.
+	serverQueueShare = 0.15
 )
 
+// onServerList takes over a list or changes from discovery and tries the held requests again. A failed
+// request for the list is repeated; the old list stays.
 func (g *Gateway) onServerList(ev ServerList) {
 	if ev.Kind == ListFailed {
 		if g.settings.MustSubscribe {
@@ -61,73 +102,84 @@
 	g.recheckHeld()
 }
 
-// rankServers orders the servers that are up by this door's preference. It uses the first few that it can: else many
-// doors would all be connected to all, and learn of none. Harms where the few are all bad.
+// rankServers orders the servers that are up by this gateway's preference. The gateway uses the first few
+// that are usable: if many gateways all connected to all servers, each would learn little of any. This
+// harms where all of those few are bad.
 func (g *Gateway) rankServers() {
 	up := slices.DeleteFunc(slices.Clone(g.serversByName), func(s *server) bool { return s.State != Up })
 	g.subsetSize = SubsetSize(len(up), g.settings.Gateways)
-	g.preferred = rendezvous.Sort(up, func(s *server) string { return s.Name }, g.settings.Index, g.settings.Gateways, g.subsetSize)
+	g.preferred = rendezvous.Sort(up, func(s *server) string { return s.Name },
+		g.settings.Index, g.settings.Gateways, g.subsetSize)
 }
 
-// capacityShare is the part of its capacity that a server surely has.
+// capacityShare returns the share of its full capacity that a server surely has while it warms up.
 func (g *Gateway) capacityShare(s *server) float64 {
-	return estimate.Warmth(g.now, s.startedAt, g.settings.WarmUpTime, g.settings.InitialCapacity)
+	return estimate.WarmUpShare(g.now, s.startedAt, g.settings.WarmUpTime, g.settings.InitialCapacity)
 }
 
-// slowStartAllows: slow start by lots. Each attempt draws one place among those that a door uses; a cold server
-// takes only what the lot of its place brings, and of that its warmth's part: that part of a fair share of
-// what all send, with no store and no floor that would add up over gateways. A held request keeps its lot.
-// Harms when all are cold at once.
-func (g *Gateway) slowStartAllows(r *request, s *server, place int) bool {
-	w, lot := g.capacityShare(s), r.slowStartSample*float64(min(g.subsetSize, len(g.preferred)))
-	return w >= 1 || int(lot) == place && lot-float64(place) < coldShareFactor*w
+// slowStartAllows implements slow start by random sampling. Each attempt's sample selects one position among
+// the servers that the gateway uses. A cold server takes only the attempts that select its position, and of
+// those the share that it has warmed up to. That is a part of a fair share of all that the fleet sends;
+// there is no stored allowance and no minimum that would add up over gateways. A held request keeps its
+// sample. This harms when all servers are cold at once.
+func (g *Gateway) slowStartAllows(r *request, s *server, position int) bool {
+	share, sample := g.capacityShare(s), r.slowStartSample*float64(min(g.subsetSize, len(g.preferred)))
+	return share >= 1 || int(sample) == position && sample-float64(position) < coldShareFactor*share
 }
 
-// serverLimit is how many attempts of this gateway a server may hold: what it answers within the time given
-// (Little's law). Guards against overdriving what is slow, crowded or hung. Harms just after a lull.
+// serverLimit returns how many attempts of this gateway a server may hold: as many as it answers within so
+// many seconds (Little's law). It keeps load off a server that is slow, crowded or hung, and harms just
+// after a lull.
 func (g *Gateway) serverLimit(s *server, within float64) float64 {
-	return math.Max(math.Ceil(minServerAttempts/float64(g.settings.Gateways)), s.throughput.rate(g.now, throughputMemory)*within)
+	return math.Max(math.Ceil(minServerAttempts/float64(g.settings.Gateways)),
+		s.throughput.rate(g.now, throughputMemory)*within)
 }
 
-// isLargeFleet tells whether one attempt at each gateway is more than a server should hold.
+// isLargeFleet reports whether one attempt of each gateway is more than a server should hold.
 func (g *Gateway) isLargeFleet() bool { return float64(g.settings.Gateways) > minServerAttempts }
 
-// bulkhead is how many attempts this gateway may have out in all: its part of leastOut at each server, or
-// half of what it gets answered in the time given. One a server at each of hundreds of doors is too much.
+// bulkhead returns how many attempts this gateway may have out in all: its part of minServerAttempts at each
+// server, or half of what is answered within so many seconds. One attempt per server from each of hundreds
+// of gateways would be too much.
 func (g *Gateway) bulkhead(within float64) float64 {
 	part := minServerAttempts * float64(len(g.serversByName)) / float64(g.settings.Gateways)
 	return math.Max(math.Max(1, part), g.answers.rate(g.now, throughputMemory)*within/2)
 }
 
-// isSuspect: ejected after failures, or silent: what is out has been out far longer than expected and
-// nothing was heard since. Guards against hangs and cuts before a time-out tells; harms on a long pause.
+// isSuspect reports whether a server is ejected after failures, or silent: its oldest attempt has been out
+// far longer than expected and no response came since. This detects hangs and cut connections before a
+// time-out does, and harms when a server pauses for long.
 func (g *Gateway) isSuspect(s *server) bool {
 	return g.now < s.ejectedUntil || len(s.outstanding) > 0 && s.lastResponseAt < s.outstanding[0] &&
 		g.now-s.outstanding[0] > max(minSilence, seconds(silenceFactor*s.relativeLatency*g.meanLatency))
 }
 
-// canCheckDown tells whether it is time to see if a server that is away is back: one at a time, and seldom,
-// however many they are. Guards against a list so old that most requests would go to servers long gone.
+// canCheckDown reports whether an attempt may go to a server that is down, to see if it is back: one at a
+// time, and seldom, however many are down. Otherwise, with a list so old that most of its servers are long
+// gone, most requests would go to those.
 func (g *Gateway) canCheckDown() bool {
 	return !slices.ContainsFunc(g.preferred, func(s *server) bool {
-		return s.connectionFailures >= downThreshold && (len(s.outstanding) > 0 || g.now < s.ejectedUntil-s.ejectionTime()+downCheckInterval)
+		return s.connectionFailures >= downThreshold &&
+			(len(s.outstanding) > 0 || g.now < s.ejectedUntil-s.ejectionTime()+downCheckInterval)
 	})
 }
 
-// rejectShareAt is the part of what a server gets that it turns away. Guards against one that limits itself: it
-// answers the rest as ever, so by latency alone it looks as good as any. It harms when the limit has ended
-// and nothing was sent there since, hence the memory.
+// rejectShareAt returns the share of its requests that a server rejects. A server that limits itself answers
+// the rest as fast as ever, so by latency alone it looks as good as any. The share harms when the limit has
+// ended and nothing was sent there since, so it fades.
 func (s *server) rejectShareAt(now time.Duration) float64 {
 	return min(maxRejectShare, s.rejectShare.Now(now, rejectMemory))
 }
 
-// relativeLatencyAt is a server's latency over the usual. Of one not heard it goes back to 1: else none would be asked
-// where all were slow, and nobody hear that they are not.
+// relativeLatencyAt returns a server's latency as a multiple of the usual one. Without responses it returns
+// to 1: otherwise, where all servers were slow, none would be tried and nobody would notice their recovery.
 func (s *server) relativeLatencyAt(now time.Duration) float64 {
-	return 1 + (s.relativeLatency-1)*estimate.Decay(now-max(s.lastResponseAt, s.ejectedUntil), latencyMemory)
+	return 1 + (s.relativeLatency-1)*
+		estimate.Decay(now-max(s.lastResponseAt, s.ejectedUntil), latencyMemory)
 }
 
-// isOutlier tells whether a server is slow beside the others in use here: its lateness is then its own.
+// isOutlier reports whether a server is slow compared to the other servers in use: then its late answers
+// are its own fault and no sign of general overload.
 func (g *Gateway) isOutlier(s *server) bool {
 	sum, n := 0.0, min(g.subsetSize, len(g.preferred))
 	for _, o := range g.preferred[:n] {
@@ -136,47 +188,50 @@
 	return s.relativeLatencyAt(g.now)*float64(n) > outlierFactor*sum
 }
 
+// expectedLatency returns the expected latency of a request, in seconds, by its class and units.
 func (g *Gateway) expectedLatency(r *request) float64 {
 	return g.classLatency[r.classIndex].Expect(r.units, unitsLatencyShare, initialLatency)
 }
 
-// pickServer returns the server with the least expected wait for a request, and that wait in seconds. Where
-// all are shunned that is not trusted.
+// pickServer returns the server with the least expected wait for a request, and that wait in seconds, or nil
+// if no server may take it now. Where every server is suspect or down, these signs are not trusted.
 func (g *Gateway) pickServer(r *request) (*server, float64) {
 	within := serverQueueShare * math.Max(0, (r.due-g.now).Seconds())
 	if g.isLargeFleet() && g.liveAttempts >= g.bulkhead(within) {
 		return nil, 0
 	}
-	usable := func(s *server) bool { return !g.isSuspect(s) && s.connectionFailures < downThreshold }
-	trust, look := slices.ContainsFunc(g.preferred, usable), g.canCheckDown()
+	isUsable := func(s *server) bool { return !g.isSuspect(s) && s.connectionFailures < downThreshold }
+	hasUsable, canCheck := slices.ContainsFunc(g.preferred, isUsable), g.canCheckDown()
 	var best *server
-	least, place := math.Inf(1), -1
+	leastCost, position := math.Inf(1), -1
 	for _, s := range g.preferred {
-		n := float64(len(s.outstanding))
-		// Re-entry by trickle: one at a time, for a while none that could not be repeated.
-		wary := r.class.Effect == Unsafe && g.now < s.ejectedUntil+downCheckInterval // not for good: there may be no other
-		unfit := g.isSuspect(s) || s.failures > 0 && (n > 0 || wary) ||
-			s.connectionFailures >= downThreshold && (len(r.attempts) > 0 || !look)
-		if !r.permitsServer(s) || n >= g.serverLimit(s, within) || trust && unfit {
+		outstanding := float64(len(s.outstanding))
+		// A server that failed gets one attempt at a time and, for a while, none that can't be repeated. That
+		// exclusion must end, as there may be no other server.
+		isRisky := r.class.Effect == Unsafe && g.now < s.ejectedUntil+downCheckInterval
+		isUnfit := g.isSuspect(s) || s.failures > 0 && (outstanding > 0 || isRisky) ||
+			s.connectionFailures >= downThreshold && (len(r.attempts) > 0 || !canCheck)
+		if !r.permitsServer(s) || outstanding >= g.serverLimit(s, within) || hasUsable && isUnfit {
 			continue
 		}
-		if place++; place >= g.subsetSize { // the subset is widened by as many as can't be used
+		if position++; position >= g.subsetSize { // unusable servers were skipped: others took their places
 			break
 		}
-		if !g.slowStartAllows(r, s, place) {
+		if !g.slowStartAllows(r, s, position) {
 			continue
 		}
-		if g.capacityShare(s) < 1 { // its lot, and all that it gets
+		if g.capacityShare(s) < 1 { // cold: it gets the attempts that selected it, and no others
 			return s, g.expectedLatency(r)
 		}
-		turned := s.rejectShareAt(g.now)
-		cost := (s.relativeLatencyAt(g.now)*(n+1) + turned*s.rejectLatency/g.meanLatency) / (1 - turned)
+		rejectShare := s.rejectShareAt(g.now)
+		cost := (s.relativeLatencyAt(g.now)*(outstanding+1) + rejectShare*s.rejectLatency/g.meanLatency) /
+			(1 - rejectShare)
 		if s.Zone != g.settings.Zone {
 			cost *= 1 + crossZoneFactor*g.settings.CrossZoneCost
 		}
-		if cost *= 1 + costJitter*g.rng.Float64(); cost < least {
-			best, least = s, cost
+		if cost *= 1 + costJitter*g.rng.Float64(); cost < leastCost {
+			best, leastCost = s, cost
 		}
 	}
-	return best, least * g.expectedLatency(r)
+	return best, leastCost * g.expectedLatency(r)
 }
--- a/admission/starve_test.go
+++ b/admission/starve_test.go
@@ -87,7 +87,7 @@
 		}
 	}
 	w.hosts[name].how = func(took time.Duration) (Outcome, time.Duration) {
-		return OK, time.Duration(float64(took) / estimate.Warmth(w.now, boot, s.WarmUpTime, s.InitialCapacity))
+		return OK, time.Duration(float64(took) / estimate.WarmUpShare(w.now, boot, s.WarmUpTime, s.InitialCapacity))
 	}
 	for me := range w.doors {
 		list := w.list
