--- a/admission/attempts.go
+++ b/admission/attempts.go
@@ -73,7 +73,8 @@
 	left := (r.due - g.now).Seconds()
 	s, wait := g.pickServer(r)
 	if g.admitExponents[r.classIndex] == 1 && len(r.attempts) == 0 { // the class of most worth
-		g.topClassShortage.LearnBool(g.now, shortageMemory, shortageWeight, s == nil || waitMargin*wait > left)
+		g.topClassShortage.LearnBool(g.now, shortageMemory, shortageWeight,
+			s == nil || waitMargin*wait > left)
 	}
 	switch {
 	case s == nil && g.canHold(r):
@@ -86,7 +87,8 @@
 		(len(r.attempts) > 0 || r.class.LateWorth == 0 || r.due == r.deadline):
 		// When even a free server seems too slow, no request of the class is sent that could show otherwise.
 		if s != nil && len(s.outstanding) == 0 {
-			g.classLatency[r.classIndex].Doubt(g.now, classDoubtMemory, waitMargin*wait, r.class.usefulSeconds())
+			g.classLatency[r.classIndex].Doubt(g.now, classDoubtMemory, waitMargin*wait,
+				r.class.usefulSeconds())
 		}
 		if s == nil {
 			g.giveUp(r, ReasonNoServer)
@@ -121,7 +123,8 @@
 func (g *Gateway) maxWait(r *request, s *server, left float64) float64 {
 	wait, ease := left, math.Max(0, 1-g.topClassShortage.Now(g.now, shortageMemory)/shortageThreshold)
 	for _, c := range g.settings.Classes {
-		if c.refusalCost() > r.class.refusalCost() && !c.IsRemoved && len(s.outstanding) > 0 && g.canRefuse(r) {
+		if c.refusalCost() > r.class.refusalCost() && !c.IsRemoved && len(s.outstanding) > 0 &&
+			g.canRefuse(r) {
 			wait = min(wait, lowWorthTargetShare*c.LatencyTarget.Seconds()+ease*left)
 		}
 	}
@@ -166,7 +169,7 @@
 }
 
 // attemptTimeout returns how long an attempt may take before a retry. Where no retry is possible, it is the
-// time until an answer is worth nothing: then its slot under a cap and at its server are free at once. 0 means
+// time until an answer is worth nothing: then its slot under a cap and its server are free at once. 0 means
 // until the client leaves.
 func (g *Gateway) attemptTimeout(r *request, wait float64) time.Duration {
 	if r.class.Effect == Unsafe || r.class.IsStream { // its client may want the outcome, however late
--- a/admission/gateway.go
+++ b/admission/gateway.go
@@ -1,8 +1,8 @@
 package admission
 
-// The decision module of ferryfront. Its interface (settings, events, actions and the host's contract)
-// is in api.go. All that is decided, and every tuned value, is in the files that deploy/balancer.toml
-// names under policy: this one, where events come in, and one for each concern.
+// The decision module of ferryfront. Its interface (settings, events, actions and the host's contract) is in
+// api.go. All that decides, and every tuned value, is in the files that deploy/balancer.toml names under
+// policy: this one, which dispatches events, and one for each concern.
 
 import (
 	"math"
@@ -10,30 +10,35 @@
 	"time"
 )
 
-// New returns a gateway for these settings, or an error that names what it can't work with.
+// New returns a gateway with these settings, or an error that names the setting that it can't work with. The
+// seed determines all its random draws.
 func New(s Settings, seed uint64) (*Gateway, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	source := rand.NewPCG(seed, 0)
 	g := &Gateway{source: source, rng: rand.New(source), requests: map[uint64]*request{},
-		customers: map[uint64]*customer{}, counterCalls: map[string][]*counterCall{}, servers: map[string]*server{},
+		customers: map[uint64]*customer{}, counterCalls: map[string][]*counterCall{},
+		servers:     map[string]*server{},
 		meanLatency: initialLatency, meanTimeInFlight: initialLatency, callsPerRequest: 1, admitShare: 1,
 		retryBudget:       math.Min(maxRetryBudget, initialFleetRetries/float64(s.Gateways)),
-		queryShareAverage: predictionThreshold, queryShare: min(1, max(minQueryShare, initialFleetQueryShare/float64(s.Gateways)))}
+		queryShareAverage: predictionThreshold,
+		queryShare:        min(1, max(minQueryShare, initialFleetQueryShare/float64(s.Gateways)))}
 	g.applySettings(s)
 	return g, nil
 }
 
-// refusalCost is what turning a request of a class away costs. Worth squared left the least under half of its due.
+// refusalCost returns the cost of refusing a request of the class, on a scale that only compares classes.
 func (c Class) refusalCost() float64 { return math.Pow(c.Worth, worthExponent) }
 
-// Handle takes one event at the time now and returns what is to be done; the next call reuses the slice.
+// Handle processes one event at the time now and returns the actions to carry out. The next call reuses the
+// slice. A time before that of an earlier call counts as the earlier one.
 func (g *Gateway) Handle(now time.Duration, ev Event) []Action {
 	g.actions = g.actions[:0]
 	g.now = max(now, g.now)
 	if !g.isStarted {
-		g.isStarted, g.ceilingStart, g.counterAnsweredAt = true, now, now // no answer was due before the start
+		// No answer of the counter was due before the start.
+		g.isStarted, g.ceilingStart, g.counterAnsweredAt = true, now, now
 		g.setTimer(timerExpiry, 0, g.now+expiryInterval)
 		if g.settings.MustSubscribe {
 			g.emit(Subscribe{On: true})
@@ -61,6 +66,7 @@
 	return g.actions
 }
 
+// onTimer handles a timer of this gateway; one whose request is over is ignored.
 func (g *Gateway) onTimer(token uint64) {
 	r := g.requests[token/timerKindCount]
 	switch token % timerKindCount {
--- a/admission/servers.go
+++ b/admission/servers.go
@@ -235,3 +235,8 @@
 	}
 	return best, leastCost * g.expectedLatency(r)
 }
+
+// SubsetSize returns how many of the servers that are up each of so many gateways uses while all are healthy.
+func SubsetSize(servers, gateways int) int {
+	return max(minSubsetSize, (minGatewaysPerServer*servers+gateways-1)/gateways)
+}
