--- a/admission/membership.go
+++ b/admission/membership.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// Which gateways there are, as the host's membership tells it. Nothing here decides: it counts. A host without a
-// membership tells nothing, and all that the settings name are there.
+// Which gateways of the fleet are present, as the host's membership reports it. Nothing here decides. A host
+// without membership reports nothing: then all gateways of the settings count as present.
 
-// FleetChanged: these gateways, by number, no longer share what all have together; nobody can think otherwise.
-// While Unsure, this one may itself be counted out by others, and has no part of a ceiling.
+// FleetChanged reports which gateways, by index, are absent: they no longer use their parts of shared quotas
+// and ceilings, and every gateway agrees on that. While IsUncertain, the others may count this gateway as
+// absent, and it has no part of any ceiling.
 type FleetChanged struct {
 	Absent      []int
 	IsUncertain bool
@@ -14,52 +15,56 @@
 
 func (FleetChanged) isEvent() {}
 
-// membership is what was last told.
+// membership is what the last FleetChanged reported.
 type membership struct {
 	absent      []int
 	isUncertain bool
 }
 
+// onFleetChanged takes over a new membership. Customers get their new parts with their next request.
 func (g *Gateway) onFleetChanged(ev FleetChanged) {
-	if g.membership.isUncertain && !ev.IsUncertain { // until now the others had what is ours from here on
+	// Until now the others may have used the parts that are this gateway's from now on.
+	if g.membership.isUncertain && !ev.IsUncertain {
 		g.ceilingStart = max(g.ceilingStart, g.now)
 	}
 	g.membership = membership{absent: slices.Clone(ev.Absent), isUncertain: ev.IsUncertain}
 	for _, c := range g.customers {
-		c.isCeilingSplit = false // doors and parts are dealt anew with its next request
+		c.isCeilingSplit = false
 	}
 }
 
-// circularOffset is where a gateway stands in the circularOffset of all that begins with number first and goes round.
+// circularOffset returns the position of a gateway among all of them, counted from first and around the end.
 func circularOffset(gateway, first, all int) int { return (gateway - first%all + all) % all }
 
-// countFrom is how many of the gateways from number first on, so many of all in a row, are there: 1 at least.
-func (p membership) countFrom(n, first, all int) float64 {
+// countFrom returns how many of the n gateways from index first on, around the end of all, are present. It
+// is at least 1.
+func (m membership) countFrom(n, first, all int) float64 {
 	n = max(1, min(n, all))
-	here := n
-	for _, o := range p.absent {
-		if circularOffset(o, first, all) < n {
-			here--
+	present := n
+	for _, absent := range m.absent {
+		if circularOffset(absent, first, all) < n {
+			present--
 		}
 	}
-	return float64(max(1, here))
+	return float64(max(1, present))
 }
 
-// position is where gateway me stands in that row, among those that are there.
-func (p membership) position(me, first, all int) int {
-	at := circularOffset(me, first, all)
-	place := at
-	for _, o := range p.absent {
-		if circularOffset(o, first, all) < at {
-			place--
+// position returns the position of a gateway among the present ones, counted from index first.
+func (m membership) position(gateway, first, all int) int {
+	offset := circularOffset(gateway, first, all)
+	position := offset
+	for _, absent := range m.absent {
+		if circularOffset(absent, first, all) < offset {
+			position--
 		}
 	}
-	return place
+	return position
 }
 
-// ceilingFactor is 1, and 0 while others may count this gateway out.
-func (p membership) ceilingFactor() float64 {
-	if p.isUncertain {
+// ceilingFactor returns the factor on this gateway's parts of ceilings: 0 while others may count it as
+// absent, else 1.
+func (m membership) ceilingFactor() float64 {
+	if m.isUncertain {
 		return 0
 	}
 	return 1
--- a/admission/settings_change.go
+++ b/admission/settings_change.go
@@ -2,18 +2,18 @@
 
 import "ferryfront.example/ferryfront/admission/estimate"
 
-// What a gateway keeps when it is given other settings. Nothing here decides: classes and plans keep their places
-// (see SettingsChanged), a request keeps the class that it came with, and what is known of customers, servers and
-// the counter goes on under the new figures.
+// Events that change what a gateway works with: new settings, a request that has wholly arrived. Nothing here
+// decides. Classes and plans keep their indices (see SettingsChanged), a request keeps the class that it came
+// with, and what is known of customers, servers and the counter is kept under the new settings.
 
-// SettingsChanged: the gateway goes on under these settings. Classes and plans stand at the places that they had
-// before; those that are not there any more are Gone, new ones follow. Settings that a gateway can't work with
-// change nothing.
+// SettingsChanged replaces the settings of a running gateway. Classes and plans keep their indices: those
+// that were dropped are marked IsRemoved, new ones are appended. Settings that New would refuse, or with
+// fewer classes or plans, are ignored.
 type SettingsChanged struct{ Settings Settings }
 
 func (SettingsChanged) isEvent() {}
 
-// onUpdate books an event that asks for no decision.
+// onUpdate handles the events that need no decision; those that are not used are ignored.
 func (g *Gateway) onUpdate(ev Event) {
 	switch ev := ev.(type) {
 	case SettingsChanged:
@@ -25,16 +25,16 @@
 	}
 }
 
-// onRequestComplete starts a request's time anew, now that all of it has come, and its attempts': until then no server had
-// anything to run.
+// onRequestComplete restarts the times of a partial request and of its attempts, now that its body has
+// wholly arrived: until then no server had anything to run.
 func (g *Gateway) onRequestComplete(id uint64) {
 	r := g.requests[id]
 	if r == nil || !r.isPartial {
 		return
 	}
 	r.isPartial = false
-	late := g.now - r.arrivedAt
-	r.arrivedAt, r.due, r.deadline = g.now, r.due+late, r.deadline+late
+	elapsed := g.now - r.arrivedAt
+	r.arrivedAt, r.due, r.deadline = g.now, r.due+elapsed, r.deadline+elapsed
 	for i := range r.attempts {
 		if t := &r.attempts[i]; t.isLive {
 			t.sentAt = g.now
@@ -43,37 +43,39 @@
 	}
 }
 
+// onSettingsChanged applies new settings. Customers whose plan has changed, or all if the fleet has, get new
+// parts of their ceiling with the next request; their local tokens are cut to the plan, never filled up.
 func (g *Gateway) onSettingsChanged(s Settings) {
 	if s.validate() != nil || len(s.Classes) < len(g.settings.Classes) || len(s.Plans) < len(g.settings.Plans) {
 		return
 	}
-	was := g.settings
+	previous := g.settings
 	g.applySettings(s)
-	g.suspendTotals(was.Plans)
-	fleet := was.Gateways != s.Gateways || was.Index != s.Index
+	g.suspendTotals(previous.Plans)
+	isNewFleet := previous.Gateways != s.Gateways || previous.Index != s.Index
 	for _, c := range g.customers {
-		old := *c.plan
-		if c.plan = &g.settings.Plans[c.planIndex]; old == *c.plan && !fleet {
+		previousPlan := *c.plan
+		if c.plan = &g.settings.Plans[c.planIndex]; previousPlan == *c.plan && !isNewFleet {
 			continue
 		}
 		c.gateways = min(c.gateways, float64(s.Gateways))
-		c.isCeilingSplit = false // its parts are dealt anew with its next request
+		c.isCeilingSplit = false
 		c.quotaTokens = min(c.quotaTokens, c.plan.Burst)
-		if was := c.quotaCounter; c.plan.Rate > 0 { // windows of another length begin anew
+		if previousCounter := c.quotaCounter; c.plan.Rate > 0 { // windows of another length start empty
 			c.quotaCounter = newWindowCounter("q"+c.counterKey()+".", c.plan.windowLength(), hashFraction(c.id))
-			c.quotaCounter.restore(was.state())
+			c.quotaCounter.restore(previousCounter.state())
 		}
 	}
-	if fleet {
+	if isNewFleet {
 		g.rankServers()
 	}
 }
 
-// suspendTotals notes for which plans the counter's windows have another length now. Those that were begun under the former
-// length go on beside the new ones, so for as long as either lasts no total shows that a request is under its ceiling:
-// settings that follow each other quickly would else let in what a window may show once for each.
-func (g *Gateway) suspendTotals(was []Plan) {
-	for i, before := range was {
+// suspendTotals stops admitting requests under a ceiling by totals of plans whose counter windows have another
+// length now, until the longer of the former and the new windows are over. Windows of the former length go on
+// beside the new ones, so settings that change often would admit what a window may show once for each change.
+func (g *Gateway) suspendTotals(previous []Plan) {
+	for i, before := range previous {
 		now := &g.settings.Plans[i]
 		if now.Rate <= 0 || before.Rate == now.Rate && before.Burst == now.Burst {
 			continue
@@ -86,7 +88,8 @@
 	}
 }
 
-// applySettings has the gateway work with settings, and makes room for what is known of each class and plan.
+// applySettings replaces the settings and makes room for what is learned of each class and plan. Removed
+// classes count as worthless, so that the most of the others is the most.
 func (g *Gateway) applySettings(s Settings) {
 	g.settings = s
 	for len(g.classLatency) < len(s.Classes) {
@@ -95,10 +98,11 @@
 	for len(g.planDemand) < len(s.Plans) {
 		g.planDemand, g.totalsValidFrom = append(g.planDemand, demandEstimate{}), append(g.totalsValidFrom, 0)
 	}
-	g.queryExponents, g.admitExponents = estimate.Exponents(s.Plans, Plan.wrongDecisionCost), estimate.Exponents(s.Classes, func(c Class) float64 {
-		if c.IsRemoved {
-			return 0
-		}
-		return c.refusalCost()
-	})
+	g.queryExponents, g.admitExponents = estimate.Exponents(s.Plans, Plan.wrongDecisionCost),
+		estimate.Exponents(s.Classes, func(c Class) float64 {
+			if c.IsRemoved {
+				return 0
+			}
+			return c.refusalCost()
+		})
 }
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -11,173 +11,200 @@
 	"ferryfront.example/ferryfront/admission/estimate"
 )
 
-// A gateway's state as plain values, for a successor process. Nothing here decides: a gateway that was
-// restored gives the same actions for the same events as the one that was not, see snapshot_test.go.
+// The state of a gateway as plain values, for a successor process. Nothing here decides: a restored gateway
+// returns the same actions for the same events as the original, see snapshot_test.go.
 //
-// The state comes in two parts. Customers may be a hundred thousand and hardly change while they ask
-// nothing, so each is a value of its own that can be copied ahead; the rest is small and copied last.
-// Classes and plans go by their names, for the successor may have been given other settings.
+// The state has two parts. There may be a hundred thousand customers, and one hardly changes while it sends
+// nothing: each is a value of its own that can be copied ahead. The rest is small and copied last. Classes and
+// plans are identified by name, as the successor may have other settings.
 
-// State is all that a gateway knows beyond its customers.
+// State is all that a gateway knows beyond its customers. Times are on the gateway's clock; the fields mean
+// what those of Gateway mean.
 type State struct {
-	Now, CeilingStart time.Duration
-	IsStarted         bool
-	Random            []byte
-	LogLines          int
-
-	CounterFailures                     int
-	IsBreakerOpen                       bool
-	NextCounterProbe, CounterAnsweredAt time.Duration
-	CounterBaseline                     time.Duration
-	CallsPerRequest, QueryShare         float64
-	QueryShareAverage                   float64
-
-	RecheckAt                    time.Duration
-	RetryBudget                  float64
-	Answers                      DecayingCount
-	TimeoutShare, MeanLatency    float64
-	MeanTimeInFlight, AdmitShare float64
-	Classes                      []ClassState
-	Plans                        []PlanState
-	Servers                      []ServerHealth
-	Requests                     []RequestState
-	Held                         []uint64
-	Calls                        []CallState // of one name in their order
-	LiveAttempts                 float64
-	TopClassShortage             float64
-	TopClassShortageAt           time.Duration
+	Now          time.Duration
+	CeilingStart time.Duration
+	IsStarted    bool
+	Random       []byte // the random source, in its binary form
+	LogLines     int
+
+	CounterFailures   int
+	IsBreakerOpen     bool
+	NextCounterProbe  time.Duration
+	CounterAnsweredAt time.Duration
+	CounterBaseline   time.Duration
+	CallsPerRequest   float64
+	QueryShare        float64
+	QueryShareAverage float64
+
+	RecheckAt          time.Duration
+	RetryBudget        float64
+	Answers            DecayingCount
+	TimeoutShare       float64
+	MeanLatency        float64 // seconds
+	MeanTimeInFlight   float64 // seconds
+	AdmitShare         float64
+	Classes            []ClassState
+	Plans              []PlanState
+	Servers            []ServerHealth // in order of name
+	Requests           []RequestState // in order of id
+	Held               []uint64       // request ids, the oldest first
+	Calls              []CallState    // in order of name, those of one name the oldest first
+	LiveAttempts       float64
+	TopClassShortage   float64
+	TopClassShortageAt time.Duration // when TopClassShortage was computed
 }
 
 // DecayingCount is a count with exponential forgetting.
 type DecayingCount struct {
 	Count float64
-	At    time.Duration
+	At    time.Duration // when Count was computed
 }
 
-// DemandState is what was asked over how long a look.
+// DemandState is how much was asked and for how long that was observed; both decay.
 type DemandState struct {
-	Demand, Observed float64
-	At               time.Duration
+	Demand   float64       // in seconds: the units asked over the units that fit in a second
+	Observed float64       // in seconds
+	At       time.Duration // when both were computed
 }
 
-// ClassState is a class's usual latency.
+// ClassState is the usual latency and frequency of a class.
 type ClassState struct {
-	Name           string
-	Latency, Units float64
-	DoubtedAt      time.Duration // when that last was
-	Frequency      float64       // how often, a count that fades
+	Name      string
+	Latency   float64       // seconds
+	Units     float64       // mean units of the requests of that latency
+	DoubtedAt time.Duration // when the latency was last doubted; 0 means never
+	Frequency float64       // decaying count of its requests; 0 if the predecessor does not send it
 }
 
-// PlanState is what is known of a plan's customers together.
+// PlanState is what is known of all customers of a plan together.
 type PlanState struct {
 	Name   string
 	Demand DemandState
 }
 
-// ServerHealth is a server of the list, and how it has answered.
+// ServerHealth is a server of the list and what the gateway has seen of it.
 type ServerHealth struct {
-	Entry                        ServerEntry
-	StartedAt                    time.Duration
-	RelativeLatency              float64
-	Outstanding                  []time.Duration
-	LastResponseAt, EjectedUntil time.Duration
-	Failures                     int
-	Errors, ConnectionFailures   int
-	RejectShare                  float64
-	RejectShareAt                time.Duration
-	RejectLatency                float64
-	Throughput                   DecayingCount
+	Entry              ServerEntry
+	StartedAt          time.Duration // start of its warm-up; 0 means long ago
+	RelativeLatency    float64       // latency over the expected latency
+	Outstanding        []time.Duration
+	LastResponseAt     time.Duration
+	EjectedUntil       time.Duration
+	Failures           int // ejections since its last good answer
+	Errors             int // errors since its last good answer
+	ConnectionFailures int // lost connections since its last good answer
+	RejectShare        float64
+	RejectShareAt      time.Duration // when RejectShare was computed
+	RejectLatency      float64       // seconds
+	Throughput         DecayingCount
 }
 
-// WindowCounterState is one named number a window.
+// WindowCounterState is one quantity of a customer on the shared counter.
 type WindowCounterState struct {
-	Length, Phase time.Duration
-	Window        int64
-	LastTotal     float64
-	LastTotalAt   time.Duration
-	Pending       float64
+	Length      time.Duration
+	Phase       time.Duration // by how much its windows start early
+	Window      int64         // number of the present window
+	LastTotal   float64
+	LastTotalAt time.Duration
+	Pending     float64 // to be added with the next call
 }
 
-// CustomerState is one customer's stores and mirrors.
+// CustomerState is what is known of one customer. Quantities are in units of its plan, times on the gateway's
+// clock.
 type CustomerState struct {
-	ID                                           uint64
-	Plan                                         string
-	Gateways                                     float64
-	QuotaCounter, InFlightCounter, DemandCounter WindowCounterState
-	Demand                                       DemandState
-	QuotaTokens, CeilingTokens                   float64
-	OthersRate, PredictedUsage                   float64
-	LastSeen, QuotaTokensAt, CeilingTokensAt     time.Duration
-	InFlight                                     int
-	InFlightCounted, UnderCapShare               float64
+	ID              uint64
+	Plan            string
+	Gateways        float64 // present gateways through which it comes
+	QuotaCounter    WindowCounterState
+	InFlightCounter WindowCounterState
+	DemandCounter   WindowCounterState
+	Demand          DemandState
+	QuotaTokens     float64
+	CeilingTokens   float64
+	OthersRate      float64 // units a second used through other gateways
+	PredictedUsage  float64 // units predicted for other gateways since the last total
+	LastSeen        time.Duration
+	QuotaTokensAt   time.Duration
+	CeilingTokensAt time.Duration
+	InFlight        int // requests
+	InFlightCounted float64
+	UnderCapShare   float64
 }
 
 // AttemptState is one attempt of a request.
 type AttemptState struct {
 	Server string
 	SentAt time.Duration
-	IsLive bool
+	IsLive bool // it has not ended
 }
 
-// RequestState is a request that is not over, or of which something is still out.
+// RequestState is a request that is not answered or has an open attempt.
 type RequestState struct {
-	ID                            uint64
-	Class                         string
-	Customer                      uint64
-	HasCustomer                   bool
-	Plan                          string // the customer's when it came
-	Units                         float64
-	ArrivedAt, Deadline, Due      time.Duration
-	QuotaCounted, InFlightCounted float64
-	TokensTaken                   float64
-	QuotaWindow                   int64
-	SlowStartSample               float64
-	IsOverQuota, WasSent, IsDone  bool
-	Attempts                      []AttemptState
-	PriorServer                   string // a server's name, for those that are known
-	PriorZone                     string
-	PriorCell                     int
-	HasPrior                      bool
-	PriorSentAt                   time.Duration
+	ID              uint64
+	Class           string
+	Customer        uint64
+	HasCustomer     bool
+	Plan            string // the customer's plan when the request arrived
+	Units           float64
+	ArrivedAt       time.Duration
+	Deadline        time.Duration
+	Due             time.Duration // an answer after it is late
+	QuotaCounted    float64       // units on the quota counter, or on the way there
+	InFlightCounted float64       // count on the in-flight counter, or on the way there
+	TokensTaken     float64       // local tokens taken for it
+	QuotaWindow     int64         // window of QuotaCounted
+	SlowStartSample float64       // in [0,1)
+	IsOverQuota     bool
+	WasSent         bool // it has had an attempt
+	IsDone          bool // its final answer is given
+	Attempts        []AttemptState
+	PriorServer     string // where it may have run first, if HasPrior
+	PriorZone       string
+	PriorCell       int
+	HasPrior        bool
+	PriorSentAt     time.Duration
 }
 
-// CallState is a counter call not yet answered.
+// CallState is a counter call that is not answered.
 type CallState struct {
-	Name                string
-	Customer            uint64
-	Plan                string
-	Counter             int // of the customer: 0 rate, 1 gauge, 2 demand
-	Request             uint64
-	HasRequest          bool
-	Window              int64
-	Delta, RequestDelta float64
-	RequestIndex        int // its place among the request's calls
+	Name         string // on the shared counter
+	Customer     uint64
+	Plan         string
+	Counter      int // of the customer: 0 quota, 1 in flight, 2 demand
+	Request      uint64
+	HasRequest   bool // a request waits for the answer
+	Window       int64
+	Delta        float64 // what the call adds
+	RequestDelta float64 // the request's part of Delta
+	RequestIndex int     // position among the calls that the request waits for
 }
 
-func (d eventRate) state() DecayingCount       { return DecayingCount{d.count, d.at} }
+func (e eventRate) state() DecayingCount       { return DecayingCount{e.count, e.at} }
 func (d DecayingCount) eventRate() eventRate   { return eventRate{d.Count, d.At} }
 func (e demandEstimate) state() DemandState    { return DemandState{e.demand, e.observed, e.at} }
 func (s DemandState) estimate() demandEstimate { return demandEstimate{s.Demand, s.Observed, s.At} }
 
-func (l *windowCounter) state() WindowCounterState {
-	return WindowCounterState{l.length, l.phase, l.window, l.lastTotal, l.lastTotalAt, l.pending}
+func (c *windowCounter) state() WindowCounterState {
+	return WindowCounterState{c.length, c.phase, c.window, c.lastTotal, c.lastTotalAt, c.pending}
 }
 
-// restore takes over a ledger's count. Windows of another length share no count with ours: then it begins anew.
-func (l *windowCounter) restore(s WindowCounterState) {
-	if s.Length == l.length {
-		l.phase, l.window, l.lastTotal, l.lastTotalAt, l.pending = s.Phase, s.Window, s.LastTotal, s.LastTotalAt, s.Pending
+// restore takes over a state. Windows of another length share no count with this counter, which then starts
+// empty.
+func (c *windowCounter) restore(s WindowCounterState) {
+	if s.Length == c.length {
+		c.phase, c.window, c.lastTotal, c.lastTotalAt, c.pending = s.Phase, s.Window, s.LastTotal, s.LastTotalAt, s.Pending
 	}
 }
 
+// counters returns the customer's counters in the order of CallState.Counter.
 func (c *customer) counters() [3]*windowCounter {
 	return [3]*windowCounter{&c.quotaCounter, &c.inFlightCounter, &c.demandCounter}
 }
 
-// CustomerCount tells how many customers are.
+// CustomerCount returns the number of customers in memory.
 func (g *Gateway) CustomerCount() int { return len(g.customers) }
 
-// Customers returns the ids of those seen since a time, in no order.
+// Customers returns the ids of the customers that have sent a request since a time, in no order.
 func (g *Gateway) Customers(since time.Duration) []uint64 {
 	var ids []uint64
 	for id, c := range g.customers {
@@ -188,40 +215,43 @@
 	return ids
 }
 
-// ActiveCustomers returns the ids of those of whom a request or a counter call is open. A customer that is not among
-// them changes only when it asks.
+// ActiveCustomers returns the ids of the customers that have an open request or counter call, in no order. Any
+// other customer changes only when it sends a request.
 func (g *Gateway) ActiveCustomers() []uint64 {
-	open := map[uint64]bool{}
+	active := map[uint64]bool{}
 	for _, r := range g.requests {
 		if r.customer != nil {
-			open[r.customer.id] = true
+			active[r.customer.id] = true
 		}
 	}
-	for _, q := range g.counterCalls {
-		for _, k := range q {
-			open[k.customer.id] = true
+	for _, queue := range g.counterCalls {
+		for _, call := range queue {
+			active[call.customer.id] = true
 		}
 	}
-	ids := make([]uint64, 0, len(open))
-	for id := range open {
+	ids := make([]uint64, 0, len(active))
+	for id := range active {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-// Customer returns one customer's state; it may have been forgotten meanwhile.
+// Customer returns the state of one customer, and false if it has been dropped.
 func (g *Gateway) Customer(id uint64) (CustomerState, bool) {
 	c := g.customers[id]
 	if c == nil {
 		return CustomerState{}, false
 	}
-	return CustomerState{ID: id, Plan: c.plan.Name, Gateways: c.gateways, QuotaCounter: c.quotaCounter.state(), InFlightCounter: c.inFlightCounter.state(),
-		DemandCounter: c.demandCounter.state(), Demand: c.observedDemand.state(), QuotaTokens: c.quotaTokens, CeilingTokens: c.ceilingTokens, OthersRate: c.othersRate, PredictedUsage: c.predictedUsage,
-		LastSeen: c.lastSeen, QuotaTokensAt: c.quotaTokensAt, CeilingTokensAt: c.ceilingTokensAt, InFlight: c.inFlight, InFlightCounted: c.inFlightCounted, UnderCapShare: c.underCapShare}, true
+	return CustomerState{ID: id, Plan: c.plan.Name, Gateways: c.gateways, QuotaCounter: c.quotaCounter.state(),
+		InFlightCounter: c.inFlightCounter.state(), DemandCounter: c.demandCounter.state(),
+		Demand: c.observedDemand.state(), QuotaTokens: c.quotaTokens, CeilingTokens: c.ceilingTokens,
+		OthersRate: c.othersRate, PredictedUsage: c.predictedUsage, LastSeen: c.lastSeen,
+		QuotaTokensAt: c.quotaTokensAt, CeilingTokensAt: c.ceilingTokensAt, InFlight: c.inFlight,
+		InFlightCounted: c.inFlightCounted, UnderCapShare: c.underCapShare}, true
 }
 
-// PutCustomer enters a customer, or replaces what was entered of it before. Stores are cut to what its plan
-// holds now. One whose plan is gone is left out: it begins anew should it ever ask.
+// PutCustomer adds a customer with a state, or replaces it. Its tokens are cut to what its plan allows now. A
+// customer whose plan no longer exists is left out, and starts anew if it sends a request.
 func (g *Gateway) PutCustomer(s CustomerState) {
 	index := g.planIndex(s.Plan)
 	if index < 0 {
@@ -229,38 +259,46 @@
 	}
 	delete(g.customers, s.ID)
 	c := g.ensureCustomer(s.ID, index, int(s.Gateways), 0)
-	c.isCeilingSplit = false // its first door comes with its next request
+	c.isCeilingSplit = false // its first gateway is known with its next request
 	p := c.plan
 	c.gateways, c.observedDemand, c.underCapShare = s.Gateways, s.Demand.estimate(), s.UnderCapShare
-	c.quotaTokens, c.quotaTokensAt, c.othersRate, c.predictedUsage = min(s.QuotaTokens, p.Burst), s.QuotaTokensAt, s.OthersRate, s.PredictedUsage
-	c.ceilingTokens, c.ceilingTokensAt = s.CeilingTokens, s.CeilingTokensAt // it is cut to what its part holds at the next look
+	c.quotaTokens, c.quotaTokensAt, c.othersRate, c.predictedUsage =
+		min(s.QuotaTokens, p.Burst), s.QuotaTokensAt, s.OthersRate, s.PredictedUsage
+	c.ceilingTokens, c.ceilingTokensAt = s.CeilingTokens, s.CeilingTokensAt // cut to the part at the next check
 	c.lastSeen, c.inFlight, c.inFlightCounted = s.LastSeen, s.InFlight, s.InFlightCounted
 	c.quotaCounter.restore(s.QuotaCounter)
 	c.inFlightCounter.restore(s.InFlightCounter)
 	c.demandCounter.restore(s.DemandCounter)
 }
 
-// State returns all but the customers. Equal gateways give equal states: lists are in order.
+// State returns all but the customers. Equal gateways have equal states, as lists are in a fixed order. It
+// fails only if the random source can't be written.
 func (g *Gateway) State() (State, error) {
 	random, err := g.source.MarshalBinary()
 	if err != nil {
 		return State{}, fmt.Errorf("state: random source: %w", err)
 	}
-	st := State{Now: g.now, CeilingStart: g.ceilingStart, IsStarted: g.isStarted, Random: random, LogLines: g.logLines,
-		CounterFailures: g.counterFailures, IsBreakerOpen: g.isBreakerOpen, NextCounterProbe: g.nextCounterProbe, CounterAnsweredAt: g.counterAnsweredAt, CounterBaseline: g.counterBaseline,
-		CallsPerRequest: g.callsPerRequest, QueryShare: g.queryShare, QueryShareAverage: g.queryShareAverage, RecheckAt: g.recheckAt, RetryBudget: g.retryBudget,
-		Answers: g.answers.state(), TimeoutShare: g.timeoutShare, MeanLatency: g.meanLatency, MeanTimeInFlight: g.meanTimeInFlight, AdmitShare: g.admitShare,
-		LiveAttempts: g.liveAttempts, TopClassShortage: g.topClassShortage.Value, TopClassShortageAt: g.topClassShortage.At}
+	st := State{Now: g.now, CeilingStart: g.ceilingStart, IsStarted: g.isStarted, Random: random,
+		LogLines: g.logLines, CounterFailures: g.counterFailures, IsBreakerOpen: g.isBreakerOpen,
+		NextCounterProbe: g.nextCounterProbe, CounterAnsweredAt: g.counterAnsweredAt,
+		CounterBaseline: g.counterBaseline, CallsPerRequest: g.callsPerRequest, QueryShare: g.queryShare,
+		QueryShareAverage: g.queryShareAverage, RecheckAt: g.recheckAt, RetryBudget: g.retryBudget,
+		Answers: g.answers.state(), TimeoutShare: g.timeoutShare, MeanLatency: g.meanLatency,
+		MeanTimeInFlight: g.meanTimeInFlight, AdmitShare: g.admitShare, LiveAttempts: g.liveAttempts,
+		TopClassShortage: g.topClassShortage.Value, TopClassShortageAt: g.topClassShortage.At}
 	for i, c := range g.settings.Classes {
-		st.Classes = append(st.Classes, ClassState{c.Name, g.classLatency[i].Latency, g.classLatency[i].Units, g.classLatency[i].DoubtedAt, g.classMix[i]})
+		st.Classes = append(st.Classes, ClassState{c.Name, g.classLatency[i].Latency, g.classLatency[i].Units,
+			g.classLatency[i].DoubtedAt, g.classMix[i]})
 	}
 	for i, p := range g.settings.Plans {
 		st.Plans = append(st.Plans, PlanState{p.Name, g.planDemand[i].state()})
 	}
 	for _, s := range g.serversByName {
-		st.Servers = append(st.Servers, ServerHealth{Entry: s.ServerEntry, StartedAt: s.startedAt, RelativeLatency: s.relativeLatency,
-			Outstanding: slices.Clone(s.outstanding), LastResponseAt: s.lastResponseAt, EjectedUntil: s.ejectedUntil, Failures: s.failures, Errors: s.errors, ConnectionFailures: s.connectionFailures,
-			RejectShare: s.rejectShare.Value, RejectShareAt: s.rejectShare.At, RejectLatency: s.rejectLatency, Throughput: s.throughput.state()})
+		st.Servers = append(st.Servers, ServerHealth{Entry: s.ServerEntry, StartedAt: s.startedAt,
+			RelativeLatency: s.relativeLatency, Outstanding: slices.Clone(s.outstanding),
+			LastResponseAt: s.lastResponseAt, EjectedUntil: s.ejectedUntil, Failures: s.failures, Errors: s.errors,
+			ConnectionFailures: s.connectionFailures, RejectShare: s.rejectShare.Value,
+			RejectShareAt: s.rejectShare.At, RejectLatency: s.rejectLatency, Throughput: s.throughput.state()})
 	}
 	for _, r := range g.requests {
 		st.Requests = append(st.Requests, r.state())
@@ -269,9 +307,9 @@
 	for _, r := range g.held {
 		st.Held = append(st.Held, r.id)
 	}
-	for name, q := range g.counterCalls {
-		for _, k := range q {
-			st.Calls = append(st.Calls, k.state(name))
+	for name, queue := range g.counterCalls {
+		for _, call := range queue {
+			st.Calls = append(st.Calls, call.state(name))
 		}
 	}
 	slices.SortStableFunc(st.Calls, func(a, b CallState) int { return strings.Compare(a.Name, b.Name) })
@@ -279,9 +317,11 @@
 }
 
 func (r *request) state() RequestState {
-	s := RequestState{ID: r.id, Class: r.class.Name, HasCustomer: r.customer != nil, Units: r.units, ArrivedAt: r.arrivedAt,
-		Deadline: r.deadline, Due: r.due, QuotaCounted: r.quotaCounted, InFlightCounted: r.inFlightCounted, TokensTaken: r.tokensTaken, QuotaWindow: r.quotaWindow,
-		SlowStartSample: r.slowStartSample, IsOverQuota: r.isOverQuota, WasSent: r.wasSent, IsDone: r.isDone, HasPrior: r.priorServer != nil, PriorSentAt: r.priorSentAt}
+	s := RequestState{ID: r.id, Class: r.class.Name, HasCustomer: r.customer != nil, Units: r.units,
+		ArrivedAt: r.arrivedAt, Deadline: r.deadline, Due: r.due, QuotaCounted: r.quotaCounted,
+		InFlightCounted: r.inFlightCounted, TokensTaken: r.tokensTaken, QuotaWindow: r.quotaWindow,
+		SlowStartSample: r.slowStartSample, IsOverQuota: r.isOverQuota, WasSent: r.wasSent, IsDone: r.isDone,
+		HasPrior: r.priorServer != nil, PriorSentAt: r.priorSentAt}
 	if r.customer != nil {
 		s.Customer, s.Plan = r.customer.id, r.customer.plan.Name
 	}
@@ -294,10 +334,12 @@
 	return s
 }
 
+// state returns the state of a call to the counter of this name.
 func (k *counterCall) state(name string) CallState {
-	s := CallState{Name: name, Customer: k.customer.id, Plan: k.customer.plan.Name, Window: k.window, Delta: k.delta, RequestDelta: k.requestDelta}
-	for i, l := range k.customer.counters() {
-		if l == k.counter {
+	s := CallState{Name: name, Customer: k.customer.id, Plan: k.customer.plan.Name, Window: k.window,
+		Delta: k.delta, RequestDelta: k.requestDelta}
+	for i, counter := range k.customer.counters() {
+		if counter == k.counter {
 			s.Counter = i
 		}
 	}
@@ -307,8 +349,9 @@
 	return s
 }
 
-// Restore takes over a state, on a gateway that has had its customers put and no event yet. What the settings
-// do not know any more (a class, a plan) is left out.
+// Restore takes over a state. The gateway must have its customers and must not have handled an event. Classes
+// and plans that the settings no longer have are left out. It fails, and changes nothing, if the random source
+// can't be read.
 func (g *Gateway) Restore(st State) error {
 	source := &rand.PCG{}
 	if err := source.UnmarshalBinary(st.Random); err != nil {
@@ -316,14 +359,18 @@
 	}
 	g.source, g.rng = source, rand.New(source)
 	g.now, g.ceilingStart, g.isStarted, g.logLines = st.Now, st.CeilingStart, st.IsStarted, st.LogLines
-	g.counterFailures, g.isBreakerOpen, g.nextCounterProbe, g.counterAnsweredAt, g.counterBaseline = st.CounterFailures, st.IsBreakerOpen, st.NextCounterProbe, st.CounterAnsweredAt, st.CounterBaseline
-	g.callsPerRequest, g.queryShare, g.queryShareAverage, g.recheckAt, g.retryBudget = st.CallsPerRequest, st.QueryShare, st.QueryShareAverage, st.RecheckAt, st.RetryBudget
-	g.answers, g.timeoutShare, g.meanLatency, g.meanTimeInFlight = st.Answers.eventRate(), st.TimeoutShare, st.MeanLatency, st.MeanTimeInFlight
-	g.admitShare, g.liveAttempts, g.topClassShortage = st.AdmitShare, st.LiveAttempts, estimate.FadingAverage{Value: st.TopClassShortage, At: st.TopClassShortageAt}
+	g.counterFailures, g.isBreakerOpen, g.nextCounterProbe, g.counterAnsweredAt, g.counterBaseline =
+		st.CounterFailures, st.IsBreakerOpen, st.NextCounterProbe, st.CounterAnsweredAt, st.CounterBaseline
+	g.callsPerRequest, g.queryShare, g.queryShareAverage, g.recheckAt, g.retryBudget =
+		st.CallsPerRequest, st.QueryShare, st.QueryShareAverage, st.RecheckAt, st.RetryBudget
+	g.answers, g.timeoutShare, g.meanLatency, g.meanTimeInFlight =
+		st.Answers.eventRate(), st.TimeoutShare, st.MeanLatency, st.MeanTimeInFlight
+	g.admitShare, g.liveAttempts, g.topClassShortage = st.AdmitShare, st.LiveAttempts,
+		estimate.FadingAverage{Value: st.TopClassShortage, At: st.TopClassShortageAt}
 	for _, c := range st.Classes {
 		if i := g.classIndex(c.Name); i >= 0 {
 			g.classLatency[i] = estimate.LatencyModel{Latency: c.Latency, Units: c.Units, DoubtedAt: c.DoubtedAt}
-			if c.Frequency > 0 { // else it is of a process that did not tell
+			if c.Frequency > 0 { // 0 is from a process that does not send it
 				g.classMix[i] = c.Frequency
 			}
 		}
@@ -335,11 +382,14 @@
 	}
 	g.servers, g.serversByName, g.preferred = map[string]*server{}, nil, nil
 	for _, s := range st.Servers {
-		own := &server{ServerEntry: s.Entry, startedAt: s.StartedAt, relativeLatency: s.RelativeLatency, outstanding: slices.Clone(s.Outstanding), lastResponseAt: s.LastResponseAt,
-			ejectedUntil: s.EjectedUntil, failures: s.Failures, errors: s.Errors, connectionFailures: s.ConnectionFailures,
-			rejectShare: estimate.FadingAverage{Value: s.RejectShare, At: s.RejectShareAt}, rejectLatency: s.RejectLatency, throughput: s.Throughput.eventRate()}
-		g.servers[s.Entry.Name] = own
-		g.serversByName = append(g.serversByName, own)
+		restored := &server{ServerEntry: s.Entry, startedAt: s.StartedAt, relativeLatency: s.RelativeLatency,
+			outstanding: slices.Clone(s.Outstanding), lastResponseAt: s.LastResponseAt,
+			ejectedUntil: s.EjectedUntil, failures: s.Failures, errors: s.Errors,
+			connectionFailures: s.ConnectionFailures,
+			rejectShare:        estimate.FadingAverage{Value: s.RejectShare, At: s.RejectShareAt},
+			rejectLatency:      s.RejectLatency, throughput: s.Throughput.eventRate()}
+		g.servers[s.Entry.Name] = restored
+		g.serversByName = append(g.serversByName, restored)
 	}
 	g.rankServers()
 	for _, s := range st.Requests {
@@ -347,7 +397,7 @@
 	}
 	for _, id := range st.Held {
 		r := g.requests[id]
-		if r == nil { // over already, and its place not yet looked at
+		if r == nil { // it is over but still in the queue
 			r = &request{id: id, isDone: true}
 		}
 		g.held = append(g.held, r)
@@ -356,15 +406,18 @@
 	return nil
 }
 
+// classIndex returns the index of a class by name, or -1.
 func (g *Gateway) classIndex(name string) int {
 	return slices.IndexFunc(g.settings.Classes, func(c Class) bool { return c.Name == name })
 }
 
+// planIndex returns the index of a plan by name, or -1.
 func (g *Gateway) planIndex(name string) int {
 	return slices.IndexFunc(g.settings.Plans, func(p Plan) bool { return p.Name == name })
 }
 
-// serverOrStub returns one of the list, or for one that is not in it yet, or not any more, what an outcome is owed to.
+// serverOrStub returns a server by name. For one that is not in the list, or no longer, it returns a stub to
+// which outcomes can be credited.
 func (g *Gateway) serverOrStub(name string) *server {
 	if s := g.servers[name]; s != nil {
 		return s
@@ -372,14 +425,17 @@
 	return &server{ServerEntry: ServerEntry{Name: name, State: Gone}, relativeLatency: 1}
 }
 
+// restoreRequest adds a request of a restored state, unless its class no longer exists.
 func (g *Gateway) restoreRequest(s RequestState) {
-	ci := g.classIndex(s.Class)
-	if ci < 0 {
+	index := g.classIndex(s.Class)
+	if index < 0 {
 		return
 	}
-	r := &request{id: s.ID, class: &g.settings.Classes[ci], classIndex: ci, units: s.Units, arrivedAt: s.ArrivedAt, deadline: s.Deadline, due: s.Due,
-		quotaCounted: s.QuotaCounted, inFlightCounted: s.InFlightCounted, tokensTaken: s.TokensTaken, quotaWindow: s.QuotaWindow, slowStartSample: s.SlowStartSample, isOverQuota: s.IsOverQuota,
-		wasSent: s.WasSent, isDone: s.IsDone, priorSentAt: s.PriorSentAt}
+	r := &request{id: s.ID, class: &g.settings.Classes[index], classIndex: index, units: s.Units,
+		arrivedAt: s.ArrivedAt, deadline: s.Deadline, due: s.Due, quotaCounted: s.QuotaCounted,
+		inFlightCounted: s.InFlightCounted, tokensTaken: s.TokensTaken, quotaWindow: s.QuotaWindow,
+		slowStartSample: s.SlowStartSample, isOverQuota: s.IsOverQuota, wasSent: s.WasSent, isDone: s.IsDone,
+		priorSentAt: s.PriorSentAt}
 	if s.HasCustomer {
 		r.customer = g.customerOnPlan(s.Customer, s.Plan)
 	}
@@ -396,8 +452,8 @@
 	g.requests[s.ID] = r
 }
 
-// customerOnPlan returns a customer if it is still on a plan. One that has changed began anew with that, and what was
-// open of its former plan touches none of its present stores.
+// customerOnPlan returns a customer if it is still on this plan, else nil. A customer that has changed its plan
+// started anew with it: what is open from the former plan must not touch its present tokens.
 func (g *Gateway) customerOnPlan(id uint64, plan string) *customer {
 	if c := g.customers[id]; c != nil && c.plan.Name == plan {
 		return c
@@ -405,23 +461,25 @@
 	return nil
 }
 
+// restoreCalls adds the counter calls of a restored state, each at its position among the calls of its request.
 func (g *Gateway) restoreCalls(calls []CallState) {
 	for _, s := range calls {
 		c := g.customerOnPlan(s.Customer, s.Plan)
 		if c == nil || s.Counter < 0 || s.Counter > 2 {
 			continue
 		}
-		k := &counterCall{customer: c, counter: c.counters()[s.Counter], window: s.Window, delta: s.Delta, requestDelta: s.RequestDelta}
+		call := &counterCall{customer: c, counter: c.counters()[s.Counter], window: s.Window, delta: s.Delta,
+			requestDelta: s.RequestDelta}
 		if r := g.requests[s.Request]; s.HasRequest && r != nil {
-			k.request = r
+			call.request = r
 			for len(r.pendingCalls) <= s.RequestIndex {
 				r.pendingCalls = append(r.pendingCalls, nil)
 			}
-			r.pendingCalls[s.RequestIndex] = k
+			r.pendingCalls[s.RequestIndex] = call
 		}
-		g.counterCalls[s.Name] = append(g.counterCalls[s.Name], k)
+		g.counterCalls[s.Name] = append(g.counterCalls[s.Name], call)
 	}
 	for _, r := range g.requests {
-		r.pendingCalls = slices.DeleteFunc(r.pendingCalls, func(k *counterCall) bool { return k == nil })
+		r.pendingCalls = slices.DeleteFunc(r.pendingCalls, func(call *counterCall) bool { return call == nil })
 	}
 }
--- a/admission/status.go
+++ b/admission/status.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// What operators are told of the module. Nothing here decides.
+// Figures for operators. Nothing here decides.
 
-// AvoidedServers tells how many servers of the list get nothing now: those that drain, are ejected, silent or away.
+// AvoidedServers returns how many servers of the list get no requests now: those that drain, are ejected or
+// silent, or are down.
 func (g *Gateway) AvoidedServers(now time.Duration) (n int) {
 	g.now = max(g.now, now)
 	for _, s := range g.serversByName {
--- a/admission/successor.go
+++ b/admission/successor.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// What two gateways of one ingress keep to while the one takes over from the other. The old one still owns
-// the requests that it has taken; the successor carries each of them as its predecessor's until its end is
-// told. Nothing here decides: it books what was decided on the other side.
+// The handover from one process of an ingress to its successor. The predecessor still owns the requests that
+// it has taken; the successor keeps each of them as the predecessor's until it is told of its end. Nothing
+// here decides: it records what was decided on the other side.
 //
-// The sum of both stays within what one would have let in:
+// Together both processes let through no more than one would have:
 //
-//   - Quota: what a predecessor's request draws is drawn here too, when it is told to have been sent.
-//   - Ceiling: units of a predecessor's request that is not sent yet are set aside here at once, and given
-//     back when it ends unsent.
-//   - Servers: its attempts count among a server's until they end; a cold one stays as cold as it is.
-//   - Retries: the predecessor keeps one for each request that it still has; the rest goes along.
+//   - Quota: what a predecessor's request uses is charged here, too, when the predecessor reports it sent.
+//   - Ceiling: units of a predecessor's request that is not sent yet are set aside here at once, and returned
+//     when it ends unsent.
+//   - Servers: its attempts count at their servers until they end; a cold server stays as cold as it is.
+//   - Retries: the predecessor keeps one for each request that it still has; the successor has the rest.
 
-// Adopt makes of a resumed gateway its predecessor's successor. What is out on the counter is answered over
-// there: as with a call out of time, it may have been added, and the next total tells. The actions arm what
-// a start arms.
+// Adopt turns a gateway with a restored state into the successor of the gateway that the state is from. Open
+// counter calls are answered at the predecessor: like calls that timed out, they may have been added, and the
+// next total shows it. The actions start the timers and the subscription that a new gateway starts.
 func (g *Gateway) Adopt(now time.Duration) []Action {
 	g.actions = g.actions[:0]
 	g.now = max(now, g.now)
@@ -42,15 +42,16 @@
 	return g.actions
 }
 
-// Retire leaves a gateway whose successor has adopted its state with a retry for each request it still has.
+// Retire limits a gateway whose successor has adopted its state to one retry for each request it still has.
 func (g *Gateway) Retire() { g.retryBudget = min(g.retryBudget, float64(len(g.requests))) }
 
-// Reclaim puts a retired gateway back in place of a successor that has died. What that one sent since is not
-// known here: as after a start, the parts of the ceilings begin empty. Quotas are put right by the next total.
+// Reclaim lets a retired gateway decide again after its successor has died. What the successor sent is
+// unknown here, so the parts of the ceilings start empty, as at a start. Quotas are corrected by the next
+// total.
 func (g *Gateway) Reclaim(now time.Duration) {
 	g.now = max(now, g.now)
 	g.ceilingStart = g.now
-	clear(g.counterCalls) // what was ordered since was not made, so answers could be taken for others'
+	clear(g.counterCalls) // calls ordered since were not made: answers would be matched to the wrong ones
 	for _, c := range g.customers {
 		if c.plan.CeilingRate > 0 {
 			c.ceilingTokens, c.ceilingTokensAt = min(c.ceilingTokens, 0), g.now
@@ -58,8 +59,9 @@
 	}
 }
 
-// PredecessorSent: the predecessor has sent a request of its own on.
-func (g *Gateway) PredecessorSent(now time.Duration, id uint64, name string) {
+// PredecessorSent records that the predecessor has sent a request of its own to a server. Other requests are
+// ignored.
+func (g *Gateway) PredecessorSent(now time.Duration, id uint64, server string) {
 	g.now = max(now, g.now)
 	r := g.requests[id]
 	if r == nil || !r.isPredecessors {
@@ -73,10 +75,11 @@
 		c.inFlight++
 	}
 	r.hasReservedTokens = false
-	g.startAttempt(r, g.serverOrStub(name))
+	g.startAttempt(r, g.serverOrStub(server))
 }
 
-// PredecessorAttemptEnded: an attempt of the predecessor's has ended. It tells of its server as one of ours does.
+// PredecessorAttemptEnded records the end of an attempt of the predecessor and learns from it as from one of
+// this gateway.
 func (g *Gateway) PredecessorAttemptEnded(now time.Duration, ev AttemptEnded) {
 	g.now = max(now, g.now)
 	if r := g.requests[ev.ID]; r != nil && r.isPredecessors {
@@ -84,8 +87,8 @@
 	}
 }
 
-// PredecessorDone: a request of the predecessor's is over. What it had set aside or drawn and did not use is
-// given back. The actions put the shared counter right.
+// PredecessorDone records that a request of the predecessor is over. What was set aside or charged for it and
+// not used is returned. The actions correct the shared counter.
 func (g *Gateway) PredecessorDone(now time.Duration, id uint64) []Action {
 	g.actions = g.actions[:0]
 	g.now = max(now, g.now)
@@ -95,7 +98,8 @@
 	return g.actions
 }
 
-// PredecessorGone: no more will be told. What it had sent may have run, so nothing of that is given back.
+// PredecessorGone ends all requests of the predecessor: it will report no more. What it had sent may have run,
+// so nothing of that is returned. The actions correct the shared counter.
 func (g *Gateway) PredecessorGone(now time.Duration) []Action {
 	g.actions = g.actions[:0]
 	g.now = max(now, g.now)
@@ -112,7 +116,7 @@
 	return g.actions
 }
 
-// PredecessorRequests tells how many requests of the predecessor's are not over.
+// PredecessorRequests returns how many requests of the predecessor are not over.
 func (g *Gateway) PredecessorRequests() (n int) {
 	for _, r := range g.requests {
 		if r.isPredecessors {
@@ -122,6 +126,7 @@
 	return n
 }
 
+// closeRequest ends a request of the predecessor and its open attempts, and returns what was set aside for it.
 func (g *Gateway) closeRequest(r *request) {
 	for i := range r.attempts {
 		g.endAttempt(r, AttemptEnded{Attempt: i, Outcome: Cancelled})
