--- a/admission/api.go
+++ b/admission/api.go
@@ -1,133 +1,138 @@
-// Package admission decides for an admission gateway: which requests of which
-// customers pass, which server takes them, how long to wait and whether to try
-// again. It does no input or output of its own.
+// Package admission decides for one gateway of a fleet: which requests of which customers are admitted, which
+// server gets them, how long to wait for the answer and whether to try again. A [Gateway] does no input or
+// output and reads no clock.
 //
-// The host owns sockets and clock. It builds one [Gateway] with [New], feeds it
-// every [Event] through [Gateway.Handle] and carries out the returned actions.
+// The host owns the Gateway, the sockets and the clock. It builds one Gateway with [New], passes every [Event]
+// to [Gateway.Handle] and carries out the returned actions.
 //
 // Host contract:
 //
 //   - One caller at a time. A Gateway has no locks and starts no goroutines.
-//   - now is a monotonic reading common to all gateways (windows of the shared
-//     counter are cut from it) and never decreases from call to call.
-//   - Events are handed over in the order in which they happened; actions are
-//     carried out in the order returned, at the time of the call.
-//   - The returned slice is reused by the next call to Handle: finish with it,
-//     or copy it, before then. Events are not retained, nor are their slices.
-//   - Every [Send] is answered by one [AttemptEnded], every [CounterAdd] by one
-//     [CounterAnswered], every [Probe] by one [ProbeEnded], every [SetTimer] by one
-//     [TimerFired] at or after its time. Answers of one counter name keep order.
-//   - An attempt still out at the request's deadline is ended by the host there.
+//   - now is a monotonic reading common to all gateways (windows of the shared counter are cut from it) and
+//     never decreases from call to call.
+//   - Events are passed in the order in which they happened; actions are carried out in the order returned, at
+//     the time of the call.
+//   - The returned slice is reused by the next call to Handle: finish with it, or copy it, before then. Events
+//     are not retained, nor are their slices.
+//   - Every [Send] is answered by one [AttemptEnded], every [CounterAdd] by one [CounterAnswered], every
+//     [Probe] by one [ProbeEnded], every [SetTimer] by one [TimerFired] at or after its time. Answers of one
+//     counter name keep the order of the calls.
+//   - An attempt that is still open at the request's deadline is ended by the host then.
 //   - Equal settings, seed and events give equal actions.
+//
+// Times are durations on the host's monotonic clock. Quotas and ceilings are in units; the units of a request
+// are set by the host. Worth is in an arbitrary unit that is common to all classes.
 package admission
 
 import "time"
 
-// Effect tells how far an attempt may be repeated once it may have run.
+// Effect is how often a request may run, which limits its repeats once an attempt may have run.
 type Effect int
 
+// The effects.
 const (
 	Safe   Effect = iota // may run any number of times
-	Keyed                // a group of servers drops repeats for a while
+	Keyed                // has a key by which a group of servers drops repeats for a while
 	Unsafe               // must not run twice
 )
 
 // Scope is the group of servers that recognises the repeat of a keyed request.
 type Scope int
 
+// The scopes.
 const (
 	ScopeAll  Scope = iota // every server
 	ScopeZone              // the servers of one zone
 	ScopeCell              // the servers of one cell
 )
 
-// Class is a kind of request. A Deadline of 0 means none beyond the request's own.
+// Class is a kind of request.
 type Class struct {
 	Name          string
 	LatencyTarget time.Duration // an answer within this time has its full worth
-	Deadline      time.Duration
-	Worth         float64
-	LateWorth     float64 // part of the worth left after the aim
+	Deadline      time.Duration // 0: none beyond the request's own
+	Worth         float64       // worth of an answer in time
+	LateWorth     float64       // share of the worth that is left after the latency target
 	Effect        Effect
 	Scope         Scope
-	RepeatWindow  time.Duration // how long a repeat of a keyed request is recognised
-	IsStream      bool
-	IsRemoved     bool // it was in earlier settings: only requests that came with it still have it
+	RepeatWindow  time.Duration // for how long a repeat of a keyed request is recognised
+	IsStream      bool          // its answers are streamed: attempts have no time-out and are not cancelled
+	IsRemoved     bool          // dropped from the settings: only requests that came before still have it
 }
 
-// Plan holds the quotas of each customer on it. A zero rate or cap means none.
+// Plan holds the quotas of each customer on it. A rate or cap of 0 means none.
 type Plan struct {
 	Name           string
-	Rate           float64 // units a second
-	Burst          float64 // units the store holds
-	MaxInFlight    int     // attempts out at one time
-	WorthFactor    float64
-	OverQuotaWorth float64 // part of the worth earned beyond the quota
-	OverQuotaCost  float64 // part of the worth lost by sending on beyond the quota
+	Rate           float64 // quota, units a second
+	Burst          float64 // units that the quota's store holds
+	MaxInFlight    int     // requests in flight at one time
+	WorthFactor    float64 // factor on the worth of this plan's requests
+	OverQuotaWorth float64 // share of the worth that a request beyond the quota still earns
+	OverQuotaCost  float64 // share of the worth that is lost by sending a request beyond the quota
 	CeilingRate    float64 // hard ceiling, units a second
-	CeilingBurst   float64
-	CeilingSlack   float64
-	IsRemoved      bool // it was in earlier settings
+	CeilingBurst   float64 // units that the ceiling's store holds
+	CeilingSlack   float64 // units by which the ceiling's store may be overdrawn
+	IsRemoved      bool    // dropped from the settings
 }
 
-// Settings are what a gateway is told at its start.
+// Settings are what a gateway knows at its start. [New] refuses negative numbers and others out of range.
 type Settings struct {
-	Gateways int // gateways in the tier
-	Index    int // number of this one, from 0
+	Gateways int // gateways in the fleet, at least 1
+	Index    int // index of this gateway, from 0
 	Zone     string
 	Tick     time.Duration // the host's shortest time between events
-	Classes  []Class
+	Classes  []Class       // at least one
 	Plans    []Plan
 
-	MustSubscribe  bool // server lists come only after Subscribe or FetchList
-	HasCounter     bool
-	HasBilledUnits bool // true units of a request come with its answer
-	CounterTimeout time.Duration
-	MaxUnits       int
-
-	MaxAttempts       int
-	MaxRetryAfter     time.Duration
-	CanSendRetryAfter bool
-	CanCancel         bool
-	CanProbe          bool
-	CanMessagePeers   bool
-	CanHedge          bool
-	DialTimeout       time.Duration
+	MustSubscribe  bool          // server lists come only after Subscribe or FetchList
+	HasCounter     bool          // there is a shared counter
+	HasBilledUnits bool          // the true units of a request come with its answer
+	CounterTimeout time.Duration // time limit of a counter call
+	MaxUnits       int           // units of the largest request
+
+	MaxAttempts       int           // attempts of a request; 0: no limit
+	MaxRetryAfter     time.Duration // longest retry-after advice
+	CanSendRetryAfter bool          // refusals may carry retry-after advice
+	CanCancel         bool          // the host carries out Cancel
+	CanProbe          bool          // the host carries out Probe
+	CanMessagePeers   bool          // the host carries out SendPeerMessage
+	CanHedge          bool          // a request may have several open attempts
+	DialTimeout       time.Duration // time limit of a connection to a server
 
 	// ReportNames are the fields of a load report, in order: inflight, queued, utilization,
 	// latency_ms (of service, without waiting), rate, errors, or any other.
 	ReportNames        []string
-	HasAnswerReports   bool // answers carry load reports
-	AnswerSlack        time.Duration
-	AskWithin          time.Duration
-	DrainGrace         time.Duration
-	WarmUpTime         time.Duration // a started server is warm after this
-	InitialCapacity    float64       // part of its capacity at its start, or more
-	ColdOverloadFactor float64       // sent more than this multiple of its capacity...
-	ColdOverloadTime   time.Duration // ...for this long, a cold server falls over
-	CrossZoneCost      float64       // price of crossing zones, relative to worth
+	HasAnswerReports   bool          // answers carry load reports
+	AnswerSlack        time.Duration // how late after the deadline a final answer is still allowed
+	AskWithin          time.Duration // the rule askWithin; not used here
+	DrainGrace         time.Duration // how long a draining server may still get requests
+	WarmUpTime         time.Duration // a started server has its full capacity after this time
+	InitialCapacity    float64       // least share of its capacity that a server has at its start, 0 to 1
+	ColdOverloadFactor float64       // multiple of its present capacity that a cold server survives for long
+	ColdOverloadTime   time.Duration // time after which a cold server fails under more than that multiple
+	CrossZoneCost      float64       // cost of crossing zones, relative to worth
 }
 
-// Event is something that happened, one of the types below.
+// Event is something that happened: one of the types with an isEvent method.
 type Event interface{ isEvent() }
 
-// RequestArrived: a client's request, which now needs one final answer.
+// RequestArrived reports a client's request, which needs one final answer.
 type RequestArrived struct {
-	ID           uint64
-	Class        int // index into Settings.Classes
-	Plan         int // index into Settings.Plans
+	ID           uint64 // unique among open requests
+	Class        int    // index into Settings.Classes
+	Plan         int    // index into Settings.Plans; -1: none
 	Customer     uint64
-	ExpiresIn    time.Duration
-	Units        int
-	Gateways     int // gateways through which this customer comes
-	FirstGateway int
-	IsRetry      bool
+	ExpiresIn    time.Duration // time until its deadline
+	Units        int           // less than 1 counts as 1
+	Gateways     int           // gateways through which the customer's requests come
+	FirstGateway int           // index of the first of them; the others follow, around the end
+	IsRetry      bool          // the client has sent it before
 	IsWrite      bool
-	PriorAttempt *PriorAttempt // of a keyed request: where one with its key may have run, nil if none is known
-	IsPartial    bool          // it has not wholly come: its time and its attempts' run from RequestWhole
+	PriorAttempt *PriorAttempt // for a keyed request: where its key may have run before; nil if unknown
+	IsPartial    bool          // its body has not wholly arrived: its times start with RequestComplete
 }
 
-// RequestComplete: a request that was open has wholly come.
+// RequestComplete reports that the body of a partial request has wholly arrived.
 type RequestComplete struct{ ID uint64 }
 
 // PriorAttempt is an attempt, made for another request with the same key, that may have run.
@@ -137,24 +142,25 @@
 	SentAt       time.Duration
 }
 
-// Outcome tells how an attempt, a probe or a counter call ended.
+// Outcome is how an attempt, a probe or a counter call ended.
 type Outcome int
 
+// The outcomes. Their numbers are part of the handover's messages.
 const (
 	OK           Outcome = iota
-	Errored              // the server gave an error; may have run
-	Full                 // turned away unseen
-	TimedOut             // no answer in time; may have run
-	Unreachable          // no connection; never ran
-	Broken               // connection lost; may have run
-	Cancelled            // called off; may have run
-	NotSent              // never left
+	Errored              // the server answered with an error; it may have run
+	Full                 // rejected unseen; it did not run
+	TimedOut             // no answer in time; it may have run
+	Unreachable          // no connection; it did not run
+	Broken               // the connection was lost; it may have run
+	Cancelled            // cancelled by the gateway; it may have run
+	NotSent              // it never left the host
 	OutcomeCount         // number of outcomes
 )
 
 var outcomeNames = [OutcomeCount]string{"ok", "error", "full", "timeout", "unreachable", "reset", "cancelled", "not_sent"}
 
-// String names an outcome in logs and telemetry.
+// String returns the name of an outcome in logs and telemetry, "unknown" for no outcome.
 func (o Outcome) String() string {
 	if o < 0 || o >= OutcomeCount {
 		return "unknown"
@@ -162,21 +168,21 @@
 	return outcomeNames[o]
 }
 
-// AttemptEnded: the outcome of one Send. Done marks a request that has finished.
+// AttemptEnded reports how a Send ended.
 type AttemptEnded struct {
 	ID            uint64
-	Attempt       int
+	Attempt       int // number of the attempt, from 0
 	Server        string
 	Outcome       Outcome
 	Took          time.Duration
-	Done          bool
-	Billed        int // true units, 0 if not told
-	Used          int
-	Report        []float64
-	NotReplayable bool // part of the request is held nowhere any more: it can't be sent again
+	Done          bool      // the request has its final answer
+	Billed        int       // true units; 0: unknown
+	Used          int       // not used here
+	Report        []float64 // load report, in the order of Settings.ReportNames
+	NotReplayable bool      // a part of the request is no longer held: it can't be sent again
 }
 
-// StreamOpened: the answer of a streamed request has begun.
+// StreamOpened reports that the answer of a streamed request has begun.
 type StreamOpened struct {
 	ID      uint64
 	Attempt int
@@ -184,68 +190,70 @@
 	Took    time.Duration
 }
 
-// ClientLeft: the client has gone; nothing more is owed.
+// ClientLeft reports that the client has left: the request needs no answer any more.
 type ClientLeft struct{ ID uint64 }
 
-// ListKind tells what a ServerList brings.
+// ListKind is what a ServerList contains.
 type ListKind int
 
+// The kinds of lists.
 const (
-	ListChanges ListKind = iota
-	ListFull
-	ListCached // complete, but possibly old: what was known before a restart
-	ListFailed // an ask failed, the old list stays
+	ListChanges ListKind = iota // only the servers that changed
+	ListFull                    // all servers
+	ListCached                  // all servers, but possibly old: what was known before a restart
+	ListFailed                  // a request for the list failed; the old list stays
 )
 
 // ServerState is discovery's view of a server.
 type ServerState int
 
+// The states of a server. Their numbers are part of the handover's messages.
 const (
-	Up ServerState = iota
-	Draining
+	Up       ServerState = iota
+	Draining             // it gets no new requests
 	Gone
 )
 
 // ServerEntry is one server of a list.
 type ServerEntry struct {
-	Name  string
+	Name  string // unique
 	Zone  string
-	Kind  string
-	Cell  int
+	Kind  string // type of its machine; not used here
+	Cell  int    // group of servers within which repeats may be recognised, see Scope
 	State ServerState
-	Size  float64
-	Boot  time.Duration // clock at its last start, 0: long ago
+	Size  float64       // not used here
+	Boot  time.Duration // time of its last start; 0: long ago
 }
 
-// ServerList: discovery's news.
+// ServerList reports a list, or changes of it, from discovery.
 type ServerList struct {
 	Kind    ListKind
 	Version uint64
 	Servers []ServerEntry
 }
 
-// TimerFired: a timer set earlier is due.
+// TimerFired reports that a timer is due.
 type TimerFired struct{ Token uint64 }
 
-// CounterAnswered: the answer to one CounterAdd.
+// CounterAnswered reports the answer to one CounterAdd.
 type CounterAnswered struct {
 	Name    string
-	Total   float64
+	Total   float64 // of all gateways, after the addition
 	Took    time.Duration
 	Outcome Outcome
 }
 
-// ProbeEnded: the answer to one Probe.
+// ProbeEnded reports the answer to one Probe.
 type ProbeEnded struct {
 	Server  string
 	Took    time.Duration
 	Outcome Outcome
-	Report  []float64
+	Report  []float64 // load report, in the order of Settings.ReportNames
 }
 
-// PeerMessage: another gateway sent this.
+// PeerMessage reports a message of another gateway.
 type PeerMessage struct {
-	From    int
+	From    int // index of the gateway
 	Payload []byte
 }
 
@@ -260,15 +268,14 @@
 func (ProbeEnded) isEvent()      {}
 func (PeerMessage) isEvent()     {}
 
-// Action is something the host is to do, one of the types below.
+// Action is something that the host is to do: one of the types with an isAction method.
 type Action interface{ isAction() }
 
-// Send starts an attempt; attempts of a request are numbered from 0. A Wait of 0
-// means until the client gives up.
+// Send starts an attempt. The attempts of a request are numbered from 0.
 type Send struct {
 	ID     uint64
 	Server string
-	Wait   time.Duration
+	Wait   time.Duration // time limit; 0: until the client leaves
 }
 
 // Cancel stops waiting for an attempt.
@@ -277,42 +284,43 @@
 	Attempt int
 }
 
-// Refuse is the final answer "no": trying again does no harm.
+// Refuse is the final answer "refused": it does no harm if the client tries again.
 type Refuse struct {
 	ID         uint64
 	RetryAfter time.Duration // 0: no advice
 	Reason     Reason
 }
 
-// Fail is the final answer "failed": nothing is promised of the effect.
+// Fail is the final answer "failed": the request may or may not have run.
 type Fail struct {
 	ID     uint64
 	Reason Reason
 }
 
-// Reason tells the operator why a request was refused or failed. Nothing is decided by it.
+// Reason explains to the operator why a request was refused or failed. Nothing is decided by it.
 type Reason string
 
 // The reasons.
 const (
 	ReasonOverQuota     Reason = "over its quota or ceiling"
-	ReasonLoadShed      Reason = "shed: answers come late"
-	ReasonDeadline      Reason = "no time is left for an attempt"
-	ReasonAttemptsSpent Reason = "all attempts are spent, or its body can't be sent again"
-	ReasonNotRepeatable Reason = "it may have run, and may not be repeated"
+	ReasonLoadShed      Reason = "load shedding: answers are late"
+	ReasonDeadline      Reason = "the deadline leaves no time for an attempt"
+	ReasonAttemptsSpent Reason = "no attempts are left, or its body can't be sent again"
+	ReasonNotRepeatable Reason = "it may have run and must not be repeated"
 	ReasonNoServer      Reason = "no upstream host can take it"
 	ReasonTooSlow       Reason = "no upstream host would answer in time"
-	ReasonRetryBudget   Reason = "the retry budget is spent, or its aim is over"
+	ReasonRetryBudget   Reason = "the retry budget is spent, or its latency target has passed"
 	ReasonOverCeiling   Reason = "over this ingress's share of its ceiling"
 )
 
-// SetTimer asks for a TimerFired at the clock time At.
+// SetTimer asks for a TimerFired at the time At.
 type SetTimer struct {
 	Token uint64
 	At    time.Duration
 }
 
-// CounterAdd adds By to a named shared number, forgotten Keep after it is made.
+// CounterAdd adds Delta to a number on the shared counter, and asks for its total. The counter drops the number
+// when the time TTL has passed since its creation.
 type CounterAdd struct {
 	Name  string
 	Delta float64
@@ -325,13 +333,13 @@
 // CloseIdle closes idle connections to a server.
 type CloseIdle struct{ Server string }
 
-// SendPeerMessage sends a short message to one gateway, or to all (To = -1).
+// SendPeerMessage sends a short message to one gateway, or to all if To is -1.
 type SendPeerMessage struct {
 	To      int
 	Payload []byte
 }
 
-// Subscribe asks discovery for changes from now on.
+// Subscribe asks discovery for changes from now on, or to stop sending them.
 type Subscribe struct{ On bool }
 
 // FetchList asks discovery for the whole list.
