--- a/admission/estimate/estimate.go
+++ b/admission/estimate/estimate.go
@@ -1,4 +1,5 @@
-// Package estimate holds what is believed of hosts from few and old observations. It is free of I/O and
+// Package estimate holds averages and models of hosts and requests that are learned from few and old
+// observations. Their owner passes the time and serialises the calls. The package does no input or output and
 // decides nothing.
 package estimate
 
@@ -7,133 +8,138 @@
 	"time"
 )
 
-// Decay is what is left of a belief after some time in which nothing was seen, its memory in seconds.
-func Decay(unseen time.Duration, memory float64) float64 {
-	return math.Exp(-max(0, unseen).Seconds() / memory)
+// Decay returns the factor by which a value has decayed after some time, with a time constant in seconds. A
+// negative time counts as none.
+func Decay(elapsed time.Duration, timeConstant float64) float64 {
+	return math.Exp(-max(0, elapsed).Seconds() / timeConstant)
 }
 
-// FadingAverage is an average that goes back to 0, what is taken for granted, while nothing is seen.
+// FadingAverage is an exponentially weighted average that decays to 0, the assumption without observations,
+// while nothing is observed.
 type FadingAverage struct {
 	Value float64
-	At    time.Duration // when V was the average
+	At    time.Duration // when Value was the average
 }
 
-// Now is the average at a time, with a memory in seconds.
-func (f FadingAverage) Now(now time.Duration, memory float64) float64 {
-	return f.Value * Decay(now-f.At, memory)
+// Now returns the average at a time, with a time constant in seconds.
+func (f FadingAverage) Now(now time.Duration, timeConstant float64) float64 {
+	return f.Value * Decay(now-f.At, timeConstant)
 }
 
-// LearnBool takes in whether something was so, with the weight gain.
-func (f *FadingAverage) LearnBool(now time.Duration, memory, gain float64, so bool) {
-	seen := 0.0
-	if so {
-		seen = 1
+// LearnBool adds an observation, 1 for true and 0 for false, with its weight.
+func (f *FadingAverage) LearnBool(now time.Duration, timeConstant, weight float64, isTrue bool) {
+	observed := 0.0
+	if isTrue {
+		observed = 1
 	}
-	f.Learn(now, memory, gain, seen)
+	f.Learn(now, timeConstant, weight, observed)
 }
 
-// Learn takes in what was seen, with the weight gain.
-func (f *FadingAverage) Learn(now time.Duration, memory, gain, seen float64) {
-	v := f.Now(now, memory)
-	f.Value, f.At = v+gain*(seen-v), now
+// Learn adds an observation with its weight, 0 to 1.
+func (f *FadingAverage) Learn(now time.Duration, timeConstant, weight, observed float64) {
+	value := f.Now(now, timeConstant)
+	f.Value, f.At = value+weight*(observed-value), now
 }
 
-// LatencyModel is the usual seconds and units of a kind of request, averages.
+// LatencyModel is the mean latency and size of one kind of request. Its zero value has no observations.
 type LatencyModel struct {
-	Latency, Units float64
-	DoubtedAt      time.Duration // when it was last doubted, 0: never
+	Latency   float64       // seconds; 0: none observed
+	Units     float64       // units of the requests observed
+	DoubtedAt time.Duration // when the latency was last doubted; 0: never
 }
 
-// maxDoubtTime is the time that one doubt may stand for: before that none of its kind came.
+// maxDoubtTime bounds the time that one doubt accounts for: before it, no request of the kind may have come.
 const maxDoubtTime = time.Second
 
-// Doubt fades what is expected where it is over the most that is of use: a kind of request that is kept out for it
-// brings no answer that could tell otherwise.
-func (w *LatencyModel) Doubt(now time.Duration, memory, expected, most float64) {
-	if expected > most {
-		w.Latency *= Decay(min(now-w.DoubtedAt, maxDoubtTime), memory)
-		w.DoubtedAt = now
+// Doubt lets the latency decay if the expected latency is above the largest useful one, all in seconds. A kind
+// of request that is kept out for its latency brings no answer that could show it has improved.
+func (m *LatencyModel) Doubt(now time.Duration, timeConstant, expected, maxUseful float64) {
+	if expected > maxUseful {
+		m.Latency *= Decay(min(now-m.DoubtedAt, maxDoubtTime), timeConstant)
+		m.DoubtedAt = now
 	}
 }
 
-// Learn takes in one answer, with the weight gain; the first counts in full.
-func (w *LatencyModel) Learn(took, units, gain float64) {
-	if w.Latency == 0 {
-		w.Latency, w.Units = took, units
+// Learn adds the latency in seconds and the units of one answer, with its weight. The first counts in full.
+func (m *LatencyModel) Learn(latency, units, weight float64) {
+	if m.Latency == 0 {
+		m.Latency, m.Units = latency, units
 	}
-	w.Latency += gain * (took - w.Latency)
-	w.Units += gain * (units - w.Units)
+	m.Latency += weight * (latency - m.Latency)
+	m.Units += weight * (units - m.Units)
 }
 
-// Expect is how many seconds so many units may take, of which the part tell goes with the units; before
-// anything was seen, the guess.
-func (w LatencyModel) Expect(units, tell, guess float64) float64 {
-	if w.Latency == 0 {
-		return guess
+// Expect returns the expected latency in seconds of a request of so many units. The given share of the latency
+// is proportional to the units. Without observations it returns initial.
+func (m LatencyModel) Expect(units, unitsShare, initial float64) float64 {
+	if m.Latency == 0 {
+		return initial
 	}
-	return w.Latency * (1 - tell + tell*units/w.Units)
+	return m.Latency * (1 - unitsShare + unitsShare*units/m.Units)
 }
 
-// WarmUpShare is the part of its capacity that a host surely has, which started at boot (0: long ago) with the part
-// from and comes up evenly in the time full, or faster. A full of 0 is no time.
-func WarmUpShare(now, boot, full time.Duration, from float64) float64 {
-	if boot == 0 || full <= 0 || now-boot >= full {
+// WarmUpShare returns the share of its full capacity that a host surely has. The host started at boot (0: long
+// ago) with the share initial, which rises to 1 evenly in the time warmUp, or faster. A warmUp of 0 means that
+// it starts with its full capacity.
+func WarmUpShare(now, boot, warmUp time.Duration, initial float64) float64 {
+	if boot == 0 || warmUp <= 0 || now-boot >= warmUp {
 		return 1
 	}
-	return from + (1-from)*max(0, (now-boot).Seconds())/full.Seconds()
+	return initial + (1-initial)*max(0, (now-boot).Seconds())/warmUp.Seconds()
 }
 
-// maxExponent is the highest power given by Powers.
+// maxExponent is the largest exponent that Exponents returns.
 const maxExponent = 16
 
-// Exponents gives for each item the power that a part is to be taken to, so that the part of the one with most at
-// stake stays and the others' are less, each by its stake.
-func Exponents[T any](items []T, stake func(T) float64) []float64 {
-	most, powers := 0.0, make([]float64, len(items))
-	for _, t := range items {
-		most = max(most, stake(t))
+// Exponents returns an exponent for each item, to be applied to a share between 0 and 1: 1 for the items of the
+// highest cost, which keep the whole share, and more for the others, in inverse proportion to their costs.
+func Exponents[T any](items []T, cost func(T) float64) []float64 {
+	maxCost, exponents := 0.0, make([]float64, len(items))
+	for _, item := range items {
+		maxCost = max(maxCost, cost(item))
 	}
-	for i, t := range items {
-		if powers[i] = 1; most > 0 {
-			powers[i] = most / max(most/maxExponent, stake(t))
+	for i, item := range items {
+		if exponents[i] = 1; maxCost > 0 {
+			exponents[i] = maxCost / max(maxCost/maxExponent, cost(item))
 		}
 	}
-	return powers
+	return exponents
 }
 
-// Mix is how often each kind has come of late, counts that fade.
+// Mix is how often each kind of request has come recently, as decaying counts.
 type Mix []float64
 
-// Learn takes in one more of a kind, with the weight gain.
-func (m Mix) Learn(kind int, gain float64) {
+// Learn counts one more request of a kind. All counts decay by the weight.
+func (m Mix) Learn(kind int, weight float64) {
 	for i := range m {
-		m[i] -= gain * m[i]
+		m[i] -= weight * m[i]
 	}
 	m[kind]++
 }
 
-// bisectionSteps halve the interval that a level is looked for in.
+// bisectionSteps is how often Level halves the interval that it searches.
 const bisectionSteps = 24
 
-// Level is the x at which the kinds' parts, each x to the power given, add up to a part of the whole.
-func (m Mix) Level(powers []float64, part float64) float64 {
-	if part >= 1 {
+// Level returns the level in 0 to 1 at which a given share of all requests is admitted, where each kind is
+// admitted with the level to the power of its exponent. A share of 1 or more gives 1.
+func (m Mix) Level(exponents []float64, share float64) float64 {
+	if share >= 1 {
 		return 1
 	}
 	all := 0.0
-	for _, n := range m {
-		all += n
+	for _, count := range m {
+		all += count
 	}
 	low, high := 0.0, 1.0
 	for range bisectionSteps {
-		x, sum := (low+high)/2, 0.0
-		for i, n := range m {
-			sum += n * math.Pow(x, powers[i])
+		level, sum := (low+high)/2, 0.0
+		for i, count := range m {
+			sum += count * math.Pow(level, exponents[i])
 		}
-		if sum < part*all {
-			low = x
+		if sum < share*all {
+			low = level
 		} else {
-			high = x
+			high = level
 		}
 	}
 	return high
--- a/admission/rendezvous/rendezvous.go
+++ b/admission/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous gives each door of a fleet its own order of preference over the same hosts, so that every
-// host is preferred by about as many doors, without any talk between them. It is free of I/O and decides
-// nothing: which of the hosts, and how many, a door uses is the decision module's.
+// Package rendezvous orders the hosts of a cluster for each gateway of a fleet, so that every host is preferred
+// by about as many gateways, without communication between them. It holds no state, does no input or output
+// and decides nothing: which hosts, and how many, a gateway uses is up to the decision module.
 package rendezvous
 
 import (
@@ -17,103 +17,108 @@
 	return x ^ x>>31
 }
 
-// Key is what a host's name counts as.
+// Key returns the hash of a host's name by which it is ordered.
 func Key(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
 	return mix64(h.Sum64())
 }
 
-// weight is how much a door prefers a host: highest random weight, as in rendezvous hashing.
-func weight(key uint64, door int) uint64 { return mix64(key + uint64(door+1)*0x9e3779b97f4a7c15) }
+// weight returns how much a gateway prefers a host: the highest random weight of rendezvous hashing.
+func weight(key uint64, gateway int) uint64 {
+	return mix64(key + uint64(gateway+1)*0x9e3779b97f4a7c15)
+}
 
-// maxWeights bounds the weights computed for one order. Beyond it the load is not bounded: by then a host has so
-// many doors, or a door so many hosts, that chance evens it out.
+// maxWeights bounds the weights that one order computes. Beyond it the load of a host is not bounded: by then a
+// host has so many gateways, or a gateway so many hosts, that chance evens it out.
 const maxWeights = 1 << 20
 
-// shareMargin is the room that a host's share has beyond the mean, so that the last doors to choose still find hosts
-// they have not chosen yet.
+// shareMargin is the factor on the mean number of subsets of a host: with a margin the last gateways to choose
+// still find hosts that they have not chosen yet.
 const shareMargin = 1.1
 
-// Share is the most subsets that a host is in, where every door finds k hosts that are not full.
-func Share(hosts, doors, k int) int {
-	return int(math.Ceil(shareMargin * float64(min(k, hosts)*doors) / float64(max(1, hosts))))
+// MaxSubsets returns the largest number of subsets that a host is in, if every gateway finds subsetSize hosts
+// that are not full.
+func MaxSubsets(hosts, gateways, subsetSize int) int {
+	return int(math.Ceil(shareMargin * float64(min(subsetSize, hosts)*gateways) / float64(max(1, hosts))))
 }
 
-// Order returns the indices of hosts, given by their keys, in the order in which door me of doors prefers them.
-// The first k of them are its subset: the doors choose in turn, each by weight among the hosts that have not
-// been chosen [Share] times so far. So all doors come to the same result from the same hosts, and a host that
-// comes or goes moves few others. Behind the subset the rest follow by weight alone.
-func Order(keys []uint64, me, doors, k int) []int {
+// Order returns the indices of hosts, given by their keys, in the order in which one of the gateways prefers
+// them. The first subsetSize of them are its subset: the gateways choose in turn, each by weight among the
+// hosts that have been chosen less than [MaxSubsets] times so far. All gateways compute the same result from
+// the same hosts, and a host that comes or goes moves few others. Behind the subset the rest follow by weight
+// alone. Without a subset, or beyond maxWeights, all hosts are in order of weight.
+func Order(keys []uint64, gateway, gateways, subsetSize int) []int {
 	n := len(keys)
-	order := byWeight(keys, me)
-	k = min(k, n)
-	if k <= 0 || k == n || me < 0 || me >= doors || (me+1)*n > maxWeights {
+	order := byWeight(keys, gateway)
+	subsetSize = min(subsetSize, n)
+	if subsetSize <= 0 || subsetSize == n || gateway < 0 || gateway >= gateways || (gateway+1)*n > maxWeights {
 		return order
 	}
-	most, taken := Share(n, doors, k), make([]int, n)
-	top := make([]weightedHost, 0, k+1)
-	for door := 0; door <= me; door++ {
+	maxSubsets, chosen := MaxSubsets(n, gateways, subsetSize), make([]int, n)
+	top := make([]weightedHost, 0, subsetSize+1)
+	for chooser := 0; chooser <= gateway; chooser++ {
 		top = top[:0]
 		for i, key := range keys {
-			if taken[i] >= most {
+			if chosen[i] >= maxSubsets {
 				continue
 			}
-			p := weightedHost{weight(key, door), i}
-			if len(top) == k && p.weight <= top[k-1].weight {
+			host := weightedHost{weight(key, chooser), i}
+			if len(top) == subsetSize && host.weight <= top[subsetSize-1].weight {
 				continue
 			}
-			at, _ := slices.BinarySearchFunc(top, p, byPreference)
-			if top = slices.Insert(top, at, p); len(top) > k {
-				top = top[:k]
+			rank, _ := slices.BinarySearchFunc(top, host, byPreference)
+			if top = slices.Insert(top, rank, host); len(top) > subsetSize {
+				top = top[:subsetSize]
 			}
 		}
-		for _, p := range top {
-			taken[p.index]++
+		for _, host := range top {
+			chosen[host.index]++
 		}
 	}
-	in := make([]bool, n)
-	own := make([]int, 0, n)
-	for _, p := range top {
-		in[p.index] = true
-		own = append(own, p.index)
+	isInSubset := make([]bool, n)
+	subset := make([]int, 0, n)
+	for _, host := range top {
+		isInSubset[host.index] = true
+		subset = append(subset, host.index)
 	}
-	return append(own, slices.DeleteFunc(order, func(i int) bool { return in[i] })...)
+	return append(subset, slices.DeleteFunc(order, func(i int) bool { return isInSubset[i] })...)
 }
 
-// Sort returns hosts in the order in which door me of doors prefers them; see [Order].
-func Sort[H any](hosts []H, name func(H) string, me, doors, k int) []H {
+// Sort returns hosts in the order in which one of the gateways prefers them; see [Order].
+func Sort[H any](hosts []H, name func(H) string, gateway, gateways, subsetSize int) []H {
 	keys := make([]uint64, len(hosts))
 	for i, h := range hosts {
 		keys[i] = Key(name(h))
 	}
 	sorted := make([]H, 0, len(hosts))
-	for _, i := range Order(keys, me, doors, k) {
+	for _, i := range Order(keys, gateway, gateways, subsetSize) {
 		sorted = append(sorted, hosts[i])
 	}
 	return sorted
 }
 
-// weightedHost is a host's weight for a door, and its index.
+// weightedHost is a host's weight for a gateway, and its index.
 type weightedHost struct {
 	weight uint64
 	index  int
 }
 
+// byPreference compares hosts: the higher weight first, then the lower index.
 func byPreference(a, b weightedHost) int {
 	return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.index, b.index))
 }
 
-// byWeight sorts all hosts by a door's weights, the most preferred first.
-func byWeight(keys []uint64, door int) []int {
-	pairs := make([]weightedHost, len(keys))
+// byWeight returns the indices of all hosts in order of a gateway's weights, the most preferred first.
+func byWeight(keys []uint64, gateway int) []int {
+	hosts := make([]weightedHost, len(keys))
 	for i, key := range keys {
-		pairs[i] = weightedHost{weight(key, door), i}
+		hosts[i] = weightedHost{weight(key, gateway), i}
 	}
-	slices.SortFunc(pairs, byPreference)
+	slices.SortFunc(hosts, byPreference)
 	order := make([]int, len(keys))
-	for i, p := range pairs {
-		order[i] = p.index
+	for i, host := range hosts {
+		order[i] = host.index
 	}
 	return order
 }
--- a/admission/rendezvous/rendezvous_test.go
+++ b/admission/rendezvous/rendezvous_test.go
@@ -35,7 +35,7 @@
 			}
 		}
 		// The last doors to choose may find the room left only at hosts they have already: then a host more is taken.
-		require.LessOrEqual(t, slices.Max(in), Share(n, doors, k)+1)
+		require.LessOrEqual(t, slices.Max(in), MaxSubsets(n, doors, k)+1)
 	})
 }
 
