--- a/admission/ceiling.go
+++ b/admission/ceiling.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// hasCeilingTokens reports whether this gateway's part of the ceiling holds so many units now. The part
+// hasCeilingTokens reports whether this gateway's part of the ceiling holds these units now. The part
 // starts empty, as a previous process may have used it up.
 func (c *customer) hasCeilingTokens(now time.Duration, units float64) bool {
 	c.ceilingTokens = math.Min(c.ceilingBurst,
--- a/admission/estimate/estimate.go
+++ b/admission/estimate/estimate.go
@@ -69,7 +69,7 @@
 	m.Units += weight * (units - m.Units)
 }
 
-// Expect returns the expected latency in seconds of a request of so many units. The given share of the latency
+// Expect returns the expected latency in seconds of a request with these units. The given share of the latency
 // is proportional to the units. Without observations it returns initial.
 func (m LatencyModel) Expect(units, unitsShare, initial float64) float64 {
 	if m.Latency == 0 {
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -47,7 +47,7 @@
 	request.ID, request.Units = 2, 2 // the store holds a little over one unit now: no call is needed to know
 	handle(200*ms, request)
 
-	request.ID, request.Customer = 3, 8 // another customer; the counter does not answer in patience
+	request.ID, request.Customer = 3, 8 // another customer; the counter does not answer in time
 	handle(300*ms, request)
 	last := timers[len(timers)-1]
 	handle(last.At, admission.TimerFired{Token: last.Token})
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -19,7 +19,7 @@
 	// Longest wait of a request for the counter: short against any latency target, and many times what a
 	// call usually takes.
 	counterWait = 25 * time.Millisecond
-	// Query shares of all gateways together at their start; each begins with an equal part.
+	// Sum of the query shares of all gateways at their start; each begins with an equal part.
 	initialFleetQueryShare = 30.0
 	// Smallest share of requests that query the counter, however crowded it is.
 	minQueryShare = 0.1
@@ -64,8 +64,8 @@
 )
 
 // ensureCustomer returns the customer with this id on the plan with this index, and creates it with full
-// local tokens if it is unknown or was on another plan. Its requests come through so many gateways, of
-// which firstGateway is the first.
+// local tokens if it is unknown or was on another plan. Its requests come through the given number of
+// gateways, from the index firstGateway on.
 func (g *Gateway) ensureCustomer(id uint64, planIndex, gateways, firstGateway int) *customer {
 	c, plan := g.customers[id], &g.settings.Plans[planIndex]
 	if c == nil || c.plan != plan {
@@ -110,8 +110,8 @@
 	c.quotaTokensAt = g.now
 }
 
-// isSparse reports whether one gateway's equal share of the customer's quota is less than a request of so
-// many units. The local tokens of such a gateway are stale, and its pending units find no call in time.
+// isSparse reports whether one gateway's equal share of the customer's quota is less than a request of these
+// units. The local tokens of such a gateway are stale, and its pending units find no call in time.
 func (c *customer) isSparse(units float64) bool { return c.plan.Burst < c.gateways*units }
 
 // canDefer reports whether units that are not counted yet may be added with the next counter call. At a
@@ -309,7 +309,7 @@
 			g.learnDemand(c, counter, call, total)
 		}
 		others := total - counter.lastTotal - call.delta
-		if counter.lastTotal >= 1 && total-call.delta < 1 { // the counter lost its data
+		if counter.lastTotal >= 1 && total-call.delta < 1 { // the counter lost its data: keep the tokens
 			others = 0
 		}
 		counter.lastTotal = total
@@ -351,7 +351,7 @@
 	}
 }
 
-// decide admits a request, charged with so many times its units, or refuses it until the end of the quota
+// decide admits a request, charged with its units times the weight, or refuses it until the end of the quota
 // window, as the design says.
 func (g *Gateway) decide(r *request, isOver bool, weight float64) {
 	c := r.customer
@@ -363,7 +363,7 @@
 	g.route(r)
 }
 
-// chargeQuota takes an admitted request off the local tokens, with so many times its units. Units that are
+// chargeQuota takes the units of an admitted request, times the weight, off the local tokens. Units that are
 // not counted yet are added with the next counter call.
 func (g *Gateway) chargeQuota(r *request, weight float64) {
 	if c := r.customer; c.plan.Rate > 0 && c.canDefer(r.units) {
--- a/admission/servers.go
+++ b/admission/servers.go
@@ -127,8 +127,8 @@
 	return share >= 1 || int(sample) == position && sample-float64(position) < coldShareFactor*share
 }
 
-// serverLimit returns how many attempts of this gateway a server may hold: as many as it answers within so
-// many seconds (Little's law). It keeps load off a server that is slow, crowded or hung, and harms just
+// serverLimit returns how many attempts of this gateway a server may hold: as many as it answers within the
+// given seconds (Little's law). It keeps load off a server that is slow, crowded or hung, and harms just
 // after a lull.
 func (g *Gateway) serverLimit(s *server, within float64) float64 {
 	return math.Max(math.Ceil(minServerAttempts/float64(g.settings.Gateways)),
@@ -139,7 +139,7 @@
 func (g *Gateway) isLargeFleet() bool { return float64(g.settings.Gateways) > minServerAttempts }
 
 // bulkhead returns how many attempts this gateway may have out in all: its part of minServerAttempts at each
-// server, or half of what is answered within so many seconds. One attempt per server from each of hundreds
+// server, or half of what is answered within the given seconds. One attempt per server from each of hundreds
 // of gateways would be too much.
 func (g *Gateway) bulkhead(within float64) float64 {
 	part := minServerAttempts * float64(len(g.serversByName)) / float64(g.settings.Gateways)
@@ -236,7 +236,7 @@
 	return best, leastCost * g.expectedLatency(r)
 }
 
-// SubsetSize returns how many of the servers that are up each of so many gateways uses while all are healthy.
+// SubsetSize returns how many of the servers that are up each gateway of a fleet uses while all are healthy.
 func SubsetSize(servers, gateways int) int {
 	return max(minSubsetSize, (minGatewaysPerServer*servers+gateways-1)/gateways)
 }
--- a/admission/util.go
+++ b/admission/util.go
@@ -78,7 +78,8 @@
 		s := g.servers[entry.Name]
 		if s == nil {
 			s = g.addServer(entry)
-		} else if entry.Boot != s.Boot && entry.Boot != 0 { // restarted; earlier if its clock was set back
+		} else if entry.Boot != s.Boot && entry.Boot != 0 {
+			// It restarted and kept its name. Its start may be earlier than before: its clock may be set back.
 			s.startedAt, s.relativeLatency, s.failures, s.connectionFailures, s.ejectedUntil = entry.Boot, 1, 0, 0, 0
 		}
 		s.ServerEntry = entry
@@ -112,7 +113,7 @@
 	}
 }
 
-// ejectionTime returns for how long a server with so many failures in a row is ejected.
+// ejectionTime returns for how long the server is ejected after its present number of failures.
 func (s *server) ejectionTime() time.Duration {
 	return min(maxEjection, minEjection<<max(0, min(s.failures-1, 8)))
 }
@@ -145,7 +146,7 @@
 	r.pendingCalls = nil
 }
 
-// addCounted records that a counter holds so many more units for the request.
+// addCounted records that a counter holds these additional units for the request.
 func (r *request) addCounted(counter *windowCounter, units float64) {
 	if counter == &r.customer.quotaCounter {
 		r.quotaCounted, r.quotaWindow = r.quotaCounted+units, counter.window
