--- a/internal/capacity/server_list.go
+++ b/internal/capacity/server_list.go
@@ -58,7 +58,9 @@
 }
 
 // List gives the decision module the cluster's news.
-func (h *listHolders) List(list admission.ServerList) { h.gateway.Handle(time.Hour, list) }
+func (h *listHolders) ServerListReceived(list admission.ServerList) {
+	h.gateway.Handle(time.Hour, list)
+}
 
 // newListHolders has an ingress of 650 know so many servers.
 func newListHolders(servers int) (*listHolders, error) {
@@ -66,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	bounds, err := limits.For(limits.Site{Sockets: 384, MemoryMB: 192, Gateways: TargetIngresses})
+	bounds, err := limits.For(limits.Site{Sockets: 384, MemoryMB: 192, Ingresses: TargetIngresses})
 	if err != nil {
 		return nil, err
 	}
@@ -89,8 +91,8 @@
 // measureListHeap is the heap that a list takes in the watch, the upstream pool and the decision module, in MB.
 func measureListHeap(_ context.Context, servers int) (float64, error) {
 	holders, heap, err := heapOf(func() (*listHolders, error) { return newListHolders(servers) })
-	if err == nil && holders.watcher.Listed() != servers {
-		err = fmt.Errorf("%d servers are listed", holders.watcher.Listed())
+	if err == nil && holders.watcher.HostCount() != servers {
+		err = fmt.Errorf("%d servers are listed", holders.watcher.HostCount())
 	}
 	return heap / 1e6, err
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -132,7 +132,7 @@
 	group     *controlGroup  // nil where there is none, or while another process has this one's place
 	agreement *agreement     // nil where no versions are agreed on with others
 	agreed    *agreed        // from the last time that another process took this one's place
-	figures   figures.Figures
+	figures   figures.Metrics
 	awaits    *loop.Source // where a successor is awaited, nil: nowhere
 	beside    bool         // somebody else has started us as a successor
 	draining  bool
@@ -148,7 +148,7 @@
 // opening is a front and where it listens.
 type opening struct {
 	addr   string
-	front  downstream.Front
+	front  downstream.Handler
 	ready  func()
 	follow func(admission.Settings)
 }
@@ -236,11 +236,11 @@
 		return err
 	}
 	l := d.loop
-	d.hosts = upstream.New(l, cfg.Limits, d.log, &d.figures.Attempts)
+	d.hosts = upstream.New(l, cfg.Limits, d.log, &d.figures.UpstreamRequests)
 	d.nameClasses()
-	parts := core.Config{Decider: d.module, Upstreams: d.hosts, Counter: noCounter{}, Cluster: d, Log: d.log, Figures: &d.figures,
-		Margin: cfg.Limits.AnswerMargin}
-	parts.Windows = core.Windows(cfg.Settings.Classes)
+	parts := core.Config{Decider: d.module, Upstreams: d.hosts, Counter: noCounter{}, Cluster: d, Log: d.log, Metrics: &d.figures,
+		DeadlineMargin: cfg.Limits.DeadlineMargin}
+	parts.RepeatWindows = core.RepeatWindows(cfg.Settings.Classes)
 	if d.o.OTLP != "" {
 		if d.telemetry, err = newTelemetry(cfg, d.o, d.log); err != nil {
 			return err
@@ -251,10 +251,10 @@
 	d.hosts.SetSink(d.core)
 	if cfg.Settings.HasCounter {
 		d.openCounter(cfg.Counter)
-		d.core.UseCounter(d.counter)
+		d.core.SetCounter(d.counter)
 	}
 	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.hosts, cfg.Known, cfg.Seed)
-	d.watcher.Drain(cfg.Drained)
+	d.watcher.SetDrained(cfg.Drained)
 	d.server = downstream.New(l, cfg.Limits, d.log)
 	first := platform.New(d.core, cfg.Settings, d.known)
 	d.fronts = append(d.fronts, opening{cfg.Listen, first, func() {}, first.Follow})
@@ -272,7 +272,7 @@
 
 // secondFront is the front that a file describes, beside the platform's.
 func (d *Daemon) secondFront(file openapi.File, table *routes.Table, stamp openapi.Stamp) opening {
-	f := openapi.New(d.core, d.cfg.Settings, file, table, d.watcher.Known, d.log)
+	f := openapi.New(d.core, d.cfg.Settings, file, table, d.watcher.IsReady, d.log)
 	settings := &atomic.Pointer[admission.Settings]{} // read by the reloader's goroutine
 	start := d.cfg.Settings
 	settings.Store(&start)
@@ -291,7 +291,7 @@
 
 func newTelemetry(cfg config.Config, o Options, log *slog.Logger) (*telemetry.Exporter, error) {
 	c := telemetry.Config{Endpoint: o.OTLP, Instance: cfg.Name, Version: o.Version, Log: log,
-		Every: cfg.Limits.TelemetryEvery, Queue: cfg.Limits.TelemetryQueue, Settings: cfg.Settings}
+		Every: cfg.Limits.TelemetryInterval, Queue: cfg.Limits.TelemetryQueueLength, Settings: cfg.Settings}
 	return telemetry.New(c)
 }
 
@@ -345,7 +345,7 @@
 	d.noteStall(now)
 	next := d.core.Turn(now)
 	d.pred.turn(now)
-	if d.server.Closed() && d.core.Open() == 0 && d.server.Connections() == 0 && !d.leaving {
+	if d.server.ListenersClosed() && d.core.OpenStreams() == 0 && d.server.OpenConnections() == 0 && !d.leaving {
 		d.leaving = true
 		d.log.Info("drained")
 		d.sayLeave(func() { d.giveUpControlGroup(d.loop.Stop) })
@@ -358,7 +358,7 @@
 
 // noteStall tells the operator that the process stood still: stopped, or without a processor.
 func (d *Daemon) noteStall(now time.Duration) {
-	if late := d.loop.Late(); late > 0 && now-d.stallTold > stallEvery {
+	if late := d.loop.MaxReadDelay(); late > 0 && now-d.stallTold > stallEvery {
 		d.stallTold = now
 		d.log.Warn("process stood still", "at_most", late)
 	}
@@ -372,9 +372,9 @@
 	}
 	d.draining = true
 	d.o.Notify("STOPPING=1")
-	d.log.Info("draining", "streams", d.core.Open(), "connections", d.server.Connections())
+	d.log.Info("draining", "streams", d.core.OpenStreams(), "connections", d.server.OpenConnections())
 	d.server.Drain()
-	d.loop.After(d.cfg.Limits.DrainAccept, d.server.CloseListeners)
+	d.loop.After(d.cfg.Limits.DrainAcceptPeriod, d.server.CloseListeners)
 	d.endInTime()
 }
 
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -17,7 +17,7 @@
 // members is the daemon's part in the membership: members are named by their numbers among the settings' gateways,
 // and what of joint budgets is ours goes to the module as one event when it changes.
 type members struct {
-	*peers.Peers
+	*peers.Transport
 	me     string
 	gossip *gossip // nil where no versions are agreed on by it
 	told   admission.FleetChanged
@@ -37,10 +37,10 @@
 		return fmt.Errorf("peers holds %d addresses, and there are %d ingresses", len(cfg.Peers), cfg.Settings.Gateways)
 	}
 	me, now := cfg.Settings.Index, d.loop.Now()
-	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, Every: lim.MemberAck / 4, Change: d.membersChanged,
-		Mark: versions.Mark, Other: d.gossipReceived}
+	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, TickInterval: lim.MemberAckTimeout / 4, OnChange: d.membersChanged,
+		AppPrefix: versions.Mark, OnAppMessage: d.gossipReceived}
 	if d.o.Embedded != nil {
-		c.Reach = d.o.Embedded.Reach
+		c.IsReachable = d.o.Embedded.Reach
 	}
 	var roster []string
 	for i, addr := range cfg.Peers {
@@ -54,16 +54,16 @@
 	}
 	// A later life must have the higher incarnation; where the clock was set back, the others' word raises it.
 	node := membership.New(membership.Config{Me: strconv.Itoa(me), Incarnation: uint64(max(1, time.Now().UnixMilli())),
-		Seed: cfg.Seed + uint64(me), Period: lim.MemberPeriod, AckWithin: lim.MemberAck, SuspectFor: lim.MemberSuspect,
+		Seed: cfg.Seed + uint64(me), Period: lim.MemberProbeInterval, AckWithin: lim.MemberAckTimeout, SuspectFor: lim.MemberSuspicionTimeout,
 		// Whoever asks for an upgrade is turned down while this process is not settled; a process that the platform
 		// starts beside another can't be.
 		Assured: d.succ != nil && !d.beside,
-		Helpers: lim.MemberHelpers, Carry: lim.MemberCarry, Least: cfg.Settings.Gateways}, now)
+		Helpers: lim.MemberIndirectProbes, Carry: lim.MemberUpdatesPerMessage, Least: cfg.Settings.Gateways}, now)
 	node.Roster(roster, now)
 	m := &members{me: strconv.Itoa(me), states: map[string]membership.State{}}
 	d.members = m
 	var err error
-	if m.Peers, err = peers.Open(d.loop, lim, d.log, node, c); err != nil {
+	if m.Transport, err = peers.Open(d.loop, lim, d.log, node, c); err != nil {
 		d.members = nil
 		return err
 	}
@@ -78,7 +78,7 @@
 func (d *Daemon) openMembersAgain() {
 	if err := d.openMembers(); err != nil {
 		d.log.Error("membership not joined", "error", err)
-		d.core.Tell(admission.FleetChanged{IsUncertain: true})
+		d.core.Enqueue(admission.FleetChanged{IsUncertain: true})
 	}
 }
 
@@ -96,7 +96,7 @@
 // membersChanged tells the module of a change in what is ours, and the operator of each member's change of state.
 func (d *Daemon) membersChanged(now time.Duration) {
 	m := d.members
-	if m == nil || m.Peers == nil {
+	if m == nil || m.Transport == nil {
 		return
 	}
 	if m.gossip != nil {
@@ -129,19 +129,19 @@
 	}
 	if ev.IsUncertain != m.told.IsUncertain || !slices.Equal(ev.Absent, m.told.Absent) {
 		m.told = ev
-		d.core.Tell(ev)
+		d.core.Enqueue(ev)
 		d.log.Info("share of joint budgets", "settled", !ev.IsUncertain, "counted_out", fmt.Sprint(ev.Absent))
 	}
 }
 
 // present is what the admin endpoint tells.
-func (d *Daemon) present(now time.Duration) figures.Fleet {
+func (d *Daemon) present(now time.Duration) figures.Membership {
 	m := d.members
 	v, c := m.Node().View(), m.Counts()
-	f := figures.Fleet{Version: v.Version, Absent: len(m.told.Absent), Settled: d.settled(now), Sent: c.Sent, Got: c.Got,
-		Dropped: c.Dropped}
+	f := figures.Membership{ViewVersion: v.Version, AbsentMembers: len(m.told.Absent), IsSettled: d.settled(now), MessagesSent: c.Sent, MessagesReceived: c.Received,
+		MessagesDropped: c.Dropped}
 	for _, s := range membership.States {
-		f.States = append(f.States, figures.State{Name: s.String(), N: v.Count(s)})
+		f.States = append(f.States, figures.StateCount{Name: s.String(), Members: v.Count(s)})
 	}
 	return f
 }
@@ -168,8 +168,8 @@
 	}
 	v, c := m.Node().View(), m.Counts()
 	to.Enabled, to.Version = true, v.Version
-	to.Absent, to.Sent, to.Received, to.Dropped = append(to.Absent, m.told.Absent...), c.Sent, c.Got, c.Dropped
-	to.SentBytes, to.ReceivedBytes = c.SentBytes, c.GotBytes
+	to.Absent, to.Sent, to.Received, to.Dropped = append(to.Absent, m.told.Absent...), c.Sent, c.Received, c.Dropped
+	to.SentBytes, to.ReceivedBytes = c.SentBytes, c.ReceivedBytes
 	for _, o := range v.Members {
 		to.Members = append(to.Members, Member{Name: o.Name, State: o.State.String(), Incarnation: o.Incarnation})
 	}
@@ -203,7 +203,7 @@
 	}
 	for _, o := range m.Node().View().Members {
 		if o.Name == name && o.State == membership.Dead {
-			m.Gone(name)
+			m.ForceLeave(name)
 			d.membersChanged(d.loop.Now())
 			return ""
 		}
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -42,7 +42,7 @@
 	}
 	s := &successor{d: d, bound: map[string]int{}}
 	// Only this connection's own bound is needed before the configuration is read.
-	conn, err := handover.New(d.loop, limits.Limits{HandoverBytes: greetBytes}, fd, s)
+	conn, err := handover.New(d.loop, limits.Limits{MaxHandoverMessageBytes: greetBytes}, fd, s)
 	if err != nil {
 		return err
 	}
@@ -162,14 +162,14 @@
 		s.handle(phase.Told{Message: phase.Abort, Text: m.Abort.GetReason()})
 	case *pb.Envelope_Client:
 		if len(fds) == 1 && s.machine.Serves() {
-			if err := d.server.Take(handover.FromClient(m.Client), fds[0]); err != nil {
+			if err := d.server.AdoptConnection(handover.FromClient(m.Client), fds[0]); err != nil {
 				d.log.Warn("client connection not taken over", "error", err)
 			}
 			fds = nil
 		}
 	case *pb.Envelope_Upstream:
 		if len(fds) == 1 && s.machine.Serves() {
-			if err := d.hosts.Take(m.Upstream.GetHost(), time.Duration(m.Upstream.GetSince()), fds[0]); err != nil {
+			if err := d.hosts.AdoptConnection(m.Upstream.GetHost(), time.Duration(m.Upstream.GetSince()), fds[0]); err != nil {
 				d.log.Warn("upstream connection not taken over", "error", err)
 			}
 			fds = nil
@@ -178,18 +178,18 @@
 		if restored {
 			at := time.Duration(m.Sent.GetAt())
 			d.module.PredecessorSent(now, m.Sent.GetStream(), m.Sent.GetHost())
-			d.core.TheirsSent(m.Sent.GetStream(), m.Sent.GetHost(), at)
+			d.core.PredecessorSent(m.Sent.GetStream(), m.Sent.GetHost(), at)
 		}
 	case *pb.Envelope_Attempt:
 		if restored {
 			ev, at := handover.FromAttempt(m.Attempt)
 			d.module.PredecessorAttemptEnded(now, ev)
-			d.core.TheirsEnded(ev.ID, ev.Server, at-ev.Took, ev.Outcome)
+			d.core.PredecessorAttemptEnded(ev.ID, ev.Server, at-ev.Took, ev.Outcome)
 		}
 	case *pb.Envelope_Done:
 		if restored {
-			d.core.Do(d.module.PredecessorDone(now, m.Done.GetStream()))
-			d.core.TheirsDone(m.Done.GetStream())
+			d.core.Execute(d.module.PredecessorDone(now, m.Done.GetStream()))
+			d.core.PredecessorStreamDone(m.Done.GetStream())
 		}
 	case *pb.Envelope_CounterReleased:
 		s.wholeCounter()
@@ -227,16 +227,16 @@
 		s.handle(phase.Unfit{Why: fmt.Sprintf("the configuration is %s's, the running process is %s", d.cfg.Name, name)})
 		return
 	}
-	d.server.Hold()
-	d.core.Hold()
+	d.server.Suspend()
+	d.core.HoldEvents()
 	if d.counter != nil {
-		d.counter.Resize(d.cfg.Limits.CounterShared)
+		d.counter.Resize(d.cfg.Limits.UpgradeCounterConns)
 	}
 	for _, f := range d.fronts {
 		if slices.Contains(s.welcome.GetListeners(), f.addr) {
 			continue
 		}
-		fd, err := loop.ListenBeside(f.addr)
+		fd, err := loop.ListenReusePort(f.addr)
 		if err != nil {
 			s.handle(phase.Unfit{Why: err.Error()})
 			return
@@ -244,7 +244,7 @@
 		s.bound[f.addr] = fd
 	}
 	s.timer.Stop()
-	s.timer = d.loop.After(d.cfg.Limits.PrepareMost+d.cfg.Limits.CopyMost, func() { s.handle(phase.TimeUp{}) })
+	s.timer = d.loop.After(d.cfg.Limits.PrepareTimeout+d.cfg.Limits.CopyTimeout, func() { s.handle(phase.TimeUp{}) })
 	s.awaitCluster()
 }
 
@@ -256,7 +256,7 @@
 	if s.machine.State != phase.Building {
 		return
 	}
-	if s.d.watcher.Known() {
+	if s.d.watcher.IsReady() {
 		s.handle(phase.Ready{})
 		return
 	}
@@ -270,14 +270,14 @@
 	if len(names) != len(s.listeners) {
 		return fmt.Errorf("%d listeners were told of and %d have come", len(names), len(s.listeners))
 	}
-	d.loop.SetOffset(time.Duration(s.snapshot.GetClockOffset()))
+	d.loop.SetClockOffset(time.Duration(s.snapshot.GetClockOffset()))
 	if err := d.module.Restore(handover.FromGateway(s.snapshot.GetGateway())); err != nil {
 		return err
 	}
 	s.customers = uint64(d.module.CustomerCount())
 	now := d.loop.Now()
 	open := handover.FromOpen(s.snapshot)
-	d.core.Adopt(now, open, d.module.Adopt(now))
+	d.core.Restore(now, open, d.module.Adopt(now))
 	d.watcher.Adopt(handover.FromHosts(s.snapshot))
 	for i, fd := range s.listeners {
 		at := slices.IndexFunc(d.fronts, func(f opening) bool { return f.addr == names[i] })
@@ -288,7 +288,7 @@
 		s.bound[names[i]] = fd
 	}
 	for _, f := range d.fronts {
-		if err := d.server.Adopt(s.bound[f.addr], f.addr, f.front); err != nil {
+		if err := d.server.AdoptListener(s.bound[f.addr], f.addr, f.front); err != nil {
 			return err
 		}
 	}
@@ -297,9 +297,9 @@
 
 func (s *successor) serve() {
 	d := s.d
-	d.server.Elsewhere(int(s.commit.GetClients()))
-	d.hosts.Elsewhere(int(s.commit.GetUpstreams()))
-	d.server.Release()
+	d.server.SetPredecessorConnections(int(s.commit.GetClients()))
+	d.hosts.SetPredecessorConnections(int(s.commit.GetUpstreams()))
+	d.server.Resume()
 	for _, f := range d.fronts {
 		f.ready()
 	}
@@ -310,7 +310,7 @@
 	d.openControlGroup()
 	d.await()
 	d.log.Info("taken over", "version", d.o.Version, "from", s.welcome.GetVersion(), "listen", d.cfg.Listen,
-		"customers", s.customers, "streams", d.core.Theirs(), "clock", d.loop.Offset())
+		"customers", s.customers, "streams", d.core.PredecessorStreams(), "clock", d.loop.ClockOffset())
 	d.o.Notify("READY=1", "MAINPID="+strconv.Itoa(os.Getpid()))
 }
 
@@ -323,13 +323,13 @@
 // forget goes on alone: the old process is gone, and with it all that it still had.
 func (s *successor) forget() {
 	d := s.d
-	if n := d.core.Theirs(); n > 0 {
+	if n := d.core.PredecessorStreams(); n > 0 {
 		d.log.Warn("the old process has ended with open streams", "streams", n)
 	}
-	d.core.Do(d.module.PredecessorGone(d.loop.Now()))
-	d.core.TheirsGone()
-	d.server.Elsewhere(0)
-	d.hosts.Elsewhere(0)
+	d.core.Execute(d.module.PredecessorGone(d.loop.Now()))
+	d.core.PredecessorExited()
+	d.server.SetPredecessorConnections(0)
+	d.hosts.SetPredecessorConnections(0)
 	s.wholeCounter()
 	shareMemory(d.cfg.Limits, 1)
 	s.conn.Close()
--- a/internal/handover/convert.go
+++ b/internal/handover/convert.go
@@ -155,26 +155,26 @@
 }
 
 // Open makes messages of a core's open streams and keys.
-func Open(o core.Open) (streams []*pb.Stream, keys []*pb.Key) {
+func Open(o core.Snapshot) (streams []*pb.Stream, keys []*pb.Key) {
 	for _, s := range o.Streams {
-		streams = append(streams, &pb.Stream{Id: s.ID, RequestId: s.Key, Key: s.Order})
+		streams = append(streams, &pb.Stream{Id: s.ID, RequestId: s.RequestID, Key: s.IdempotencyKey})
 	}
 	for _, k := range o.Keys {
-		keys = append(keys, &pb.Key{Key: k.Key, Server: k.Host, Zone: k.Zone, Cell: int64(k.Cell), At: int64(k.At),
-			Stream: k.Stream, Until: int64(k.Until)})
+		keys = append(keys, &pb.Key{Key: k.Key, Server: k.Host, Zone: k.Zone, Cell: int64(k.Cell), At: int64(k.StartedAt),
+			Stream: k.StreamID, Until: int64(k.ExpiresAt)})
 	}
 	return streams, keys
 }
 
 // FromOpen is its inverse.
-func FromOpen(s *pb.Snapshot) core.Open {
-	o := core.Open{LastID: s.GetLastStream()}
+func FromOpen(s *pb.Snapshot) core.Snapshot {
+	o := core.Snapshot{LastID: s.GetLastStream()}
 	for _, m := range s.GetStreams() {
-		o.Streams = append(o.Streams, core.OpenStream{ID: m.GetId(), Key: m.GetRequestId(), Order: m.GetKey()})
+		o.Streams = append(o.Streams, core.StreamState{ID: m.GetId(), RequestID: m.GetRequestId(), IdempotencyKey: m.GetKey()})
 	}
 	for _, k := range s.GetKeys() {
 		o.Keys = append(o.Keys, core.KeyState{Key: k.GetKey(), Host: k.GetServer(), Zone: k.GetZone(),
-			Cell: int(k.GetCell()), At: d(k.GetAt()), Until: d(k.GetUntil()), Stream: k.GetStream()})
+			Cell: int(k.GetCell()), StartedAt: d(k.GetAt()), ExpiresAt: d(k.GetUntil()), StreamID: k.GetStream()})
 	}
 	return o
 }
@@ -197,26 +197,26 @@
 }
 
 // Client makes a message of a client connection.
-func Client(s downstream.State) *pb.ClientConnection {
+func Client(s downstream.ConnState) *pb.ClientConnection {
 	p := s.Parser
-	m := &pb.Parser{Buffered: p.Buffered, InBody: p.InBody, Framing: int32(p.Framing), Left: int64(p.Left),
-		Chunk: int32(p.Chunk), Body: p.Body, Trail: int64(p.Trail), Method: p.Method, Target: p.Target, Close: p.Close,
-		Continues: p.Continues, Scanned: int64(p.Scanned), HasStart: p.HasStart}
+	m := &pb.Parser{Buffered: p.Buffered, InBody: p.InBody, Framing: int32(p.Framing), Left: int64(p.BytesLeft),
+		Chunk: int32(p.ChunkState), Body: p.Body, Trail: int64(p.TrailerBytes), Method: p.Method, Target: p.Target, Close: p.Close,
+		Continues: p.ExpectsContinue, Scanned: int64(p.Scanned), HasStart: p.HasStartLine}
 	for _, h := range p.Headers {
 		m.Headers = append(m.Headers, &pb.Header{Name: h.Name, Value: h.Value})
 	}
-	return &pb.ClientConnection{Listener: s.Listener, Out: s.Out, Since: int64(s.Since), Opened: int64(s.Opened),
-		Served: s.Served, Parser: m}
+	return &pb.ClientConnection{Listener: s.ListenerAddress, Out: s.Unsent, Since: int64(s.PhaseSince), Opened: int64(s.OpenedAt),
+		Served: s.WasServed, Parser: m}
 }
 
 // FromClient is its inverse.
-func FromClient(m *pb.ClientConnection) downstream.State {
+func FromClient(m *pb.ClientConnection) downstream.ConnState {
 	p := m.GetParser()
-	s := downstream.State{Listener: m.GetListener(), Out: m.GetOut(), Since: d(m.GetSince()), Opened: d(m.GetOpened()),
-		Served: m.GetServed(), Parser: http1.State{Buffered: p.GetBuffered(), InBody: p.GetInBody(),
-			Framing: int(p.GetFraming()), Left: int(p.GetLeft()), Chunk: int(p.GetChunk()), Body: p.GetBody(),
-			Trail: int(p.GetTrail()), Method: p.GetMethod(), Target: p.GetTarget(), Close: p.GetClose(),
-			Continues: p.GetContinues(), Scanned: int(p.GetScanned()), HasStart: p.GetHasStart()}}
+	s := downstream.ConnState{ListenerAddress: m.GetListener(), Unsent: m.GetOut(), PhaseSince: d(m.GetSince()), OpenedAt: d(m.GetOpened()),
+		WasServed: m.GetServed(), Parser: http1.RequestParserState{Buffered: p.GetBuffered(), InBody: p.GetInBody(),
+			Framing: int(p.GetFraming()), BytesLeft: int(p.GetLeft()), ChunkState: int(p.GetChunk()), Body: p.GetBody(),
+			TrailerBytes: int(p.GetTrail()), Method: p.GetMethod(), Target: p.GetTarget(), Close: p.GetClose(),
+			ExpectsContinue: p.GetContinues(), Scanned: int(p.GetScanned()), HasStartLine: p.GetHasStart()}}
 	for _, h := range p.GetHeaders() {
 		s.Parser.Headers = append(s.Parser.Headers, http1.Header{Name: h.GetName(), Value: h.GetValue()})
 	}
--- a/internal/handover/convert_test.go
+++ b/internal/handover/convert_test.go
@@ -29,7 +29,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := rapid.Make[admission.CustomerState]().Draw(t, "customer")
 		require.Equal(t, c, FromCustomer(there(t, Customer(c), &pb.Customer{})))
-		o := rapid.Make[core.Open]().Draw(t, "open")
+		o := rapid.Make[core.Snapshot]().Draw(t, "open")
 		s := &pb.Snapshot{LastStream: o.LastID}
 		s.Streams, s.Keys = Open(o)
 		equal(t, o, FromOpen(there(t, s, &pb.Snapshot{})))
@@ -55,8 +55,8 @@
 
 func TestAConnectionsStateComesOverWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := rapid.Make[downstream.State]().Draw(t, "connection")
-		s.Parser.Framing, s.Parser.Chunk = s.Parser.Framing&3, s.Parser.Chunk&3
+		s := rapid.Make[downstream.ConnState]().Draw(t, "connection")
+		s.Parser.Framing, s.Parser.ChunkState = s.Parser.Framing&3, s.Parser.ChunkState&3
 		equal(t, s, FromClient(there(t, Client(s), &pb.ClientConnection{})))
 	})
 }
--- a/internal/net/controlclient/connection.go
+++ b/internal/net/controlclient/connection.go
@@ -33,7 +33,7 @@
 // silent ends waiting for a sign of life. A replica answers what it is asked, and a process that stood still, or had no
 // processor, has asked nothing meanwhile: it leaves a connection that works only when the replica has had its time.
 func (c *connection) silent() {
-	left := c.askedAt + c.client.lim.ControlFirst - c.client.loop.Now()
+	left := c.askedAt + c.client.lim.ControlFirstMessageTimeout - c.client.loop.Now()
 	if c.asked && left > 0 {
 		c.expect(left)
 		return
@@ -50,7 +50,7 @@
 // reset ends the connection so that the replica can't take it for the end of this process. It is safe on nil.
 func (c *connection) reset() {
 	if c != nil {
-		c.source.Reset()
+		c.source.ResetOnClose()
 		c.close()
 	}
 }
@@ -58,7 +58,7 @@
 // Ready goes on with the connection.
 func (c *connection) Ready(events uint32) {
 	if !c.up {
-		if err := loop.Dialled(c.source.FD()); err != nil {
+		if err := loop.DialResult(c.source.FD()); err != nil {
 			c.client.failed(err)
 			return
 		}
@@ -93,14 +93,14 @@
 	switch {
 	case err != nil:
 		c.client.failed(err)
-	case len(c.out) > c.client.lim.ControlQueue:
+	case len(c.out) > c.client.lim.MaxControlQueueBytes:
 		c.client.failed(errUnread)
 	case len(c.out) > 0:
-		c.source.Want(loop.In | loop.Out | loop.Hangup)
+		c.source.SetEvents(loop.In | loop.Out | loop.Hangup)
 	case c.ending:
 		c.endSending()
 	default:
-		c.source.Want(loop.In | loop.Hangup)
+		c.source.SetEvents(loop.In | loop.Hangup)
 	}
 }
 
@@ -112,16 +112,16 @@
 }
 
 func (c *connection) endSending() {
-	if err := loop.EndSending(c.source.FD()); err != nil {
+	if err := loop.CloseWrite(c.source.FD()); err != nil {
 		c.client.failed(err)
 		return
 	}
-	c.source.Want(loop.In | loop.Hangup)
+	c.source.SetEvents(loop.In | loop.Hangup)
 }
 
 // read takes what one read brings: whatever a replica sends, the other connections have their turns.
 func (c *connection) read() {
-	buf := c.client.loop.Buf()
+	buf := c.client.loop.ReadBuffer()
 	n, err := loop.Read(c.source.FD(), buf)
 	if errors.Is(err, loop.ErrAgain) {
 		return
@@ -135,7 +135,7 @@
 		return
 	}
 	c.asked = false
-	c.expect(c.client.lim.ControlSilence)
+	c.expect(c.client.lim.ControlSilenceTimeout)
 	c.in = append(c.in, buf[:n]...)
 	c.messages()
 }
--- a/internal/net/counter/handover_test.go
+++ b/internal/net/counter/handover_test.go
@@ -32,7 +32,7 @@
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1")
 		}
 	})
-	c.lim.CounterPending, c.lim.CounterLimit = 100, time.Minute
+	c.lim.MaxPendingCounterCalls, c.lim.CounterCallTimeout = 100, time.Minute
 	c.Resize(3)
 	for i := range 60 {
 		c.Add(fmt.Sprint("n", i), 1, time.Second)
@@ -50,7 +50,7 @@
 		case stage == 1 && len(d.got) == 260:
 			require.EqualValues(t, 8, opened.Load())
 			c.Add("held", 1, time.Second)
-			c.Release(func() { released = true; d.l.Stop() })
+			c.Drain(func() { released = true; d.l.Stop() })
 			stage = 2
 			d.l.After(20*time.Millisecond, func() {
 				open := 0
--- a/internal/net/discovery/drain.go
+++ b/internal/net/discovery/drain.go
@@ -7,9 +7,9 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// Drain has these hosts count as draining, whatever discovery says of them, and no others beyond its own word. They
+// SetDrained has these hosts count as draining, whatever discovery says of them, and no others beyond its own word. They
 // take effect in the same turn, as a change of the list does.
-func (w *Watcher) Drain(names []string) {
+func (w *Watcher) SetDrained(names []string) {
 	before := w.drained
 	w.drained = map[string]bool{}
 	for _, name := range names {
@@ -25,7 +25,7 @@
 		slices.SortFunc(news.Servers, func(a, b admission.ServerEntry) int { // equal news in equal order
 			return strings.Compare(a.Name, b.Name)
 		})
-		w.sink.List(news)
+		w.sink.ServerListReceived(news)
 		for _, e := range news.Servers {
 			w.hosts.Host(e.Name, w.known[e.Name].Addr, e.Boot, e.State != admission.Up)
 		}
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -11,12 +11,12 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Front is given the requests of its listener. It answers each with one [Conn.Reply], at once or later.
-type Front interface {
-	Request(c *Conn, r *http1.Request)
-	Left(c *Conn)  // the client of an unanswered request has gone
-	Whole(c *Conn) // the body of a request that was open has come to its end
-	Malformed(c *Conn, status int, what string)
+// Handler is given the requests of its listener. It answers each with one [Conn.Reply], at once or later.
+type Handler interface {
+	HandleRequest(c *Conn, r *http1.Request)
+	HandleClientGone(c *Conn)   // the client of an unanswered request has gone
+	HandleBodyComplete(c *Conn) // the body of a request that was open has come to its end
+	HandleMalformed(c *Conn, status int, what string)
 }
 
 // Server holds all client connections, of every front, and their common bound.
@@ -36,7 +36,7 @@
 	closed    bool          // no new connections
 	toldAt    time.Duration // when the operator was last told of a pause
 	held      bool          // nobody is read: another process is about to take over
-	hand      func(State, int)
+	hand      func(ConnState, int)
 	debugs    bool   // the log takes debug lines
 	accepted  uint64 // connections, from the start
 	uploads   int    // requests whose bodies are passed on while they come
@@ -45,7 +45,7 @@
 
 // New returns a server without listeners.
 func New(l *loop.Loop, lim limits.Limits, log *slog.Logger) *Server {
-	s := &Server{loop: l, lim: lim, log: log, conns: map[*Conn]struct{}{}, debugs: core.Debugs(log)}
+	s := &Server{loop: l, lim: lim, log: log, conns: map[*Conn]struct{}{}, debugs: core.DebugEnabled(log)}
 	l.After(sweepEvery, s.sweep)
 	return s
 }
@@ -61,7 +61,7 @@
 		case c.lingering && now-c.since > c.lingerTime():
 			c.drop(closedLingered)
 		case c.down != nil:
-			if now-c.down.moved > s.lim.FlowSilence {
+			if now-c.down.moved > s.lim.RelayStallTimeout {
 				c.gone(closedNoProgress)
 			}
 		case c.up != nil && c.slow(now):
@@ -69,11 +69,11 @@
 			c.malformed(408, "request not whole in time")
 		case s.held: // not read, so what it has not shown is not its fault
 		case c.busy || c.lingering:
-		case c.parser.Begun():
-			if now-c.since > s.lim.RequestTime(c.parser.Body()) {
+		case c.parser.HasMessageStarted():
+			if now-c.since > s.lim.RequestTimeout(c.parser.BodyBytesRead()) {
 				c.malformed(408, "request not whole in time")
 			}
-		case !c.served && now-c.opened > s.lim.FirstTime, now-c.since > s.lim.DownstreamIdle:
+		case !c.served && now-c.opened > s.lim.FirstRequestTimeout, now-c.since > s.lim.DownstreamIdleTimeout:
 			c.finishUnlessAsked(closedIdle)
 		}
 	}
@@ -82,16 +82,18 @@
 // Drain begins the end: every answer from now on closes its connection.
 func (s *Server) Drain() { s.draining = true }
 
-// Serving tells whether new connections are taken and read.
-func (s *Server) Serving() bool { return len(s.listeners) > 0 && !s.held && !s.closed && !s.draining }
+// IsAccepting tells whether new connections are taken and read.
+func (s *Server) IsAccepting() bool {
+	return len(s.listeners) > 0 && !s.held && !s.closed && !s.draining
+}
 
-// Connections tells how many are open.
-func (s *Server) Connections() int { return len(s.conns) }
+// OpenConnections tells how many are open.
+func (s *Server) OpenConnections() int { return len(s.conns) }
 
 // Conn is one client connection. It carries one request at a time; what a client sends ahead waits.
 type Conn struct {
-	Stream uint64 // the front's mark of the request that is being answered
-	Trace  string // traceparent that its answer gives back, empty for none
+	StreamID    uint64 // the front's mark of the request that is being answered
+	TraceParent string // traceparent that its answer gives back, empty for none
 
 	s          *Server
 	number     uint64 // in the log
@@ -123,20 +125,20 @@
 // Now is the time of this turn.
 func (c *Conn) Now() time.Duration { return c.s.loop.Now() }
 
-// Waited is how long ago the present request came: its client's patience began then.
-func (c *Conn) Waited() time.Duration { return max(0, c.Now()-c.came) }
+// RequestAge is how long ago the present request came: its client's patience began then.
+func (c *Conn) RequestAge() time.Duration { return max(0, c.Now()-c.came) }
 
 func (c *Conn) setIdle() {
 	c.since = c.s.loop.Now()
 	c.moved = c.since
-	c.parser.Rest()
+	c.parser.ReleaseIdleBuffers()
 	c.list()
 }
 
 // list enters a connection on which nothing is owed among those that may have to make room.
 func (c *Conn) list() {
 	switch {
-	case c.parser.Begun():
+	case c.parser.HasMessageStarted():
 		c.s.begun.push(c)
 	case c.served:
 		c.s.idle.push(c)
@@ -155,9 +157,9 @@
 		return
 	}
 	switch {
-	case events&loop.Broken != 0: // whatever of it is not read yet
+	case events&loop.HangupOrError != 0: // whatever of it is not read yet
 		c.gone(closedReset)
-	case events&loop.Ended != 0 && c.stuck():
+	case events&loop.ReadHangup != 0 && c.stuck():
 		c.left()
 	case c.s.held && !c.busy: // what has come is read by whoever goes on with the connection
 	case events&(loop.In|loop.Hangup) != 0:
@@ -169,13 +171,13 @@
 func (c *Conn) gone(why closeReason) {
 	busy := c.busy
 	if c.up != nil {
-		c.up.pipe.End(false)
+		c.up.pipe.CloseWrite(false)
 		c.noUpload()
 	}
 	c.drop(why)
 	if busy {
 		c.busy = false
-		c.ln.front.Left(c)
+		c.ln.front.HandleClientGone(c)
 	}
 }
 
@@ -187,7 +189,7 @@
 	c.src.Close()
 	c.dropUpload()
 	if c.down != nil {
-		c.down.pipe.Drop()
+		c.down.pipe.CloseRead()
 		c.down = nil
 	}
 	c.unlist()
--- a/internal/net/downstream/end.go
+++ b/internal/net/downstream/end.go
@@ -28,7 +28,7 @@
 }
 
 func (c *Conn) endSending() {
-	if err := loop.EndSending(c.src.FD()); err != nil {
+	if err := loop.CloseWrite(c.src.FD()); err != nil {
 		c.drop(closeReason(err.Error()))
 		return
 	}
@@ -38,13 +38,13 @@
 // discard reads what still comes, one read a turn and not without end: a client that sends on and on must not
 // hold the loop.
 func (c *Conn) discard() {
-	n, err := loop.Read(c.src.FD(), c.s.loop.Buf())
+	n, err := loop.Read(c.src.FD(), c.s.loop.ReadBuffer())
 	c.dropped += n
 	switch {
 	case errors.Is(err, loop.ErrAgain):
 	case errors.Is(err, io.EOF) && len(c.out) > 0:
-		c.src.Want(loop.Out) // the client has ended its side and still takes the answer
-	case err != nil, c.dropped > c.s.lim.LingerBytes && !c.unread, c.dropped > c.s.lim.BodyBytes+c.s.lim.LingerBytes:
+		c.src.SetEvents(loop.Out) // the client has ended its side and still takes the answer
+	case err != nil, c.dropped > c.s.lim.MaxLingerBytes && !c.unread, c.dropped > c.s.lim.MaxBodyBytes+c.s.lim.MaxLingerBytes:
 		c.drop(closedAfterEnd)
 	}
 }
@@ -59,8 +59,8 @@
 // CloseListeners takes what still waits to be accepted, then takes no more, and ends idle connections. See Closed.
 func (s *Server) CloseListeners() { s.closeListeners(closeRetries) }
 
-// Closed tells whether no new connections are taken any more.
-func (s *Server) Closed() bool { return s.closed }
+// ListenersClosed tells whether no new connections are taken any more.
+func (s *Server) ListenersClosed() bool { return s.closed }
 
 func (s *Server) closeListeners(retries int) {
 	if s.closed {
@@ -78,7 +78,7 @@
 	for _, ln := range s.listeners {
 		// Another process of this ingress may hold the socket, too. Closed here alone, it would stay in our epoll
 		// and be told of for as long as anybody waits to be accepted.
-		ln.src.Mute()
+		ln.src.Unwatch()
 		ln.src.Close()
 	}
 	s.endIdle()
@@ -97,7 +97,7 @@
 		return
 	}
 	c.read()
-	if !c.busy && !c.lingering && !c.parser.Begun() {
+	if !c.busy && !c.lingering && !c.parser.HasMessageStarted() {
 		c.finish(why)
 	}
 }
@@ -109,10 +109,10 @@
 	}
 }
 
-// CutRelays ends the connections whose answers are still on their way and would pass for whole as the process ends.
-func (s *Server) CutRelays() {
+// AbortCloseDelimitedRelays ends the connections whose answers are still on their way and would pass for whole as the process ends.
+func (s *Server) AbortCloseDelimitedRelays() {
 	for c := range s.conns {
-		if c.down != nil && c.down.framing == http1.ByClose {
+		if c.down != nil && c.down.framing == http1.FramedByClose {
 			c.abort()
 		}
 	}
--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -15,7 +15,7 @@
 	s     *Server
 	src   *loop.Source
 	addr  string
-	front Front
+	front Handler
 	// waiting is since when connections may wait to be accepted, 0: none does that is known of. At watched that was last
 	// to be learnt from the system, which tells it at once.
 	waiting, watched time.Duration
@@ -24,7 +24,7 @@
 // late is how long a connection that is accepted now may have waited.
 func (ln *listener) late() time.Duration {
 	if ln.waiting == 0 {
-		return ln.s.loop.Late()
+		return ln.s.loop.MaxReadDelay()
 	}
 	return ln.s.loop.Now() - ln.waiting
 }
@@ -33,7 +33,7 @@
 func (ln *listener) leave() {
 	ln.watched = ln.s.loop.Now()
 	if ln.waiting == 0 {
-		ln.waiting = ln.watched - ln.s.loop.Late()
+		ln.waiting = ln.watched - ln.s.loop.MaxReadDelay()
 	}
 }
 
@@ -42,21 +42,21 @@
 
 // expire forgets that connections may wait where none was told of at once: those that come now have just come.
 func (ln *listener) expire() {
-	if !ln.s.paused && ln.s.loop.Now()-ln.watched > ln.s.loop.Late()+toldAtOnce {
+	if !ln.s.paused && ln.s.loop.Now()-ln.watched > ln.s.loop.MaxReadDelay()+toldAtOnce {
 		ln.waiting = 0
 	}
 }
 
 // Listen opens a listener for a front.
-func (s *Server) Listen(addr string, f Front) error {
-	fd, err := loop.ListenBeside(addr)
+func (s *Server) Listen(addr string, f Handler) error {
+	fd, err := loop.ListenReusePort(addr)
 	if err != nil {
 		return err
 	}
 	return s.watch(fd, addr, f)
 }
 
-func (s *Server) watch(fd int, addr string, f Front) (err error) {
+func (s *Server) watch(fd int, addr string, f Handler) (err error) {
 	ln := &listener{s: s, addr: addr, front: f}
 	events := uint32(loop.In)
 	if s.held {
@@ -72,9 +72,9 @@
 // Ready accepts what waits, up to a bound: those who connect by the hundred must not keep the others' answers.
 // After a time in which the process stood still all are taken: what they have sent meanwhile is as old as that.
 func (ln *listener) Ready(uint32) {
-	most := ln.s.lim.Accepts
-	if ln.s.loop.Late() > 0 {
-		most = ln.s.lim.Downstream
+	most := ln.s.lim.MaxAcceptsPerTurn
+	if ln.s.loop.MaxReadDelay() > 0 {
+		most = ln.s.lim.MaxDownstreamConns
 	}
 	ln.accept(most)
 }
@@ -86,7 +86,7 @@
 		if s.held {
 			break
 		}
-		if len(s.conns)+s.elsewhere >= s.lim.Downstream && !s.makeRoom() {
+		if len(s.conns)+s.elsewhere >= s.lim.MaxDownstreamConns && !s.makeRoom() {
 			s.pause("all connections busy")
 			break
 		}
@@ -95,7 +95,7 @@
 			ln.waiting = 0
 			return
 		}
-		if loop.OutOfDescriptors(err) && s.makeRoom() { // they are this process's: one less helps
+		if loop.IsOutOfDescriptors(err) && s.makeRoom() { // they are this process's: one less helps
 			continue
 		}
 		if err == nil {
@@ -113,7 +113,7 @@
 // it has sent.
 func (ln *listener) open(fd int) error {
 	s, now := ln.s, ln.s.loop.Now()
-	c := &Conn{s: s, ln: ln, parser: http1.NewRequestParser(s.lim.HeadBytes, s.lim.BodyBytes, s.lim.KeepBytes), since: now,
+	c := &Conn{s: s, ln: ln, parser: http1.NewRequestParser(s.lim.MaxHeaderBytes, s.lim.MaxBodyBytes, s.lim.MaxBufferedBodyBytes), since: now,
 		opened: now, moved: now}
 	if err := s.enter(c, fd); err != nil {
 		return err
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -53,13 +53,13 @@
 	if n == 0 {
 		return nil
 	}
-	if m.Once && p.reuse.risky(p.loop.Now()) {
+	if m.AtMostOnce && p.reuse.risky(p.loop.Now()) {
 		h.idle[0].close(errRisky)
 		return nil
 	}
 	for i := n - 1; i >= 0; i-- {
 		c := h.idle[i]
-		if m.Once && c.fresh() {
+		if m.AtMostOnce && c.fresh() {
 			continue
 		}
 		if !c.quiet() {
@@ -79,7 +79,7 @@
 // connection rest would cost a handshake wherever the next request waits for the answer before.
 func (c *conn) fresh() bool {
 	now := c.p.loop.Now()
-	return c.p.noisyAt > 0 && now-c.p.noisyAt < noiseMemory && now-c.since < c.p.lim.UpstreamRest
+	return c.p.noisyAt > 0 && now-c.p.noisyAt < noiseMemory && now-c.since < c.p.lim.UpstreamReuseDelay
 }
 
 // doubtful ends a connection whose answer may be a second one to the request before.
@@ -95,7 +95,7 @@
 // quiet tells whether nothing has come of a connection at rest, not even its end, which may wait to be read in
 // this turn: a request written now would be lost, or what belongs to no request be taken for its answer.
 func (c *conn) quiet() bool {
-	_, err := loop.Read(c.src.FD(), c.p.loop.Buf()[:1])
+	_, err := loop.Read(c.src.FD(), c.p.loop.ReadBuffer()[:1])
 	if err == nil {
 		c.p.noisyAt = c.p.loop.Now()
 	}
