--- a/admission/attempts.go
+++ b/admission/attempts.go
@@ -22,13 +22,16 @@
 	attemptTimeoutShare = 0.6
 	// Multiple of the expected wait that must fit the time left, as waits vary.
 	waitMargin = 1.3
-	// During a shortage, the longest wait of a request as a share of the targets of classes of more worth.
+	// Longest wait of a request, as a share of the latency targets of classes of more worth, while those find
+	// no server in time.
 	lowWorthTargetShare = 0.3
-	// Share of the requests of the class of most worth without a server in time that is a full shortage.
+	// Share of the requests of the class of most worth that find no server in time, from which the limit of
+	// other classes' waits applies in full.
 	shortageThreshold = 0.03
-	// EWMA weight of a request of that class in that share.
+	// EWMA weight of a request in the share of the class of most worth that finds no server in time.
 	shortageWeight = 0.02
-	// Time constant in seconds with which the share is forgotten: a rare class seldom updates it.
+	// Time constant in seconds with which the share of the class of most worth that finds no server in time
+	// is forgotten: a rare class seldom updates it.
 	shortageMemory = 10.0
 	// Interval at which held requests are tried again.
 	recheckInterval = 10 * time.Millisecond
--- a/admission/counter.go
+++ b/admission/counter.go
@@ -10,7 +10,8 @@
 const (
 	// Calls lost in a row that open the circuit breaker.
 	breakerThreshold = 4
-	// Factor on the query share for a call that is refused, lost or answered late.
+	// Factor on the query share (requests that query the counter, over all) for a call that is refused, lost
+	// or answered late.
 	queryShareCut = 0.8
 	// Query share regained with each answer in time.
 	queryShareGain = 0.01
@@ -27,7 +28,7 @@
 	counterBaselineWeight = 0.005
 	// Interval between the calls that test, while the breaker is open, whether the counter answers again.
 	counterProbeInterval = 250 * time.Millisecond
-	// Shortest mean interval between such calls of all gateways together.
+	// Shortest mean interval between the test calls of all gateways together while their breakers are open.
 	fleetProbeInterval = 10 * time.Millisecond
 )
 
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -21,41 +21,46 @@
 	counterWait = 25 * time.Millisecond
 	// Sum of the query shares of all gateways at their start; each begins with an equal part.
 	initialFleetQueryShare = 30.0
-	// Smallest share of requests that query the counter, however crowded it is.
+	// Smallest query share (requests that query the counter, over all) of a gateway, however crowded the
+	// counter is. The share of a single plan may fall to half of it.
 	minQueryShare = 0.1
-	// Share of the demand that fits the quota, below which a sparse gateway lets only a sample of the
-	// requests query the counter.
+	// Share of the demand that fits the quota, below which a sparse gateway (see isSparse) lets only a sample
+	// of the requests query the counter.
 	sampledFitThreshold = 0.5
 	// Query share below which the in-flight cap may be enforced by the demand counter alone.
 	inFlightCounterThreshold = 0.5
 	// Share of the in-flight cap that demand is cut to under the demand counter: random sampling does not
 	// see what is in flight, and sends beyond the cap cost.
 	capDemandShare = 0.25
-	// Window of the in-flight and demand counters. In-flight counts that are never returned end with it.
+	// Window length of the in-flight and demand counters. In-flight counts that are never returned end with
+	// their window.
 	inFlightWindow = 4 * time.Second
 	// Time constant in seconds with which observed demand is forgotten.
 	demandMemory = 10.0
 	// Units of demand that the mean of the plan counts for beside a customer's own observations.
 	demandPriorUnits = 4.0
-	// Demand assumed of a plan before any total is read, as a multiple of what fits the quota.
+	// Demand assumed of a plan with a rate before any total is read, as a multiple of what fits the quota.
 	initialQuotaDemand = 1.5
-	// The same for an in-flight cap, where the number in flight is unknown as well.
+	// Demand assumed of a plan with an in-flight cap before any total is read, as a multiple of what fits:
+	// the number in flight is unknown as well.
 	initialCapDemand = 2.5
-	// Time constant in seconds of the average rate used through other gateways.
+	// Time constant in seconds of the average rate that a customer uses through other gateways.
 	othersRateMemory = 2.0
 	// Average query share below which the use through other gateways is predicted between totals.
 	predictionThreshold = 0.5
-	// Query weight of a customer that has used nothing since the last total.
+	// Weight of a customer's queries, while few requests may query, if it has used nothing since the last
+	// total.
 	minUrgency = 0.5
-	// Query weight added in proportion to the share of the local tokens used since the last total.
+	// Weight of a customer's queries that is added in proportion to the share of its local tokens that was
+	// used since the last total.
 	urgencyFactor = 8.0
 	// EWMA weight of a request in the average query share.
 	queryShareWeight = 0.001
-	// Windows for which the shared counter keeps a name: the next window still reads it.
+	// Windows for which the shared counter keeps the name of a window: the next window still reads it.
 	counterTTLWindows = 2.5
 	// A customer that sends nothing for this time is dropped: by then its buckets are full again.
 	customerTTL = 90 * time.Second
-	// Interval between searches for such customers.
+	// Interval between searches for customers to drop.
 	expiryInterval = 5 * time.Second
 	// EWMA weight of a request in the mean time in flight.
 	timeInFlightWeight = 0.05
--- a/admission/servers.go
+++ b/admission/servers.go
@@ -14,7 +14,7 @@
 const (
 	// Latency in seconds that is assumed before any is known.
 	initialLatency = 0.1
-	// Share of a request's latency that is proportional to its units.
+	// Share of a request's expected latency that is proportional to its units.
 	unitsLatencyShare = 0.6
 	// EWMA weight of an answer in the latencies of its server.
 	latencyWeight = 0.15
@@ -26,7 +26,7 @@
 	maxConsecutiveErrors = 3
 	// EWMA weight of an answer in the share of requests that a server rejects.
 	rejectWeight = 0.15
-	// Time constant in seconds with which that share is forgotten for a server that gets nothing.
+	// Time constant in seconds with which the reject share of a server that gets nothing is forgotten.
 	rejectMemory = 5.0
 	// Largest reject share that is assumed of a server.
 	maxRejectShare = 0.9
@@ -56,9 +56,9 @@
 	throughputMemory = 1.0
 	// An answer is late after this share of the time in which it is of use.
 	lateThreshold = 0.5
-	// Factor on the admitted share for a late answer.
+	// Factor on the share of requests that is admitted, for a late answer.
 	admitShareCut = 0.9
-	// Increase of the admitted share with each answer, divided by the share itself.
+	// Increase of the share of requests that is admitted with each answer, divided by the share itself.
 	admitShareGain = 0.009
 	// A server is an outlier above this multiple of the mean relative latency of the servers in use.
 	outlierFactor = 1.4
@@ -71,7 +71,8 @@
 	timeoutShareWeight = 0.1
 	// Weight of a request in the decaying count of its class.
 	classMixWeight = 0.02
-	// Smallest admitted share, however late the answers: some requests must show when they are prompt again.
+	// Smallest share of requests that is admitted, however late the answers: some requests must show when
+	// answers are prompt again.
 	minAdmitShare = 0.01
 	// Exponent of a class's worth in the cost of refusing it: the classes of least worth are refused first.
 	// With 2 the least of them got less than half of an even share.
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -18,40 +18,39 @@
 // nothing: each is a value of its own that can be copied ahead. The rest is small and copied last. Classes and
 // plans are identified by name, as the successor may have other settings.
 
-// State is all that a gateway knows beyond its customers. Times are on the gateway's clock; the fields mean
-// what those of Gateway mean.
+// State is all that a gateway knows beyond its customers. Times are on the gateway's clock.
 type State struct {
 	Now          time.Duration
-	CeilingStart time.Duration
-	IsStarted    bool
-	Random       []byte // the random source, in its binary form
-	LogLines     int
+	CeilingStart time.Duration // from when the gateway's parts of ceilings fill, beginning empty
+	IsStarted    bool          // it has handled an event
+	Random       []byte        // the random source, in its binary form
+	LogLines     int           // lines written for the operator so far
 
-	CounterFailures   int
-	IsBreakerOpen     bool
+	CounterFailures   int  // counter calls lost in a row
+	IsBreakerOpen     bool // the circuit breaker of the counter
 	NextCounterProbe  time.Duration
-	CounterAnsweredAt time.Duration
-	CounterBaseline   time.Duration
-	CallsPerRequest   float64
-	QueryShare        float64
-	QueryShareAverage float64
-
-	RecheckAt          time.Duration
-	RetryBudget        float64
-	Answers            DecayingCount
-	TimeoutShare       float64
-	MeanLatency        float64 // seconds
-	MeanTimeInFlight   float64 // seconds
-	AdmitShare         float64
+	CounterAnsweredAt time.Duration // time of the counter's last answer
+	CounterBaseline   time.Duration // latency of a counter that is not crowded
+	CallsPerRequest   float64       // counter calls per request, EWMA
+	QueryShare        float64       // share of requests that query the counter
+	QueryShareAverage float64       // long-term EWMA of QueryShare
+
+	RecheckAt          time.Duration // when held requests are tried again
+	RetryBudget        float64       // retries that may be made
+	Answers            DecayingCount // good answers of all servers
+	TimeoutShare       float64       // share of attempts that time out, EWMA
+	MeanLatency        float64       // of good answers in seconds, EWMA
+	MeanTimeInFlight   float64       // from a request's first attempt to its end in seconds, EWMA
+	AdmitShare         float64       // share of requests that is admitted
 	Classes            []ClassState
 	Plans              []PlanState
 	Servers            []ServerHealth // in order of name
 	Requests           []RequestState // in order of id
 	Held               []uint64       // request ids, the oldest first
 	Calls              []CallState    // in order of name, those of one name the oldest first
-	LiveAttempts       float64
-	TopClassShortage   float64
-	TopClassShortageAt time.Duration // when TopClassShortage was computed
+	LiveAttempts       float64        // open attempts
+	TopClassShortage   float64        // share of requests of the class of most worth without a server in time
+	TopClassShortageAt time.Duration  // when TopClassShortage was computed
 }
 
 // DecayingCount is a count with exponential forgetting.
@@ -85,18 +84,18 @@
 // ServerHealth is a server of the list and what the gateway has seen of it.
 type ServerHealth struct {
 	Entry              ServerEntry
-	StartedAt          time.Duration // start of its warm-up; 0 means long ago
-	RelativeLatency    float64       // latency over the expected latency
-	Outstanding        []time.Duration
-	LastResponseAt     time.Duration
-	EjectedUntil       time.Duration
-	Failures           int // ejections since its last good answer
-	Errors             int // errors since its last good answer
-	ConnectionFailures int // lost connections since its last good answer
-	RejectShare        float64
-	RejectShareAt      time.Duration // when RejectShare was computed
-	RejectLatency      float64       // seconds
-	Throughput         DecayingCount
+	StartedAt          time.Duration   // start of its warm-up; 0 means long ago
+	RelativeLatency    float64         // latency over the expected latency, EWMA
+	Outstanding        []time.Duration // send times of the gateway's open attempts, in order
+	LastResponseAt     time.Duration   // last answer, error or rejection
+	EjectedUntil       time.Duration   // it gets no requests before
+	Failures           int             // ejections since its last good answer
+	Errors             int             // errors since its last good answer
+	ConnectionFailures int             // lost connections since its last good answer
+	RejectShare        float64         // share of its requests that it rejects
+	RejectShareAt      time.Duration   // when RejectShare was computed
+	RejectLatency      float64         // seconds until a rejection, EWMA
+	Throughput         DecayingCount   // good answers to the gateway
 }
 
 // WindowCounterState is one quantity of a customer on the shared counter.
@@ -104,9 +103,9 @@
 	Length      time.Duration
 	Phase       time.Duration // by how much its windows start early
 	Window      int64         // number of the present window
-	LastTotal   float64
-	LastTotalAt time.Duration
-	Pending     float64 // to be added with the next call
+	LastTotal   float64       // last total read in this window
+	LastTotalAt time.Duration // when it was read, or the start of the window
+	Pending     float64       // to be added with the next call
 }
 
 // CustomerState is what is known of one customer. Quantities are in units of its plan, times on the gateway's
@@ -118,17 +117,17 @@
 	QuotaCounter    WindowCounterState
 	InFlightCounter WindowCounterState
 	DemandCounter   WindowCounterState
-	Demand          DemandState
-	QuotaTokens     float64
-	CeilingTokens   float64
-	OthersRate      float64 // units a second used through other gateways
-	PredictedUsage  float64 // units predicted for other gateways since the last total
+	Demand          DemandState // through all gateways, relative to what fits
+	QuotaTokens     float64     // units left in the mirror of the quota; may be negative
+	CeilingTokens   float64     // units left in the gateway's part of the ceiling
+	OthersRate      float64     // units a second used through other gateways
+	PredictedUsage  float64     // units predicted for other gateways since the last total
 	LastSeen        time.Duration
-	QuotaTokensAt   time.Duration
-	CeilingTokensAt time.Duration
-	InFlight        int // requests
-	InFlightCounted float64
-	UnderCapShare   float64
+	QuotaTokensAt   time.Duration // when QuotaTokens was computed
+	CeilingTokensAt time.Duration // when CeilingTokens was computed
+	InFlight        int           // requests sent from the gateway that have not ended
+	InFlightCounted float64       // the gateway's part of the in-flight counter, or on the way there
+	UnderCapShare   float64       // share of recent totals that were under the in-flight cap, EWMA
 }
 
 // AttemptState is one attempt of a request.
@@ -153,10 +152,10 @@
 	InFlightCounted float64       // count on the in-flight counter, or on the way there
 	TokensTaken     float64       // local tokens taken for it
 	QuotaWindow     int64         // window of QuotaCounted
-	SlowStartSample float64       // in [0,1)
-	IsOverQuota     bool
-	WasSent         bool // it has had an attempt
-	IsDone          bool // its final answer is given
+	SlowStartSample float64       // in [0,1): selects the one server that may take its next attempt while cold
+	IsOverQuota     bool          // a total showed it to be over its quota or in-flight cap
+	WasSent         bool          // it has had an attempt
+	IsDone          bool          // its final answer is given
 	Attempts        []AttemptState
 	PriorServer     string // where it may have run first, if HasPrior
 	PriorZone       string
