--- a/admission/attempts.go
+++ b/admission/attempts.go
@@ -286,10 +286,10 @@
 	}
 }
 
-// adjustAdmitShare lowers the share of requests that are admitted while answers come late: with many
-// gateways, no limit of one gateway at one server shows the queue there. A prompt answer counts for the
-// requests that were not admitted, too, or few answers would show that the overload is over. It harms where
-// requests are long by nature.
+// adjustAdmitShare lowers the share of requests that are admitted while answers come late. Only a large fleet
+// does so: with many gateways, no limit of one gateway at one server shows the queue there. A prompt answer
+// counts for the requests that were not admitted, too, or few answers would show that the overload is over.
+// It harms where requests are long by nature.
 func (g *Gateway) adjustAdmitShare(isLate bool) {
 	if !g.isLargeFleet() {
 		return
--- a/admission/counter.go
+++ b/admission/counter.go
@@ -50,8 +50,8 @@
 	return g.now + max(counterProbeInterval, time.Duration(g.settings.Gateways)*fleetProbeInterval)
 }
 
-// counterSucceeded handles an answered call: it closes the breaker, and raises the query share or, if the
-// answer is late, lowers it. A counter that is far away but steady is not taken for crowded.
+// counterSucceeded handles an answered call. An answer in time raises the query share and closes the breaker;
+// a late one lowers the share. A counter that is far away but steady is not taken for crowded.
 func (g *Gateway) counterSucceeded(took time.Duration) {
 	g.counterFailures = 0
 	if g.counterBaseline == 0 || took < g.counterBaseline {
@@ -72,9 +72,10 @@
 }
 
 // decideLocally decides a request without waiting for the counter, by the local tokens. While the breaker is
-// open, each unit sent from here is charged for all gateways of the customer. At a sparse gateway that would
-// refuse nearly all, so a random sample is admitted there. It covers a counter that is slow, silent, crowded
-// or refusing; it is wrong when demand changes in the meantime.
+// open, or without a counter, each unit sent from here is charged for all gateways of the customer, unless
+// their use is predicted. At a sparse gateway the tokens would refuse nearly all, so if the settings have a
+// counter, a random sample is admitted there. This covers a counter that is slow, silent, crowded or
+// refusing; it is wrong when demand changes in the meantime.
 func (g *Gateway) decideLocally(r *request) {
 	c := r.customer
 	p := c.plan
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -22,7 +22,7 @@
 type State struct {
 	Now          time.Duration
 	CeilingStart time.Duration // from when the gateway's parts of ceilings fill, beginning empty
-	IsStarted    bool          // it has handled an event
+	IsStarted    bool          // it has handled an event or adopted a state
 	Random       []byte        // the random source, in its binary form
 	LogLines     int           // lines written for the operator so far
 
--- a/admission/state.go
+++ b/admission/state.go
@@ -26,7 +26,7 @@
 	counterCalls map[string][]*counterCall // not answered, by counter name, the oldest first
 
 	counterFailures   int           // counter calls lost in a row
-	isBreakerOpen     bool          // the circuit breaker is open: the counter is only probed
+	isBreakerOpen     bool          // the counter is only probed
 	nextCounterProbe  time.Duration // earliest time of the next probe
 	counterAnsweredAt time.Duration // time of the counter's last answer
 	counterBaseline   time.Duration // latency of a counter that is not crowded: a far one is slow all the same
@@ -51,7 +51,7 @@
 	meanTimeInFlight float64                 // time in seconds from the first attempt to the end of a request, EWMA
 	admitShare       float64                 // share of requests that is admitted, by how prompt answers are
 	queryExponents   []float64               // of each plan: the exponent of queryShare that gives its share
-	admitExponents   []float64               // of each class: the exponent of the admission level that gives its share; 1 for most worth
+	admitExponents   []float64               // of each class: the exponent of the admission level; 1 for most worth
 	planDemand       []demandEstimate        // of each plan: the demand of its customers, relative to what fits
 	totalsValidFrom  []time.Duration         // of each plan: from when totals show room under a ceiling, see suspendTotals
 }
