--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,11 +1,11 @@
-// Package core holds the streams: client requests that are owed one answer each, and
-// the upstream requests made for them. It knows no wire and decides nothing: it
-// gathers a turn's events, gives them to the decision module in one go and then
-// carries out what came back.
+// Package core tracks streams, which are clients' requests that are owed one answer each, and the upstream requests made
+// for them. It knows no wire protocol and decides nothing: each turn of the event loop it passes the events that have
+// occurred to the decision module and then carries out the actions that the module returned.
 package core
 
 import (
 	"log/slog"
+	"slices"
 	"time"
 
 	"ferryfront.example/ferryfront/admission"
@@ -13,209 +13,122 @@
 	"ferryfront.example/ferryfront/internal/timerq"
 )
 
-type attempt struct {
-	AttemptRecord
-	live bool
-	wait time.Duration // of one sent before its request was whole: from then on; 0: to the deadline
-}
-
-type stream struct {
-	id          uint64
-	key, order  string
-	payload     Payload
-	owner       Owner
-	began, ends time.Duration
-	class, plan int
-	customer    uint64
-	retry       bool
-	window      time.Duration // for which a repeat of its key is recognised, as its class said when it came
-	trace       Trace
-	expires     time.Duration // of one that is open: its time, once it is whole
-	open        bool
-	closed      bool
-	leaving     bool // its client has left, which the module has yet to be told
-	released    bool // what no two streams may have at a time is free again
-	timedOut    bool // its last upstream request ran out of time
-	attempts    []attempt
-	live        int
-}
-
-type due struct {
-	kind  timerKind
-	ref   Ref
-	token uint64
-}
-
+// probe is a pending health probe of a host.
 type probe struct {
-	host  string
-	began time.Duration
+	host      string
+	startedAt time.Duration
 }
 
-// Core is owned by the loop's goroutine.
+// Core tracks the streams of one process. It has no locks: all methods are called by the goroutine of the event loop.
+// Times are readings of the loop's clock.
 type Core struct {
-	decider   Decider
-	upstreams Upstreams
-	counter   Counter
-	cluster   Cluster
-	observer  Observer
-	figures   *figures.Metrics
-	log       *slog.Logger
-	margin    time.Duration
-
-	now     time.Duration
-	lastID  uint64
-	streams map[uint64]*stream
-	keys    map[string]struct{} // of the streams
-	probes  map[uint64]probe
-	open    int // streams not ended
-	coming  int // those of them whose requests are not whole
-	timers  timerq.Queue[due]
-	events  []admission.Event
-	spare   []admission.Event
-	actions []admission.Action
-	leaving []*stream // see stream.leaving
-	orders  orders
-
-	debugs   bool             // the log takes debug lines
-	reason   admission.Reason // of the end that the module has just ordered
-	turning  bool             // actions are being carried out
-	held     bool             // the module is given nothing yet
-	witness  HandoverObserver
-	parking  bool // counter calls wait,
-	dropping bool // or are a successor's to make
-	parked   []admission.CounterAdd
-	theirs   map[uint64]StreamState // of the predecessor
+	decider        Decider
+	upstreams      Upstreams
+	counter        Counter
+	cluster        Cluster
+	observer       Observer // may be nil
+	metrics        *figures.Metrics
+	log            *slog.Logger
+	deadlineMargin time.Duration
+
+	now                   time.Duration
+	lastID                uint64 // last id given to a stream or probe
+	streams               map[uint64]*stream
+	requestIDs            map[string]struct{} // of the tracked streams and the predecessor's
+	probes                map[uint64]probe
+	openStreams           int // streams that have not ended
+	partialStreams        int // open streams whose request has not fully arrived
+	timers                timerq.Queue[timer]
+	events                []admission.Event // for the module's next turn
+	spareEvents           []admission.Event // the previous turn's slice, reused
+	actions               []admission.Action
+	unreportedDisconnects []*stream // see stream.isDisconnectUnreported
+	idempotencyKeys       keyTable
+
+	isDebugEnabled     bool
+	endReason          admission.Reason // of the end that the module has just ordered, for the debug log
+	isExecuting        bool             // actions are being carried out
+	isHeld             bool             // the module is given no events yet
+	handoverObserver   HandoverObserver // nil unless a handover is in progress
+	parksCounterCalls  bool             // counter calls wait in parkedCounterCalls
+	dropsCounterCalls  bool             // counter calls are left to the successor
+	parkedCounterCalls []admission.CounterAdd
+	predecessorStreams map[uint64]StreamState // the predecessor's streams that have not finished
 }
 
-// Config holds what a core is built of. Margin is how long before the client's own deadline
-// an answer has to be on its way.
+// Config holds the dependencies and settings of a Core.
 type Config struct {
-	Decider        Decider
-	Upstreams      Upstreams
-	Counter        Counter
-	Cluster        Cluster
-	Observer       Observer         // may be nil
-	Metrics        *figures.Metrics // may be nil: nobody reads them
-	Log            *slog.Logger
+	Decider   Decider
+	Upstreams Upstreams
+	Counter   Counter
+	Cluster   Cluster
+	Observer  Observer         // may be nil
+	Metrics   *figures.Metrics // may be nil
+	Log       *slog.Logger
+	// DeadlineMargin is how long before the client's own deadline a stream must be answered.
 	DeadlineMargin time.Duration
-	RepeatWindows  []time.Duration // by class, for which a repeat of its key is recognised; 0: it carries none
+	// RepeatWindows holds for each class how long a repeat of an idempotency key is recognised. 0: the class has no keys.
+	RepeatWindows []time.Duration
 }
 
 // New returns a core without streams.
-func New(c Config) *Core {
-	if c.Metrics == nil {
-		c.Metrics = &figures.Metrics{}
+func New(config Config) *Core {
+	if config.Metrics == nil {
+		config.Metrics = &figures.Metrics{}
 	}
-	return &Core{decider: c.Decider, upstreams: c.Upstreams, counter: c.Counter, cluster: c.Cluster,
-		observer: c.Observer, figures: c.Metrics, log: c.Log, margin: c.DeadlineMargin,
-		streams: map[uint64]*stream{}, keys: map[string]struct{}{}, probes: map[uint64]probe{},
-		orders: orders{windows: c.RepeatWindows, byKey: map[string]*order{}, places: map[string]place{}},
-		theirs: map[uint64]StreamState{}, debugs: DebugEnabled(c.Log)}
+	return &Core{decider: config.Decider, upstreams: config.Upstreams, counter: config.Counter, cluster: config.Cluster,
+		observer: config.Observer, metrics: config.Metrics, log: config.Log, deadlineMargin: config.DeadlineMargin,
+		streams: map[uint64]*stream{}, requestIDs: map[string]struct{}{}, probes: map[uint64]probe{},
+		idempotencyKeys: keyTable{repeatWindows: config.RepeatWindows, entries: map[string]*keyEntry{},
+			hostLocations: map[string]location{}},
+		predecessorStreams: map[uint64]StreamState{}, isDebugEnabled: DebugEnabled(config.Log)}
 }
 
-// Observed tells whether anybody is told of streams' ends, and so whether traces are worth keeping.
+// HasObserver reports whether ended streams are observed, and so whether Request.Trace is used.
 func (c *Core) HasObserver() bool { return c.observer != nil }
 
-// OpenStreams tells how many streams are owed an answer.
-func (c *Core) OpenStreams() int { return c.open }
+// OpenStreams returns the number of streams that are owed an answer.
+func (c *Core) OpenStreams() int { return c.openStreams }
 
-// TrackedStreams tells how many are open or have something out still.
+// TrackedStreams returns the number of streams that are open or have pending upstream requests.
 func (c *Core) TrackedStreams() int { return len(c.streams) }
 
-// HasPendingEvents tells whether the module has not seen all that has happened.
+// CompleteRequests returns the number of open streams whose request has fully arrived.
+func (c *Core) CompleteRequests() int { return c.openStreams - c.partialStreams }
+
+// HasPendingEvents reports whether there are events that the module has not seen.
 func (c *Core) HasPendingEvents() bool { return len(c.events) > 0 }
 
-// AdvanceClock sets the time of the turn that begins.
+// AdvanceClock sets the core's time to now, unless that would set it back.
 func (c *Core) AdvanceClock(now time.Duration) { c.now = max(c.now, now) }
 
-// Arrive opens a stream and returns its id, which is the core's own. It returns 0 and opens none where a
-// stream with the same key or order is open, or something of it is still out: upstream hosts would take one
-// for a second copy of the other.
-func (c *Core) StartStream(now time.Duration, r Request) uint64 {
-	c.AdvanceClock(now)
-	window := c.orders.window(r.Class)
-	if window == 0 {
-		r.IdempotencyKey = ""
-	}
-	c.orders.expire(c.now)
-	c.callOff(r.IdempotencyKey)
-	if r.IdempotencyKey != "" && c.orders.open(r.IdempotencyKey) {
-		c.traceTurnedDown(r, "its idempotency key is open")
-		c.tally(r.Class, Failed) // the front answers with an error
-		return 0
-	}
-	if r.RequestID != "" {
-		if _, taken := c.keys[r.RequestID]; taken {
-			c.traceTurnedDown(r, "its id is open")
-			c.tally(r.Class, Failed)
-			return 0
-		}
-		c.keys[r.RequestID] = struct{}{}
-	}
-	c.lastID++
-	ev := r.RequestArrived
-	ev.ID = c.lastID
-	ev.ExpiresIn = max(0, ev.ExpiresIn-c.margin)
-	if r.IdempotencyKey != "" {
-		ev.PriorAttempt = c.orders.earlier(r.IdempotencyKey, c.now)
-		c.orders.begin(r.IdempotencyKey, ev.ID)
-	}
-	s := &stream{id: ev.ID, key: r.RequestID, order: r.IdempotencyKey, payload: r.Payload, owner: r.Owner, began: c.now, ends: c.now + ev.ExpiresIn,
-		class: ev.Class, plan: ev.Plan, customer: ev.Customer, retry: ev.IsRetry, window: window,
-		trace: r.Trace}
-	c.streams[s.id] = s
-	c.open++
-	if r.IsIncomplete {
-		s.open, s.expires, s.ends = true, ev.ExpiresIn, c.now+openMost
-		c.coming++
-	} else {
-		c.runOut(s)
-	}
-	c.traceArrived(s, ev.ExpiresIn)
-	c.events = append(c.events, ev)
-	return s.id
-}
+// SetCounter replaces the counter for all further calls.
+func (c *Core) SetCounter(counter Counter) { c.counter = counter }
 
-// UpstreamEnded takes the outcome of an upstream request. The first good answer is the stream's.
-func (c *Core) UpstreamEnded(now time.Duration, ref Ref, o admission.Outcome, a Answer) {
+// UpdateSettings applies new settings from the next event on. Streams that are open keep the settings they started with.
+func (c *Core) UpdateSettings(now time.Duration, settings admission.Settings) {
 	c.AdvanceClock(now)
-	s := c.streams[ref.Stream]
-	if s == nil || ref.Attempt >= len(s.attempts) || !s.attempts[ref.Attempt].live {
-		drop(a)
-		return
-	}
-	t := &s.attempts[ref.Attempt]
-	t.live, t.Outcome, t.Took = false, o, c.now-t.Began
-	c.traceAttemptEnded(s, ref, t.Host, o, t.Took)
-	s.live--
-	s.timedOut = o == admission.TimedOut
-	if o == admission.OK && !s.closed {
-		c.end(s, End{Kind: Served, Answer: a})
-	} else {
-		drop(a)
-	}
-	if s.order != "" && unran(o) {
-		c.orders.unran(s.order, t.Host, t.Began)
-	}
-	ev := admission.AttemptEnded{ID: s.id, Attempt: ref.Attempt, Server: t.Host, Outcome: o, Took: t.Took, Done: s.closed,
-		Billed: a.Billed, NotReplayable: gone(s.payload)}
-	c.events = append(c.events, ev)
-	if c.witness != nil {
-		c.witness.AttemptEnded(ev, c.now)
-	}
-	c.forget(s)
+	c.idempotencyKeys.repeatWindows = RepeatWindows(settings.Classes)
+	c.events = append(c.events, admission.SettingsChanged{Settings: settings})
 }
 
-// ProbeEnded takes the outcome of a probe.
-func (c *Core) ProbeEnded(now time.Duration, ref Ref, o admission.Outcome) {
+// Enqueue adds an event that belongs to no stream after the module's pending events.
+func (c *Core) Enqueue(ev admission.Event) { c.events = append(c.events, ev) }
+
+// EnqueueFirst adds an event before all pending ones, including those left over from the last turn. It serves events that
+// withdraw something, such as a share of a budget, which none of the pending events may use any more.
+func (c *Core) EnqueueFirst(ev admission.Event) { c.events = slices.Insert(c.events, 0, ev) }
+
+// ProbeEnded reports the outcome of a probe. It ignores probes that have ended before.
+func (c *Core) ProbeEnded(now time.Duration, ref Ref, outcome admission.Outcome) {
 	c.AdvanceClock(now)
 	if p, ok := c.probes[ref.Stream]; ok {
 		delete(c.probes, ref.Stream)
-		c.events = append(c.events, admission.ProbeEnded{Server: p.host, Took: c.now - p.began, Outcome: o})
+		c.events = append(c.events, admission.ProbeEnded{Server: p.host, Took: c.now - p.startedAt, Outcome: outcome})
 	}
 }
 
-// Counted takes the answer to a counter call.
+// CounterCallEnded reports the result of a counter call.
 func (c *Core) CounterCallEnded(ev admission.CounterAnswered) {
 	c.events = append(c.events, ev)
 	if c.observer != nil {
@@ -223,8 +136,8 @@
 	}
 }
 
-// List takes discovery's news.
+// ServerListReceived reports a host list, or changes of it, from discovery.
 func (c *Core) ServerListReceived(ev admission.ServerList) {
-	c.orders.list(ev)
+	c.idempotencyKeys.updateLocations(ev)
 	c.events = append(c.events, ev)
 }
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -1,4 +1,8 @@
-// Package downstream holds the client side: listeners and client connections.
+// Package downstream accepts client connections, reads HTTP requests from them, and writes the responses.
+//
+// A [Server] owns all listeners and connections. Everything runs on the goroutine of one event loop; no method may be
+// called from another goroutine, and none blocks. The package never decides how a request is answered: it passes each
+// one to the [Handler] of its listener, which also learns when a connection fails before the response.
 package downstream
 
 import (
@@ -11,188 +15,216 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Handler is given the requests of its listener. It answers each with one [Conn.Reply], at once or later.
+// Handler receives the requests of a listener. It answers each one with a single [Conn.Reply] or [Conn.Relay], at once
+// or later.
 type Handler interface {
+	// HandleRequest is called with each request. The body of a streamed request (r.IsStreamed) is still being received.
 	HandleRequest(c *Conn, r *http1.Request)
-	HandleClientGone(c *Conn)   // the client of an unanswered request has gone
-	HandleBodyComplete(c *Conn) // the body of a request that was open has come to its end
-	HandleMalformed(c *Conn, status int, what string)
+
+	// HandleClientGone is called when a request is given up before its response is complete: the client has
+	// disconnected, or the body of a streamed request is invalid or too slow. In the latter cases HandleMalformed
+	// follows. If the response is already being relayed, c.StreamID is 0.
+	HandleClientGone(c *Conn)
+
+	// HandleBodyComplete is called when the body of a streamed, unanswered request has been received completely.
+	HandleBodyComplete(c *Conn)
+
+	// HandleMalformed is called for input that is not a valid request, or a request that arrives too slowly. status
+	// and message are the status code and the text of the error response, which the handler sends with [Conn.Reply].
+	HandleMalformed(c *Conn, status int, message string)
 }
 
-// Server holds all client connections, of every front, and their common bound.
+// Server holds the client connections of all listeners and enforces their common limit.
 type Server struct {
 	loop      *loop.Loop
-	lim       limits.Limits
+	bounds    limits.Limits
 	log       *slog.Logger
-	listeners []*listener
+	listeners []*clientListener
 	conns     map[*Conn]struct{}
-	fresh     list // connections that have shown nothing yet, the oldest first
-	begun     list // those of which part of a request has come, longest without more of it first
-	idle      list // connections between requests, longest idle first
-	leaving   list // those whose answer is all that is left, the oldest first
-	paused    bool // listeners are not watched: no descriptors
-	shut      bool // a connection could not be accepted since this was last set to false
-	draining  bool
-	closed    bool          // no new connections
-	toldAt    time.Duration // when the operator was last told of a pause
-	held      bool          // nobody is read: another process is about to take over
-	hand      func(ConnState, int)
-	debugs    bool   // the log takes debug lines
-	accepted  uint64 // connections, from the start
-	uploads   int    // requests whose bodies are passed on while they come
-	elsewhere int    // connections that another process holds
+
+	// The connections that may be evicted, by state, each list with the first candidate in front.
+	newConns  connList // not served yet, and no request begun; oldest first
+	receiving connList // part of a request received; longest without input first
+	idle      connList // served, and no request begun; longest idle first
+	lingering connList // last response written and sending side closed; oldest first
+
+	acceptPaused     bool                 // the listeners are not polled, for want of connections or descriptors
+	acceptFailed     bool                 // an accept has failed since this was last cleared
+	draining         bool                 // every response closes its connection
+	listenersClosed  bool                 // no new connections are accepted
+	pauseLoggedAt    time.Duration        // last time that an accept pause was logged
+	suspended        bool                 // no new input is read while another process takes over
+	transfer         func(ConnState, int) // receives connections that are handed over; nil: no handover
+	debugEnabled     bool                 // the log accepts debug records
+	acceptedTotal    uint64               // connections accepted or adopted since the start
+	activeUploads    int                  // request bodies that are forwarded while they are received
+	predecessorConns int                  // client connections that the predecessor process still holds
 }
 
-// New returns a server without listeners.
-func New(l *loop.Loop, lim limits.Limits, log *slog.Logger) *Server {
-	s := &Server{loop: l, lim: lim, log: log, conns: map[*Conn]struct{}{}, debugs: core.DebugEnabled(log)}
-	l.After(sweepEvery, s.sweep)
+// New returns a server without listeners that runs on the given loop.
+func New(l *loop.Loop, bounds limits.Limits, log *slog.Logger) *Server {
+	s := &Server{loop: l, bounds: bounds, log: log, conns: map[*Conn]struct{}{}, debugEnabled: core.DebugEnabled(log)}
+	l.After(sweepInterval, s.sweep)
 	return s
 }
 
-// sweepEvery is how often connections are checked for having been silent too long.
-const sweepEvery = 250 * time.Millisecond
+// sweepInterval is the time between two checks of all connections for timeouts.
+const sweepInterval = 250 * time.Millisecond
 
+// sweep enforces the timeouts of all connections: linger, relay progress, request arrival and idle.
 func (s *Server) sweep() {
-	s.loop.After(sweepEvery, s.sweep)
+	s.loop.After(sweepInterval, s.sweep)
 	now := s.loop.Now()
 	for c := range s.conns {
 		switch {
-		case c.lingering && now-c.since > c.lingerTime():
-			c.drop(closedLingered)
-		case c.down != nil:
-			if now-c.down.moved > s.lim.RelayStallTimeout {
-				c.gone(closedNoProgress)
+		case c.lingering && now-c.phaseSince > c.lingerTimeout():
+			c.close(closedLingerTimeout)
+		case c.relay != nil:
+			if now-c.relay.progressAt > s.bounds.RelayStallTimeout {
+				c.disconnect(closedNoProgress)
 			}
-		case c.up != nil && c.slow(now):
-			c.cut()
-			c.malformed(408, "request not whole in time")
-		case s.held: // not read, so what it has not shown is not its fault
-		case c.busy || c.lingering:
+		case c.upload != nil && c.isUploadTooSlow(now):
+			c.abortUpload()
+			c.rejectRequest(408, "request not whole in time")
+		case s.suspended: // nothing is read, so missing input is not the client's fault
+		case c.awaitingResponse || c.lingering:
 		case c.parser.HasMessageStarted():
-			if now-c.since > s.lim.RequestTimeout(c.parser.BodyBytesRead()) {
-				c.malformed(408, "request not whole in time")
+			if now-c.phaseSince > s.bounds.RequestTimeout(c.parser.BodyBytesRead()) {
+				c.rejectRequest(408, "request not whole in time")
 			}
-		case !c.served && now-c.opened > s.lim.FirstRequestTimeout, now-c.since > s.lim.DownstreamIdleTimeout:
-			c.finishUnlessAsked(closedIdle)
+		case !c.wasServed && now-c.openedAt > s.bounds.FirstRequestTimeout, now-c.phaseSince > s.bounds.DownstreamIdleTimeout:
+			c.closeIfIdle(closedIdle)
 		}
 	}
 }
 
-// Drain begins the end: every answer from now on closes its connection.
+// Drain starts the shutdown: every response from now on closes its connection.
 func (s *Server) Drain() { s.draining = true }
 
-// IsAccepting tells whether new connections are taken and read.
+// IsAccepting reports whether new connections are accepted and read.
 func (s *Server) IsAccepting() bool {
-	return len(s.listeners) > 0 && !s.held && !s.closed && !s.draining
+	return len(s.listeners) > 0 && !s.suspended && !s.listenersClosed && !s.draining
 }
 
-// OpenConnections tells how many are open.
+// OpenConnections returns the number of client connections that this process holds.
 func (s *Server) OpenConnections() int { return len(s.conns) }
 
-// Conn is one client connection. It carries one request at a time; what a client sends ahead waits.
+// Conn is one client connection. It carries one request at a time; pipelined requests wait in the buffer.
 type Conn struct {
-	StreamID    uint64 // the front's mark of the request that is being answered
-	TraceParent string // traceparent that its answer gives back, empty for none
-
-	s          *Server
-	number     uint64 // in the log
-	src        *loop.Source
-	ln         *listener
-	parser     *http1.RequestParser
-	out        []byte        // not written yet
-	since      time.Duration // idle, or ending; of a request that has begun, its first byte
-	opened     time.Duration
-	moved      time.Duration // bytes last came
-	arrivals   arrivals      // of what is not parsed yet
-	came       time.Duration // when the last byte of the present request did
-	served     bool          // it has had an answer that is no complaint
-	dropped    int           // bytes read after the end
-	dumped     int           // of what was sent too far ahead
-	unread     bool          // of a request that was answered before it had come
-	busy       bool          // a request awaits its answer
-	head       bool          // its method is HEAD
-	old        bool          // it is of HTTP/1.0
-	up         *upload       // of the present request's body, nil if it is whole
-	down       *download     // of the present answer's, nil if it was given whole
-	last       bool          // close after the present answer
-	lingering  bool          // our side has ended; what still comes is read and dropped
-	parsing    bool
-	prev, next *Conn // in the list that it is in
-	in         *list
+	// StreamID identifies the stream of the current request. The handler sets it; the response clears it.
+	StreamID uint64
+
+	// TraceParent is the traceparent header of the next response; empty: none. The handler sets it.
+	TraceParent string
+
+	server   *Server
+	id       uint64 // number of the connection in the log
+	source   *loop.Source
+	listener *clientListener
+	parser   *http1.RequestParser
+	unsent   []byte // response bytes that the socket has not taken yet
+
+	// phaseSince is when the current phase began: idle, receiving a request (its first byte), or lingering.
+	phaseSince time.Duration
+	openedAt   time.Duration
+	lastReadAt time.Duration // last time that bytes were received, or that the connection became idle
+
+	arrivals         arrivals      // arrival times of the buffered input
+	requestArrivedAt time.Duration // arrival of the last parsed byte of the current request
+
+	wasServed      bool // has had a response other than a client error; 429 counts as served
+	discardedBytes int  // input bytes discarded while lingering
+	overflowBytes  int  // pipelined bytes discarded because they exceeded the buffer
+	hasUnreadBody  bool // a request was answered or given up before its body had been received
+
+	awaitingResponse   bool           // a request is unanswered or its response is being relayed
+	isHead             bool           // the method of the current request is HEAD
+	isHTTP10           bool           // the current request is of HTTP/1.0
+	upload             *bodyUpload    // the request body that is still being received; nil: none
+	relay              *responseRelay // the response body that is still being relayed; nil: none
+	closeAfterResponse bool           // the current response is the last one
+	lingering          bool           // no more is sent after unsent; input is read and discarded
+	parsing            bool           // parseRequests is on the call stack
+
+	prev, next *Conn     // neighbors in list
+	list       *connList // the list that holds the connection; nil: none
 }
 
-// Now is the time of this turn.
-func (c *Conn) Now() time.Duration { return c.s.loop.Now() }
+// Now returns the time of the current loop turn.
+func (c *Conn) Now() time.Duration { return c.server.loop.Now() }
 
-// RequestAge is how long ago the present request came: its client's patience began then.
-func (c *Conn) RequestAge() time.Duration { return max(0, c.Now()-c.came) }
+// RequestAge returns the time since the current request arrived, which is when the timeout that its client states
+// began to run.
+func (c *Conn) RequestAge() time.Duration { return max(0, c.Now()-c.requestArrivedAt) }
 
+// setIdle starts the idle phase after a response.
 func (c *Conn) setIdle() {
-	c.since = c.s.loop.Now()
-	c.moved = c.since
+	c.phaseSince = c.server.loop.Now()
+	c.lastReadAt = c.phaseSince
 	c.parser.ReleaseIdleBuffers()
-	c.list()
+	c.addToEvictionList()
 }
 
-// list enters a connection on which nothing is owed among those that may have to make room.
-func (c *Conn) list() {
+// addToEvictionList makes a connection without an unanswered request eligible for eviction.
+func (c *Conn) addToEvictionList() {
 	switch {
 	case c.parser.HasMessageStarted():
-		c.s.begun.push(c)
-	case c.served:
-		c.s.idle.push(c)
+		c.server.receiving.push(c)
+	case c.wasServed:
+		c.server.idle.push(c)
 	default:
-		c.s.fresh.push(c)
+		c.server.newConns.push(c)
 	}
 }
 
-// Ready reads, writes, or learns that the client has gone.
+// Ready handles the connection's readiness events: it writes, reads, or detects that the client has disconnected.
 func (c *Conn) Ready(events uint32) {
 	if events&loop.Out != 0 && !c.flush() {
 		return
 	}
 	if c.lingering {
-		c.discard()
+		c.discardInput()
 		return
 	}
 	switch {
-	case events&loop.HangupOrError != 0: // whatever of it is not read yet
-		c.gone(closedReset)
-	case events&loop.ReadHangup != 0 && c.stuck():
-		c.left()
-	case c.s.held && !c.busy: // what has come is read by whoever goes on with the connection
+	case events&loop.HangupOrError != 0: // unread input is of no use any more
+		c.disconnect(closedReset)
+	case events&loop.ReadHangup != 0 && c.isUploadBlocked():
+		c.closeBlockedUpload()
+	case c.server.suspended && !c.awaitingResponse: // the process that continues the connection reads its input
 	case events&(loop.In|loop.Hangup) != 0:
 		c.read()
 	}
 }
 
-// gone: the client has closed, or the connection is of no more use to it.
-func (c *Conn) gone(why closeReason) {
-	busy := c.busy
-	if c.up != nil {
-		c.up.pipe.CloseWrite(false)
-		c.noUpload()
+// disconnect closes a connection that is gone or useless to its client, and notifies the handler if a request is
+// unanswered.
+func (c *Conn) disconnect(reason closeReason) {
+	awaitingResponse := c.awaitingResponse
+	if c.upload != nil {
+		c.upload.pipe.CloseWrite(false)
+		c.clearUpload()
 	}
-	c.drop(why)
-	if busy {
-		c.busy = false
-		c.ln.front.HandleClientGone(c)
+	c.close(reason)
+	if awaitingResponse {
+		c.awaitingResponse = false
+		c.listener.handler.HandleClientGone(c)
 	}
 }
 
-func (c *Conn) drop(why closeReason) {
-	if c.src.FD() < 0 {
+// close closes the socket at once and releases what the connection holds. It does not notify the handler.
+func (c *Conn) close(reason closeReason) {
+	if c.source.FD() < 0 {
 		return
 	}
-	c.traceClosed(why)
-	c.src.Close()
-	c.dropUpload()
-	if c.down != nil {
-		c.down.pipe.CloseRead()
-		c.down = nil
+	c.traceClosed(reason)
+	c.source.Close()
+	c.discardUpload()
+	if c.relay != nil {
+		c.relay.pipe.CloseRead()
+		c.relay = nil
 	}
-	c.unlist()
-	delete(c.s.conns, c)
-	c.s.resume()
+	c.removeFromList()
+	delete(c.server.conns, c)
+	c.server.resumeAccepting()
 }
--- /dev/null
+++ b/internal/net/downstream/eviction.go
@@ -0,0 +1,101 @@
+package downstream
+
+import (
+	"time"
+
+	"ferryfront.example/ferryfront/internal/net/loop"
+)
+
+// evictOne closes one connection to make room for a new one, and reports whether it did. HTTP allows a server to close
+// any connection that is eligible.
+//
+// It chooses a lingering connection if there is one, else the one that has been silent for the longest weighted time,
+// so that a slow client keeps its connection as long as it writes. Idle connections that have been served are eligible
+// only while unserved ones hold at most half of the places. Otherwise a flood of new connections would push out regular
+// clients, whose connections would then soon be new ones, too; further clients wait in the kernel's queue instead.
+func (s *Server) evictOne() bool {
+	if c := s.lingering.first; c != nil {
+		c.close(closedEvicted)
+		return true
+	}
+	for range maxEvictionTries {
+		c := s.evictionCandidate()
+		if c == nil {
+			return false
+		}
+		c.read() // a request that has arrived meanwhile is answered
+		if c.source.FD() < 0 {
+			return true
+		}
+		if c.list != nil && c.lastReadAt < s.loop.Now() {
+			c.closeGracefully(closedEvicted)
+			c.close(closedEvicted)
+			return true
+		}
+	}
+	return false
+}
+
+// maxEvictionTries is the number of candidates that may turn out not to be silent before evictOne gives up.
+const maxEvictionTries = 8
+
+// evictionCandidate returns the connection without an unanswered request that has the longest weighted silence, or nil
+// if none has been silent for EvictionGrace.
+func (s *Server) evictionCandidate() *Conn {
+	now := s.loop.Now()
+	var candidate *Conn
+	longest := time.Duration(0)
+	consider := func(l *connList, weight time.Duration) {
+		if c := l.first; c != nil && now-c.lastReadAt > s.bounds.EvictionGrace && weight*(now-c.lastReadAt) > longest {
+			candidate, longest = c, weight*(now-c.lastReadAt)
+		}
+	}
+	consider(&s.newConns, newConnWeight)
+	consider(&s.receiving, 1)
+	if s.newConns.length+s.receiving.length <= s.bounds.MaxDownstreamConns/2 {
+		consider(&s.idle, servedConnWeight)
+	}
+	return candidate
+}
+
+// Weights of a connection's silence. The silence of a connection that is sending a request has the weight 1.
+const (
+	newConnWeight    = 4 // not served yet, and no request begun
+	servedConnWeight = 2 // served, and no request begun
+)
+
+// pauseAccepting leaves new connections in the kernel's queue until a connection closes or EvictionGrace has passed.
+func (s *Server) pauseAccepting(cause string) {
+	s.acceptFailed = true
+	if s.acceptPaused {
+		return
+	}
+	s.acceptPaused = true
+	if now := s.loop.Now(); s.pauseLoggedAt == 0 || now-s.pauseLoggedAt > pauseLogInterval {
+		s.pauseLoggedAt = now
+		s.log.Warn("accepting paused", "connections", len(s.conns), "cause", cause)
+	}
+	for _, ln := range s.listeners {
+		ln.source.SetEvents(0)
+	}
+	s.loop.After(s.bounds.EvictionGrace, s.resumeAccepting)
+}
+
+// pauseLogInterval is the minimum time between two log records of a pause, since a flood causes many pauses.
+const pauseLogInterval = 10 * time.Second
+
+// resumeAccepting ends a pause, unless the server is suspended or its listeners are closed.
+func (s *Server) resumeAccepting() {
+	if s.acceptPaused && !s.listenersClosed && !s.suspended {
+		s.acceptPaused = false
+		s.watchListeners()
+	}
+}
+
+// watchListeners polls the listeners again.
+func (s *Server) watchListeners() {
+	for _, ln := range s.listeners {
+		ln.armedAt = s.loop.Now()
+		ln.source.SetEvents(loop.In)
+	}
+}
--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -9,131 +9,137 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Listeners: connections are accepted, and it is known how long they may have waited for that.
+// clientListener is a listening socket. It tracks how long connections may have waited to be accepted, since a client's
+// timeout runs during that wait, too.
+type clientListener struct {
+	server  *Server
+	source  *loop.Source
+	address string // as configured, ip:port
+	handler Handler
 
-type listener struct {
-	s     *Server
-	src   *loop.Source
-	addr  string
-	front Handler
-	// waiting is since when connections may wait to be accepted, 0: none does that is known of. At watched that was last
-	// to be learnt from the system, which tells it at once.
-	waiting, watched time.Duration
+	// backlogSince is the time since which connections may be waiting to be accepted; 0: none is known to wait.
+	// armedAt is when polling last resumed, or accept last left connections waiting. epoll reports connections that
+	// wait at that time at once.
+	backlogSince, armedAt time.Duration
 }
 
-// late is how long a connection that is accepted now may have waited.
-func (ln *listener) late() time.Duration {
-	if ln.waiting == 0 {
-		return ln.s.loop.MaxReadDelay()
+// backlogDelay returns how long a connection that is accepted now may have waited.
+func (ln *clientListener) backlogDelay() time.Duration {
+	if ln.backlogSince == 0 {
+		return ln.server.loop.MaxReadDelay()
 	}
-	return ln.s.loop.Now() - ln.waiting
+	return ln.server.loop.Now() - ln.backlogSince
 }
 
-// leave notes that connections may be left waiting.
-func (ln *listener) leave() {
-	ln.watched = ln.s.loop.Now()
-	if ln.waiting == 0 {
-		ln.waiting = ln.watched - ln.s.loop.MaxReadDelay()
+// noteBacklog records that connections may still be waiting.
+func (ln *clientListener) noteBacklog() {
+	ln.armedAt = ln.server.loop.Now()
+	if ln.backlogSince == 0 {
+		ln.backlogSince = ln.armedAt - ln.server.loop.MaxReadDelay()
 	}
 }
 
-// toldAtOnce is the time after which the system has surely told of connections that were left waiting.
-const toldAtOnce = 10 * time.Millisecond
+// readinessDelay is the time within which epoll has certainly reported connections that were left waiting.
+const readinessDelay = 10 * time.Millisecond
 
-// expire forgets that connections may wait where none was told of at once: those that come now have just come.
-func (ln *listener) expire() {
-	if !ln.s.paused && ln.s.loop.Now()-ln.watched > ln.s.loop.MaxReadDelay()+toldAtOnce {
-		ln.waiting = 0
+// expireBacklog clears the backlog if epoll did not report one at once: connections that are accepted now are new.
+func (ln *clientListener) expireBacklog() {
+	if !ln.server.acceptPaused && ln.server.loop.Now()-ln.armedAt > ln.server.loop.MaxReadDelay()+readinessDelay {
+		ln.backlogSince = 0
 	}
 }
 
-// Listen opens a listener for a front.
-func (s *Server) Listen(addr string, f Handler) error {
-	fd, err := loop.ListenReusePort(addr)
+// Listen opens a listener on an address of the form ip:port. It fails if the address can't be bound.
+func (s *Server) Listen(address string, h Handler) error {
+	fd, err := loop.ListenReusePort(address)
 	if err != nil {
 		return err
 	}
-	return s.watch(fd, addr, f)
+	return s.addListener(fd, address, h)
 }
 
-func (s *Server) watch(fd int, addr string, f Handler) (err error) {
-	ln := &listener{s: s, addr: addr, front: f}
+// addListener polls a listening socket, unless the server is suspended.
+func (s *Server) addListener(fd int, address string, h Handler) (err error) {
+	ln := &clientListener{server: s, address: address, handler: h}
 	events := uint32(loop.In)
-	if s.held {
+	if s.suspended {
 		events = 0
 	}
-	if ln.src, err = s.loop.Watch(fd, events, ln); err != nil {
-		return fmt.Errorf("listen on %s: %w", addr, err)
+	if ln.source, err = s.loop.Watch(fd, events, ln); err != nil {
+		return fmt.Errorf("listen on %s: %w", address, err)
 	}
 	s.listeners = append(s.listeners, ln)
 	return nil
 }
 
-// Ready accepts what waits, up to a bound: those who connect by the hundred must not keep the others' answers.
-// After a time in which the process stood still all are taken: what they have sent meanwhile is as old as that.
-func (ln *listener) Ready(uint32) {
-	most := ln.s.lim.MaxAcceptsPerTurn
-	if ln.s.loop.MaxReadDelay() > 0 {
-		most = ln.s.lim.MaxDownstreamConns
+// Ready accepts waiting connections, up to a maximum per turn so that a burst of connections does not delay responses.
+// After a stall of the process it accepts all of them, because only this turn knows how old their input may be.
+func (ln *clientListener) Ready(uint32) {
+	limit := ln.server.bounds.MaxAcceptsPerTurn
+	if ln.server.loop.MaxReadDelay() > 0 {
+		limit = ln.server.bounds.MaxDownstreamConns
 	}
-	ln.accept(most)
+	ln.accept(limit)
 }
 
-func (ln *listener) accept(most int) {
-	s := ln.s
-	ln.expire()
-	for range most {
-		if s.held {
+// accept accepts up to limit connections. At the connection limit it evicts one for each, and if it can't, it pauses
+// accepting.
+func (ln *clientListener) accept(limit int) {
+	server := ln.server
+	ln.expireBacklog()
+	for range limit {
+		if server.suspended {
 			break
 		}
-		if len(s.conns)+s.elsewhere >= s.lim.MaxDownstreamConns && !s.makeRoom() {
-			s.pause("all connections busy")
+		if len(server.conns)+server.predecessorConns >= server.bounds.MaxDownstreamConns && !server.evictOne() {
+			server.pauseAccepting("connection limit reached and no connection can be evicted")
 			break
 		}
-		fd, err := loop.Accept(ln.src.FD())
+		fd, err := loop.Accept(ln.source.FD())
 		if errors.Is(err, loop.ErrAgain) {
-			ln.waiting = 0
+			ln.backlogSince = 0
 			return
 		}
-		if loop.IsOutOfDescriptors(err) && s.makeRoom() { // they are this process's: one less helps
+		if loop.IsOutOfDescriptors(err) && server.evictOne() { // closing a connection frees a descriptor of this process
 			continue
 		}
 		if err == nil {
-			err = ln.open(fd)
+			err = ln.openConn(fd)
 		}
-		if err != nil { // the machine is short of something: the connections that there are stay
-			s.pause(err.Error())
+		if err != nil { // the machine is short of a resource: the existing connections are kept
+			server.pauseAccepting(err.Error())
 			break
 		}
 	}
-	ln.leave()
+	ln.noteBacklog()
 }
 
-// open begins a connection. One that may have waited is read at once: in the next turn nothing would tell how old is what
-// it has sent.
-func (ln *listener) open(fd int) error {
-	s, now := ln.s, ln.s.loop.Now()
-	c := &Conn{s: s, ln: ln, parser: http1.NewRequestParser(s.lim.MaxHeaderBytes, s.lim.MaxBodyBytes, s.lim.MaxBufferedBodyBytes), since: now,
-		opened: now, moved: now}
-	if err := s.enter(c, fd); err != nil {
+// openConn registers an accepted connection. One that may have waited is read at once, because the next turn can't tell
+// how old its input is.
+func (ln *clientListener) openConn(fd int) error {
+	s, now := ln.server, ln.server.loop.Now()
+	c := &Conn{server: s, listener: ln,
+		parser:     http1.NewRequestParser(s.bounds.MaxHeaderBytes, s.bounds.MaxBodyBytes, s.bounds.MaxBufferedBodyBytes),
+		phaseSince: now, openedAt: now, lastReadAt: now}
+	if err := s.register(c, fd); err != nil {
 		return err
 	}
-	if late := ln.late(); late > 0 {
-		c.readLate(late)
+	if delay := ln.backlogDelay(); delay > 0 {
+		c.readDelayed(delay)
 	}
 	return nil
 }
 
-// enter watches a connection's descriptor, or closes it.
-func (s *Server) enter(c *Conn, fd int) (err error) {
-	if c.src, err = s.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
+// register polls a connection's socket and adds the connection to the server. It closes the descriptor on failure.
+func (s *Server) register(c *Conn, fd int) (err error) {
+	if c.source, err = s.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
 		loop.CloseFD(fd)
 		return err
 	}
-	s.accepted++
-	c.number = s.accepted
+	s.acceptedTotal++
+	c.id = s.acceptedTotal
 	s.conns[c] = struct{}{}
 	c.traceOpened()
-	c.list()
+	c.addToEvictionList()
 	return nil
 }
--- /dev/null
+++ b/internal/net/downstream/response.go
@@ -0,0 +1,95 @@
+package downstream
+
+import (
+	"ferryfront.example/ferryfront/internal/net/http1"
+	"ferryfront.example/ferryfront/internal/net/loop"
+)
+
+// Reply answers the current request with a complete response. It does nothing if the connection is closed or has no
+// unanswered request.
+func (c *Conn) Reply(status int, h http1.Headers, body []byte) {
+	if c.source.FD() < 0 || !c.awaitingResponse {
+		return
+	}
+	c.awaitingResponse, c.StreamID = false, 0
+	h = c.withTraceParent(h)
+	if c.upload != nil { // the rest of the request is read and discarded
+		c.closeAfterResponse = true
+		c.discardUpload()
+	}
+	c.wasServed = c.wasServed || status < 400 || status == 429 || status >= 500
+	c.closeAfterResponse = c.closeAfterResponse || c.server.draining
+	if !c.write(http1.AppendResponse(nil, status, h, body, c.closeAfterResponse, c.isHead)) {
+		return
+	}
+	c.finishResponse()
+}
+
+// withTraceParent returns the headers with the traceparent header of the response added, if there is one.
+func (c *Conn) withTraceParent(h http1.Headers) http1.Headers {
+	if c.TraceParent != "" {
+		h = append(h[:len(h):len(h)], http1.Header{Name: "traceparent", Value: c.TraceParent})
+		c.TraceParent = ""
+	}
+	return h
+}
+
+// finishResponse continues after a response has been written or buffered: it closes the connection, hands it over, or
+// processes the next request.
+func (c *Conn) finishResponse() {
+	if c.closeAfterResponse {
+		c.closeGracefully(closedAfterResponse)
+		return
+	}
+	c.setIdle()
+	switch {
+	case c.server.transfer != nil && !c.parsing:
+		c.handOver()
+	case c.server.suspended:
+		c.updateEvents()
+	case c.parser.Buffered() > 0:
+		c.parseRequests()
+	}
+}
+
+// write sends what the socket takes and buffers the rest. It reports whether the connection is still open.
+func (c *Conn) write(b []byte) bool {
+	if len(c.unsent) > 0 {
+		c.unsent = append(c.unsent, b...)
+		return true
+	}
+	n, err := loop.Write(c.source.FD(), b)
+	if err != nil {
+		c.disconnect(closeReason(err.Error()))
+		return false
+	}
+	if n < len(b) {
+		c.unsent = append(c.unsent, b[n:]...)
+		c.updateEvents()
+	}
+	return true
+}
+
+// flush sends buffered output, and continues a relay or a graceful close once all of it is sent. It reports whether the
+// connection is still open.
+func (c *Conn) flush() bool {
+	n, err := loop.Write(c.source.FD(), c.unsent)
+	if err != nil {
+		c.disconnect(closeReason(err.Error()))
+		return false
+	}
+	if c.unsent = c.unsent[n:]; len(c.unsent) == 0 {
+		c.unsent = nil
+		if c.lingering {
+			c.shutdownWrite()
+		}
+		c.pumpRelay()
+		if c.source.FD() < 0 {
+			return false
+		}
+	} else if n > 0 && c.relay != nil {
+		c.relay.progressAt = c.server.loop.Now()
+	}
+	c.updateEvents()
+	return true
+}
--- a/internal/net/upstream/flow_test.go
+++ b/internal/net/upstream/body_test.go
@@ -17,43 +17,44 @@
 	"ferryfront.example/ferryfront/internal/net/nettest"
 )
 
-// told stands for the core.
-type told struct {
+// recordingSink records the outcomes and answers of upstream requests.
+type recordingSink struct {
 	outcomes []admission.Outcome
 	answers  []core.Answer
 }
 
-func (s *told) UpstreamEnded(_ time.Duration, _ core.Ref, o admission.Outcome, a core.Answer) {
+func (s *recordingSink) UpstreamEnded(_ time.Duration, _ core.Ref, o admission.Outcome, a core.Answer) {
 	s.outcomes, s.answers = append(s.outcomes, o), append(s.answers, a)
 }
-func (*told) ProbeEnded(time.Duration, core.Ref, admission.Outcome) {}
+func (*recordingSink) ProbeEnded(time.Duration, core.Ref, admission.Outcome) {}
 
-// pool is one with a single host, which does as it is told with each connection.
-func pool(t *testing.T, host func(net.Conn)) (*loop.Loop, *Pool, *told) {
-	addr := nettest.Serve(t, func(c net.Conn) {
+// newTestPool returns a pool with a single host named "h". The function host serves each connection to it.
+func newTestPool(t *testing.T, host func(net.Conn)) (*loop.Loop, *Pool, *recordingSink) {
+	address := nettest.Serve(t, func(c net.Conn) {
 		t.Cleanup(func() { c.Close() })
 		host(c)
 	})
 	l, err := loop.New()
 	require.NoError(t, err)
-	lim, err := limits.For(limits.Site{Sockets: 256, MemoryMB: 64, Ingresses: 1})
+	bounds, err := limits.For(limits.Site{Sockets: 256, MemoryMB: 64, Ingresses: 1})
 	require.NoError(t, err)
-	lim.RelayStallTimeout, lim.UpstreamIdleTimeout, lim.UpstreamReuseDelay = 50*time.Millisecond, time.Minute, 0
-	whole, sink := uint64(0), &told{}
-	p := New(l, lim, slog.New(slog.DiscardHandler), &whole)
+	bounds.RelayStallTimeout, bounds.UpstreamIdleTimeout, bounds.UpstreamReuseDelay = 50*time.Millisecond, time.Minute, 0
+	requestsWritten, sink := uint64(0), &recordingSink{}
+	p := New(l, bounds, slog.New(slog.DiscardHandler), &requestsWritten)
 	p.SetSink(sink)
-	p.Host("h", addr, 0, false)
+	p.SetHost("h", address, 0, false)
 	return l, p, sink
 }
 
-// A host that takes nothing of a body is given up: it has not run, and what was written is gone.
-func TestAHostThatTakesNothingOfABody(t *testing.T) {
-	l, p, sink := pool(t, func(net.Conn) {})
-	rest := flow.New(64<<10, 64<<20)
-	fill := func() { rest.Append(make([]byte, rest.FreeSpace())) }
-	rest.OnFreeSpace = func() { l.After(0, fill) }
+// A host stops reading a request body. The request must fail as unreachable, since it can't have run, and its message
+// can't be sent again, since part of the body is consumed.
+func TestHostStopsReadingBody(t *testing.T) {
+	l, p, sink := newTestPool(t, func(net.Conn) {})
+	body := flow.New(64<<10, 64<<20)
+	fill := func() { body.Append(make([]byte, body.FreeSpace())) }
+	body.OnFreeSpace = func() { l.After(0, fill) }
 	fill()
-	m := &Message{Method: "POST", Target: "/", BodyPipe: rest}
+	m := &Message{Method: "POST", Target: "/", BodyPipe: body}
 	p.Start(core.Ref{Stream: 1}, "h", m, time.Minute)
 	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 })
 	require.Equal(t, []admission.Outcome{admission.Unreachable}, sink.outcomes)
@@ -61,21 +62,23 @@
 	require.Zero(t, p.OpenConnections())
 }
 
-// A host that has begun a long answer and says no more is given up, and who takes the answer can tell.
-func TestAHostThatGivesNoMore(t *testing.T) {
-	l, p, sink := pool(t, func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nbegin") })
+// A host stalls in the middle of a relayed response. The connection must be closed, and the pipe marked as truncated.
+func TestHostStallsDuringResponse(t *testing.T) {
+	l, p, sink := newTestPool(t, func(c net.Conn) {
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nbegin")
+	})
 	p.Start(core.Ref{Stream: 1}, "h", &Message{Method: "GET", Target: "/"}, time.Minute)
 	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 })
 	require.Equal(t, []admission.Outcome{admission.OK}, sink.outcomes)
-	rest := BodyPipe(sink.answers[0])
-	require.Equal(t, int64(100000), rest.ContentLength)
-	nettest.Until(t, l, rest.IsTruncated)
+	body := BodyPipe(sink.answers[0])
+	require.Equal(t, int64(100000), body.ContentLength)
+	nettest.Until(t, l, body.IsTruncated)
 	require.Zero(t, p.OpenConnections())
 }
 
-// An answer that nobody takes any more lets go of its connection.
-func TestALongAnswerThatNobodyTakes(t *testing.T) {
-	l, p, sink := pool(t, func(c net.Conn) {
+// The client of a relayed response disconnects. The upstream connection must be closed.
+func TestDroppedRelayClosesConnection(t *testing.T) {
+	l, p, sink := newTestPool(t, func(c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10000000\r\n\r\n")
 		_, _ = c.Write(make([]byte, 10000000))
 	})
@@ -86,11 +89,11 @@
 	require.Zero(t, p.OpenConnections())
 }
 
-// The true units of a good answer come with it; what is not a whole number from 1 up tells nothing.
-func TestTheTrueUnitsOfAnAnswer(t *testing.T) {
+// X-Units-Charged is passed on with a successful response. A value that is not a whole number from 1 up is ignored.
+func TestChargedUnits(t *testing.T) {
 	for header, want := range map[string]int{"X-Units-Charged: 4\r\n": 4, "X-Units-Charged: four\r\n": 0,
 		"X-Units-Charged: 0\r\n": 0, "": 0} {
-		l, p, sink := pool(t, func(c net.Conn) {
+		l, p, sink := newTestPool(t, func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+header+"Content-Length: 2\r\n\r\nok")
 		})
 		p.Start(core.Ref{Stream: 1}, "h", &Message{Method: "GET", Target: "/"}, time.Minute)
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -10,121 +10,133 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Whether a kept connection is good enough for a request that must not run twice. A host, or what stands before
-// it, may drop kept connections without a word: the next request on one is reset, and nobody can tell whether it
-// ran. One that may be repeated loses little by it. One that must never run twice is lost, for the price of a
-// handshake. So what became of requests on kept and on new connections is watched, and while kept ones lose
-// visibly more, such requests go on new ones.
+// This file decides whether a request may use an idle connection. A host, or a proxy in front of it, may drop idle
+// connections silently. The next request on such a connection is reset, and it is not known whether it ran. A request
+// that may be repeated loses little by that. A request that must run at most once fails, which a new connection would
+// have prevented for the cost of a handshake. So the pool compares the reset rates of reused and of new connections.
+// While reused ones are reset visibly more often, at-most-once requests use new ones.
 
 const (
-	reuseGain   = 0.01 // EWMA weight of one request in the part reset, on kept and on new connections
-	reuseMemory = 60.0 // seconds for which that is remembered while nothing is seen
-	reuseLoss   = 0.01 // part lost more on kept than on new ones that is worth a handshake, its cost in a request's
-	// work: 1 to 2 ms of 100
-	reuseSoon = 25 * time.Millisecond // a reset this soon after the writing is the connection's, later the host's
+	// resetRateWeight is the EWMA weight of one request in a reset rate.
+	resetRateWeight = 0.01
+
+	// resetRateMemory is the time constant, in seconds, with which a reset rate decays without requests.
+	resetRateMemory = 60.0
+
+	// maxExtraResetRate is the difference of the reset rates from which on a handshake is the smaller cost. It is the
+	// cost of a handshake relative to the work of a request: 1 to 2 ms of 100 ms.
+	maxExtraResetRate = 0.01
+
+	// resetWindow is the time after the request is written within which a reset is attributed to the connection. A
+	// later one is attributed to the host.
+	resetWindow = 25 * time.Millisecond
 )
 
-// noiseMemory is for how long it is remembered that bytes came which nobody had asked for.
-const noiseMemory = time.Minute
+// unsolicitedMemory is how long duplicate responses are expected after unsolicited bytes on an idle connection.
+const unsolicitedMemory = time.Minute
 
-// reuse is what was seen of resets.
-type reuse struct{ kept, fresh estimate.FadingAverage }
+// resetStats holds the rates, from 0 to 1, of requests that are reset on reused and on newly dialed connections.
+type resetStats struct{ reused, dialed estimate.FadingAverage }
 
-// learn takes in the end of a request: whether it was reset before a byte of its answer came, soon after it was
-// written.
-func (r *reuse) learn(now time.Duration, kept, reset bool) {
-	of := &r.fresh
-	if kept {
-		of = &r.kept
+// record adds the end of a request: whether it was reset soon after it was written, before a byte of its response
+// arrived.
+func (r *resetStats) record(now time.Duration, reused, reset bool) {
+	rate := &r.dialed
+	if reused {
+		rate = &r.reused
 	}
-	of.LearnBool(now, reuseMemory, reuseGain, reset)
+	rate.LearnBool(now, resetRateMemory, resetRateWeight, reset)
 }
 
-// risky tells whether kept connections lose so many more than new ones that a handshake costs less.
-func (r *reuse) risky(now time.Duration) bool {
-	return r.kept.Now(now, reuseMemory)-r.fresh.Now(now, reuseMemory) > reuseLoss
+// isReuseRisky reports whether reused connections are reset so much more often than new ones that a handshake costs
+// less.
+func (r *resetStats) isReuseRisky(now time.Duration) bool {
+	return r.reused.Now(now, resetRateMemory)-r.dialed.Now(now, resetRateMemory) > maxExtraResetRate
 }
 
-// keeps returns the kept connection that a message is to go on, nil: a new one. Where one is passed over as
-// risky, the oldest makes room, so that there are no more of them than without. What must not run twice goes on
-// none that has just answered: a second answer to the request before may follow, see [conn.fresh].
-func (p *Pool) keeps(h *host, m *Message) *conn {
+// takeIdle returns the idle connection that a message is to use, or nil for a new one. If reuse is too risky for the
+// message, it closes the oldest idle connection, so that the number of connections does not grow. An at-most-once
+// message does not use a connection on which a duplicate response may still arrive, see [conn.mayReceiveDuplicate].
+func (p *Pool) takeIdle(h *upstreamHost, m *Message) *conn {
 	n := len(h.idle)
 	if n == 0 {
 		return nil
 	}
-	if m.AtMostOnce && p.reuse.risky(p.loop.Now()) {
-		h.idle[0].close(errRisky)
+	if m.AtMostOnce && p.resetStats.isReuseRisky(p.loop.Now()) {
+		h.idle[0].close(errReuseRisky)
 		return nil
 	}
 	for i := n - 1; i >= 0; i-- {
 		c := h.idle[i]
-		if m.AtMostOnce && c.fresh() {
+		if m.AtMostOnce && c.mayReceiveDuplicate() {
 			continue
 		}
-		if !c.quiet() {
-			c.close(errNotQuiet)
+		if !c.isQuiet() {
+			c.close(errUnexpectedInput)
 			continue
 		}
 		h.idle = slices.Delete(h.idle, i, i+1)
-		c.kept = true
+		c.isReused = true
 		return c
 	}
 	return nil
 }
 
-// fresh tells whether a kept connection's last answer is so new that a second one to the same request may still
-// follow, as some have of late. What is said to be served then may be that one: nothing tells the two apart, and
-// it is taken for a connection that broke. Where nobody sends second answers a fast host is believed; to have each
-// connection rest would cost a handshake wherever the next request waits for the answer before.
-func (c *conn) fresh() bool {
-	now := c.p.loop.Now()
-	return c.p.noisyAt > 0 && now-c.p.noisyAt < noiseMemory && now-c.since < c.p.lim.UpstreamReuseDelay
+// mayReceiveDuplicate reports whether a duplicate of the previous response may still arrive: the pool has received
+// unsolicited bytes lately, and the previous response is younger than UpstreamReuseDelay. A duplicate can't be
+// distinguished from the response to the next request, so a successful response in that time counts as a broken
+// connection. Without unsolicited bytes a fast host is trusted: to let each connection rest would cost a handshake
+// wherever the next request only waits for the previous response.
+func (c *conn) mayReceiveDuplicate() bool {
+	now := c.pool.loop.Now()
+	return c.pool.unsolicitedAt > 0 && now-c.pool.unsolicitedAt < unsolicitedMemory &&
+		now-c.idleSince < c.pool.bounds.UpstreamReuseDelay
 }
 
-// doubtful ends a connection whose answer may be a second one to the request before.
-func (c *conn) doubtful(resp *http1.Response) bool {
-	if !c.kept || c.probe || resp.Status != 200 || !c.fresh() {
+// failPossibleDuplicate fails the request if its successful response may be a duplicate of the previous one. It reports
+// whether it did.
+func (c *conn) failPossibleDuplicate(resp *http1.Response) bool {
+	if !c.isReused || c.isProbe || resp.Status != 200 || !c.mayReceiveDuplicate() {
 		return false
 	}
-	c.wrote = 0 // no reset of the host's
-	c.fail(errSecond)
+	c.writtenAt = 0 // keeps fail from recording a reset
+	c.fail(errPossibleDuplicate)
 	return true
 }
 
-// quiet tells whether nothing has come of a connection at rest, not even its end, which may wait to be read in
-// this turn: a request written now would be lost, or what belongs to no request be taken for its answer.
-func (c *conn) quiet() bool {
-	_, err := loop.Read(c.src.FD(), c.p.loop.ReadBuffer()[:1])
+// isQuiet reports whether an idle connection has no unread input, neither bytes nor the end of the stream, which may be
+// waiting in this turn. Otherwise a request written now would be lost, or the stray bytes be taken for its response.
+func (c *conn) isQuiet() bool {
+	_, err := loop.Read(c.source.FD(), c.pool.loop.ReadBuffer()[:1])
 	if err == nil {
-		c.p.noisyAt = c.p.loop.Now()
+		c.pool.unsolicitedAt = c.pool.loop.Now()
 	}
 	return errors.Is(err, loop.ErrAgain)
 }
 
-// makeRoom closes the connection that has been idle longest.
-func (p *Pool) makeRoom() bool {
+// evictIdle closes the connection that has been idle longest, and reports whether there was one.
+func (p *Pool) evictIdle() bool {
 	var oldest *conn
 	for _, h := range p.hosts {
-		if len(h.idle) > 0 && (oldest == nil || h.idle[0].since < oldest.since) {
+		if len(h.idle) > 0 && (oldest == nil || h.idle[0].idleSince < oldest.idleSince) {
 			oldest = h.idle[0]
 		}
 	}
 	if oldest != nil {
-		oldest.close(errForRoom)
+		oldest.close(errEvicted)
 	}
 	return oldest != nil
 }
 
-// rest keeps the connection for the next request.
-func (c *conn) rest() {
-	c.since = c.p.loop.Now()
+// keepIdle keeps the connection for the next request, hands it over, or closes it if its host has changed.
+func (c *conn) keepIdle() {
+	c.idleSince = c.pool.loop.Now()
 	switch {
-	case c.p.hosts[c.h.name] != c.h, c.h.leaving, c.addr != c.h.addr:
-		c.close(errNotKept)
-	case c.p.hand != nil:
-		c.give()
+	case c.pool.hosts[c.host.name] != c.host, c.host.leaving, c.address != c.host.address:
+		c.close(errHostChanged)
+	case c.pool.transfer != nil:
+		c.handOver()
 	default:
-		c.h.idle = append(c.h.idle, c)
+		c.host.idle = append(c.host.idle, c)
 	}
 }
--- a/internal/net/upstream/upstream.go
+++ b/internal/net/upstream/upstream.go
@@ -1,5 +1,9 @@
-// Package upstream holds the connections to upstream hosts and carries out upstream
-// requests on them, one at a time on each.
+// Package upstream sends upstream requests and probes to the upstream hosts and reads their responses.
+//
+// A [Pool] owns all connections; each carries one request at a time. Everything runs on the goroutine of one event
+// loop; no method may be called from another goroutine, and none blocks. The package never chooses a host and never
+// retries: it reports the outcome of each request to its [Sink], and if a connection fails, whether the request may
+// have run.
 package upstream
 
 import (
@@ -15,194 +19,212 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Sink is told how upstream requests end.
+// Sink receives the outcomes of upstream requests and probes. Each one that is started ends with one call, possibly
+// within the call that starts it, unless it is cancelled.
 type Sink interface {
+	// UpstreamEnded reports the outcome of an upstream request. The answer is set if a response was received. Its body
+	// may still be in transfer, see [BodyPipe].
 	UpstreamEnded(now time.Duration, ref core.Ref, o admission.Outcome, a core.Answer)
+
+	// ProbeEnded reports the outcome of a probe.
 	ProbeEnded(now time.Duration, ref core.Ref, o admission.Outcome)
 }
 
-// Pool holds the connections of all upstream hosts.
+// Pool holds the connections to all upstream hosts.
 type Pool struct {
 	loop   *loop.Loop
-	lim    limits.Limits
+	bounds limits.Limits
 	log    *slog.Logger
 	sink   Sink
-	hosts  map[string]*host
-	out    map[core.Ref]*conn
-	relays map[*conn]struct{} // those that pass an answer on
-	conns  int
-	debugs bool          // the log takes debug lines
-	whole  *uint64       // counts requests written whole, probes aside
-	told   time.Duration // when the operator was last told of one not opened
-	reuse  reuse
-
-	noisyAt time.Duration // when bytes last came that nobody had asked for, 0: never
-
-	elsewhere int // connections that another process of this ingress holds
-	hand      func(host string, since time.Duration, fd int)
+	hosts  map[string]*upstreamHost // by name
+
+	active    map[core.Ref]*conn // requests and probes without an outcome
+	relays    map[*conn]struct{} // connections whose response body is being relayed
+	connCount int                // open connections, idle ones included
+
+	debugEnabled      bool          // the log accepts debug records
+	requestsWritten   *uint64       // number of requests written completely, without probes
+	dialErrorLoggedAt time.Duration // last time that a failed dial was logged
+
+	resetStats    resetStats
+	unsolicitedAt time.Duration // last time that an idle connection received bytes; 0: never
+
+	// predecessorConns is the number of upstream connections that the predecessor process still holds.
+	predecessorConns int
+
+	// transfer receives the connections that become idle; nil: no handover.
+	transfer func(host string, since time.Duration, fd int)
 }
 
-// New returns a pool that knows no hosts. SetSink must follow before the first request.
-// whole counts the requests that have been written whole.
-func New(l *loop.Loop, lim limits.Limits, log *slog.Logger, whole *uint64) *Pool {
-	p := &Pool{loop: l, lim: lim, log: log, whole: whole, hosts: map[string]*host{}, out: map[core.Ref]*conn{},
-		relays: map[*conn]struct{}{}, debugs: core.DebugEnabled(log)}
-	l.After(sweepEvery, p.sweep)
+// New returns a pool without hosts that runs on the given loop. SetSink must be called before the first request. The
+// pool increments requestsWritten for each request that is written completely, except probes.
+func New(l *loop.Loop, bounds limits.Limits, log *slog.Logger, requestsWritten *uint64) *Pool {
+	p := &Pool{loop: l, bounds: bounds, log: log, requestsWritten: requestsWritten, hosts: map[string]*upstreamHost{},
+		active: map[core.Ref]*conn{}, relays: map[*conn]struct{}{}, debugEnabled: core.DebugEnabled(log)}
+	l.After(sweepInterval, p.sweep)
 	return p
 }
 
-// SetSink names who is told of outcomes.
+// SetSink sets the receiver of the outcomes.
 func (p *Pool) SetSink(s Sink) { p.sink = s }
 
-// logEvery: connections that can't be opened, to an address that can't be read or for want of room, are told
-// of so often, however many requests meet them.
-const logEvery = 10 * time.Second
+// dialErrorLogInterval is the minimum time between two log records of a failed dial, for example to an invalid address
+// or at the connection limit, since many requests may fail in the same way.
+const dialErrorLogInterval = 10 * time.Second
 
-// sweepEvery is how often idle connections are looked through.
-const sweepEvery = 500 * time.Millisecond
+// sweepInterval is the time between two checks of all connections for timeouts.
+const sweepInterval = 500 * time.Millisecond
 
-// sweep drops connections before the other side would: a request written as it closes is a reset,
-// and may have run.
+// sweep closes idle connections before the host would, because a request that is written while the host closes is reset
+// and may have run. It also fails stalled transfers.
 func (p *Pool) sweep() {
-	p.loop.After(sweepEvery, p.sweep)
+	p.loop.After(sweepInterval, p.sweep)
 	now := p.loop.Now()
 	for _, h := range p.hosts {
-		if p.conns == 0 { // of thousands of hosts none need be looked through
+		if p.connCount == 0 { // there may be thousands of hosts; skip them all
 			break
 		}
 		old := 0
-		for old < len(h.idle) && now-h.idle[old].since+sweepEvery >= p.lim.UpstreamIdleTimeout {
+		for old < len(h.idle) && now-h.idle[old].idleSince+sweepInterval >= p.bounds.UpstreamIdleTimeout {
 			old++
 		}
 		for _, c := range append([]*conn(nil), h.idle[:old]...) {
-			c.close(errIdle)
+			c.close(errIdleTimeout)
 		}
 	}
-	p.silent(now)
+	p.failStalled(now)
 }
 
-// OpenConnections tells how many are open.
-func (p *Pool) OpenConnections() int { return p.conns }
+// OpenConnections returns the number of upstream connections that this process holds, idle ones included.
+func (p *Pool) OpenConnections() int { return p.connCount }
 
-// conn is one connection.
+// conn is one connection to an upstream host. It is connecting, carries a request, relays a response, or is idle.
 type conn struct {
-	p       *Pool
-	h       *host
-	addr    string // of the host, when it was opened
-	src     *loop.Source
+	pool    *Pool
+	host    *upstreamHost
+	address string // address of the host when the connection was opened
+	source  *loop.Source
 	parser  *http1.ResponseParser
-	up      bool
-	busy    bool
-	probe   bool
-	ref     core.Ref
-	message *Message      // of a request that waits for the connection to come up, nil: none
-	ends    time.Duration // when the time of that request is up
-	out     []byte        // of the request, not written yet
-	since   time.Duration
-	kept    bool          // it has served a request before this one
-	wrote   time.Duration // the request was whole on it
-	dialing *loop.Timer
-	took    time.Duration // the host last took some of body
-	body    *flow.Pipe    // of the request, what is not in out yet; nil: nothing
-	early   *loop.Timer   // for an answer of which nobody can tell how long it will be
-	relay   *relay        // of the answer, passed on while it comes; nil: it is not
-	closes  bool          // the connection ends with that
+
+	isConnected bool // the TCP connection is established
+	hasRequest  bool // the response to the current request or probe is not complete
+
+	isProbe  bool
+	ref      core.Ref      // of the current request or probe
+	message  *Message      // request that is encoded once the connection is established; nil: none
+	deadline time.Duration // of the current request, in loop time
+	unsent   []byte        // encoded request bytes that the socket has not taken yet
+
+	idleSince time.Duration // end of the previous response, also while the connection is reused
+	isReused  bool          // taken from the idle connections for the current request
+	writtenAt time.Duration // when the current request was written completely
+	dialTimer *loop.Timer
+
+	bodyProgressAt time.Duration // last time that the host took request bytes, or that none were available
+	body           *flow.Pipe    // part of the request body that is not in unsent yet; nil: none
+
+	earlyRelayTimer *loop.Timer // relays an incomplete response of unknown length; started only if nil
+	relay           *relay      // response body that is being relayed; nil: none
+	closeAfterRelay bool        // the connection can't be reused after the relay
 }
 
-// Cancel gives up a request by closing its connection: whatever comes of it reaches nobody. It tells whether
-// the request may have run.
+// Cancel gives up a request by closing its connection; its outcome is not reported. It reports whether the request may
+// have run; an unknown one may have.
 func (p *Pool) Cancel(ref core.Ref) (ran bool) {
-	c := p.out[ref]
+	c := p.active[ref]
 	if c == nil {
 		return true
 	}
-	ran = c.whole()
-	c.busy = false
-	c.detach()
-	delete(p.out, ref)
-	c.close(errGivenUp)
+	ran = c.isFullyWritten()
+	c.hasRequest = false
+	c.detachBody()
+	delete(p.active, ref)
+	c.close(errCancelled)
 	return ran
 }
 
-// Withdraw gives up a request that is not wholly written, and so can't have run. It tells whether it did.
+// Withdraw cancels a request that is not completely written and so can't have run. It reports whether it did.
 func (p *Pool) Withdraw(ref core.Ref) bool {
-	if c := p.out[ref]; c == nil || c.whole() {
+	if c := p.active[ref]; c == nil || c.isFullyWritten() {
 		return false
 	}
 	p.Cancel(ref)
 	return true
 }
 
-// whole tells whether the request's last byte is written.
-func (c *conn) whole() bool { return c.up && len(c.out) == 0 && c.body == nil }
+// isFullyWritten reports whether the last byte of the request is written.
+func (c *conn) isFullyWritten() bool { return c.isConnected && len(c.unsent) == 0 && c.body == nil }
 
-func (p *Pool) ended(ref core.Ref, probe bool, o admission.Outcome, a core.Answer) {
-	if probe {
+// reportOutcome passes the outcome of a request or probe to the sink.
+func (p *Pool) reportOutcome(ref core.Ref, isProbe bool, o admission.Outcome, a core.Answer) {
+	if isProbe {
 		p.sink.ProbeEnded(p.loop.Now(), ref, o)
 		return
 	}
 	p.sink.UpstreamEnded(p.loop.Now(), ref, o, a)
 }
 
-// Ready goes on with what the connection was about.
+// Ready handles the connection's readiness events: it completes the dial, reads, or writes.
 func (c *conn) Ready(events uint32) {
-	if !c.up {
+	if !c.isConnected {
 		if events&(loop.Out|loop.Hangup) == 0 {
 			return
 		}
-		c.connected()
+		c.handleConnected()
 		return
 	}
 	if events&(loop.In|loop.Hangup) != 0 {
 		c.read()
 	}
-	if events&loop.Out != 0 && c.relay == nil && c.src.FD() >= 0 && (len(c.out) > 0 || c.body != nil) {
+	if events&loop.Out != 0 && c.relay == nil && c.source.FD() >= 0 && (len(c.unsent) > 0 || c.body != nil) {
 		c.flush()
 	}
 }
 
-// fail ends the connection and what was out on it. Before the last byte of a request was written
-// it can't have run; after that it may have.
+// fail closes the connection and reports the outcome of its request. A request can't have run before its last byte was
+// written; after that it may have. The body of a relayed response is marked as truncated instead.
 func (c *conn) fail(cause error) {
-	if c.relay != nil { // its answer can't be taken back; who takes it can tell that it is not whole
+	if c.relay != nil { // the outcome is already reported
 		pipe := c.relay.pipe
-		c.unrelay()
+		c.clearRelay()
 		c.close(cause)
 		pipe.CloseWrite(false)
 		return
 	}
 	o := admission.Broken
 	switch {
-	case errors.Is(cause, errLate): // no fault of the host's
+	case errors.Is(cause, errDeadlinePassed): // not the host's fault
 		o = admission.NotSent
-	case !c.whole():
+	case !c.isFullyWritten():
 		o = admission.Unreachable
 	}
-	busy := c.busy
-	c.busy = false
-	c.detach()
+	hasRequest := c.hasRequest
+	c.hasRequest = false
+	c.detachBody()
 	c.close(cause)
-	if busy {
-		if now := c.p.loop.Now(); o == admission.Broken && !c.probe && c.parser.Buffered() == 0 && now-c.wrote < reuseSoon {
-			c.p.reuse.learn(now, c.kept, true)
+	if hasRequest {
+		if now := c.pool.loop.Now(); o == admission.Broken && !c.isProbe && c.parser.Buffered() == 0 &&
+			now-c.writtenAt < resetWindow {
+			c.pool.resetStats.record(now, c.isReused, true)
 		}
-		delete(c.p.out, c.ref)
-		c.p.ended(c.ref, c.probe, o, core.Answer{})
+		delete(c.pool.active, c.ref)
+		c.pool.reportOutcome(c.ref, c.isProbe, o, core.Answer{})
 	}
 }
 
+// close closes the socket and removes the connection from the pool. It reports no outcome.
 func (c *conn) close(cause error) {
-	if c.src.FD() < 0 {
+	if c.source.FD() < 0 {
 		return
 	}
 	c.traceClosed(cause)
-	c.dialing.Stop()
-	c.early.Stop()
-	c.src.Close()
-	c.p.conns--
-	for i, o := range c.h.idle {
+	c.dialTimer.Stop()
+	c.earlyRelayTimer.Stop()
+	c.source.Close()
+	c.pool.connCount--
+	for i, o := range c.host.idle {
 		if o == c {
-			c.h.idle = append(c.h.idle[:i], c.h.idle[i+1:]...)
+			c.host.idle = append(c.host.idle[:i], c.host.idle[i+1:]...)
 			break
 		}
 	}
