--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -117,7 +117,7 @@
 	QuotaCounter    WindowCounterState
 	InFlightCounter WindowCounterState
 	DemandCounter   WindowCounterState
-	Demand          DemandState // through all gateways, relative to what fits
+	ObservedDemand  DemandState // through all gateways, relative to what fits
 	QuotaTokens     float64     // units left in the mirror of the quota; may be negative
 	CeilingTokens   float64     // units left in the gateway's part of the ceiling
 	OthersRate      float64     // units a second used through other gateways
@@ -243,7 +243,7 @@
 	}
 	return CustomerState{ID: id, Plan: c.plan.Name, Gateways: c.gateways, QuotaCounter: c.quotaCounter.state(),
 		InFlightCounter: c.inFlightCounter.state(), DemandCounter: c.demandCounter.state(),
-		Demand: c.observedDemand.state(), QuotaTokens: c.quotaTokens, CeilingTokens: c.ceilingTokens,
+		ObservedDemand: c.observedDemand.state(), QuotaTokens: c.quotaTokens, CeilingTokens: c.ceilingTokens,
 		OthersRate: c.othersRate, PredictedUsage: c.predictedUsage, LastSeen: c.lastSeen,
 		QuotaTokensAt: c.quotaTokensAt, CeilingTokensAt: c.ceilingTokensAt, InFlight: c.inFlight,
 		InFlightCounted: c.inFlightCounted, UnderCapShare: c.underCapShare}, true
@@ -260,7 +260,7 @@
 	c := g.ensureCustomer(s.ID, index, int(s.Gateways), 0)
 	c.isCeilingSplit = false // its first gateway is known with its next request
 	p := c.plan
-	c.gateways, c.observedDemand, c.underCapShare = s.Gateways, s.Demand.estimate(), s.UnderCapShare
+	c.gateways, c.observedDemand, c.underCapShare = s.Gateways, s.ObservedDemand.estimate(), s.UnderCapShare
 	c.quotaTokens, c.quotaTokensAt, c.othersRate, c.predictedUsage =
 		min(s.QuotaTokens, p.Burst), s.QuotaTokensAt, s.OthersRate, s.PredictedUsage
 	c.ceilingTokens, c.ceilingTokensAt = s.CeilingTokens, s.CeilingTokensAt // cut to the part at the next check
--- a/admission/state.go
+++ b/admission/state.go
@@ -56,34 +56,35 @@
 	totalsValidFrom  []time.Duration         // of each plan: from when totals show room under a ceiling, see suspendTotals
 }
 
-// request is a client's request until it is answered and has no open attempt.
+// request is a client's request until it is answered and has no open attempt. While it can't have run,
+// anything may be done with it; after that, only what its class allows.
 type request struct {
-	id                  uint64
-	classIndex          int
-	class               *Class    // as it was when the request arrived
-	customer            *customer // nil without a plan
-	units               float64   // at least 1
-	arrivedAt           time.Duration
-	deadline            time.Duration
-	due                 time.Duration  // the latency target or, if earlier, the deadline: a later answer is late
-	pendingCalls        []*counterCall // counter calls that it waits for
-	quotaCounted        float64        // units on the quota counter, or on the way there
-	inFlightCounted     float64        // count on the in-flight counter, or on the way there
-	tokensTaken         float64        // local tokens taken for it
-	quotaWindow         int64          // the quota window of quotaCounted
-	slowStartSample     float64        // in [0,1): selects the one server that may take its next attempt while cold
-	isOverQuota         bool           // a total showed it to be over its quota or in-flight cap
-	isPartial           bool           // its body has not wholly arrived: its times start with RequestComplete
-	notReplayable       bool           // a part of its body is no longer held, so it can't be sent again
-	wasSent             bool           // it has had an attempt
-	isDone              bool           // its final answer is given
-	isShownUnderCeiling bool           // a total showed it to be under its ceiling: it needs no ceiling tokens
-	isPredecessors      bool           // the predecessor process owns it
-	hasReservedTokens   bool           // ceiling tokens are set aside for it until the predecessor sends or ends it
-	attempts            []attempt      // by attempt number
-	liveAttempts        int            // open attempts
-	priorServer         *server        // where it may have run first; nil while it can't have run
-	priorSentAt         time.Duration  // when it was sent there
+	id                   uint64
+	classIndex           int
+	class                *Class    // as it was when the request arrived
+	customer             *customer // nil without a plan
+	units                float64   // at least 1
+	arrivedAt            time.Duration
+	deadline             time.Duration
+	due                  time.Duration  // the latency target or, if earlier, the deadline: a later answer is late
+	pendingCalls         []*counterCall // counter calls that it waits for
+	quotaCounted         float64        // units on the quota counter, or on the way there
+	inFlightCounted      float64        // count on the in-flight counter, or on the way there
+	tokensTaken          float64        // local tokens taken for it
+	quotaWindow          int64          // the quota window of quotaCounted
+	slowStartSample      float64        // in [0,1): selects the one server that may take its next attempt while cold
+	isOverQuota          bool           // a total showed it to be over its quota or in-flight cap
+	isPartial            bool           // its body has not wholly arrived: its times start with RequestComplete
+	notReplayable        bool           // a part of its body is no longer held, so it can't be sent again
+	wasSent              bool           // it has had an attempt
+	isDone               bool           // its final answer is given
+	isShownUnderCeiling  bool           // a total showed it to be under its ceiling: it needs no ceiling tokens
+	isOwnedByPredecessor bool           // the predecessor process owns it
+	hasReservedTokens    bool           // ceiling tokens are set aside for it until the predecessor sends or ends it
+	attempts             []attempt      // by attempt number
+	liveAttempts         int            // open attempts
+	priorServer          *server        // where it may have run first; nil while it can't have run
+	priorSentAt          time.Duration  // when it was sent there
 }
 
 // attempt is one sending of a request to a server.
@@ -113,7 +114,7 @@
 // bucket: it fills at the plan's rate and is drained by what the counter's totals show all gateways to have
 // added. Rule SQR-073 lets the count of each window reach the allowance. Here the allowance is what the
 // bucket carried into the window plus the refill since, so no double allowance passes at the edge of a
-// window, and none is missing after a burst.
+// window, and a customer does not starve after a burst.
 type customer struct {
 	id                uint64
 	plan              *Plan
--- a/admission/successor.go
+++ b/admission/successor.go
@@ -27,7 +27,7 @@
 	g.held, g.recheckAt = nil, 0
 	for _, r := range g.requests {
 		r.pendingCalls = nil
-		r.isPredecessors = true
+		r.isOwnedByPredecessor = true
 		if c := r.customer; c != nil && !r.wasSent && !r.isDone && c.plan.CeilingRate > 0 {
 			c.ceilingTokens -= r.units
 			r.hasReservedTokens = true
@@ -64,7 +64,7 @@
 func (g *Gateway) PredecessorSent(now time.Duration, id uint64, server string) {
 	g.now = max(now, g.now)
 	r := g.requests[id]
-	if r == nil || !r.isPredecessors {
+	if r == nil || !r.isOwnedByPredecessor {
 		return
 	}
 	if c := r.customer; !r.wasSent && c != nil {
@@ -82,7 +82,7 @@
 // this gateway.
 func (g *Gateway) PredecessorAttemptEnded(now time.Duration, ev AttemptEnded) {
 	g.now = max(now, g.now)
-	if r := g.requests[ev.ID]; r != nil && r.isPredecessors {
+	if r := g.requests[ev.ID]; r != nil && r.isOwnedByPredecessor {
 		g.endAttempt(r, ev)
 	}
 }
@@ -92,7 +92,7 @@
 func (g *Gateway) PredecessorDone(now time.Duration, id uint64) []Action {
 	g.actions = g.actions[:0]
 	g.now = max(now, g.now)
-	if r := g.requests[id]; r != nil && r.isPredecessors {
+	if r := g.requests[id]; r != nil && r.isOwnedByPredecessor {
 		g.closeRequest(r)
 	}
 	return g.actions
@@ -105,7 +105,7 @@
 	g.now = max(now, g.now)
 	ids := make([]uint64, 0, len(g.requests))
 	for id, r := range g.requests {
-		if r.isPredecessors {
+		if r.isOwnedByPredecessor {
 			ids = append(ids, id)
 		}
 	}
@@ -119,7 +119,7 @@
 // PredecessorRequests returns how many requests of the predecessor are not over.
 func (g *Gateway) PredecessorRequests() (n int) {
 	for _, r := range g.requests {
-		if r.isPredecessors {
+		if r.isOwnedByPredecessor {
 			n++
 		}
 	}
--- a/internal/handover/convert.go
+++ b/internal/handover/convert.go
@@ -46,14 +46,14 @@
 // Customer makes a message of a customer.
 func Customer(c admission.CustomerState) *pb.Customer {
 	return &pb.Customer{Id: c.ID, Plan: c.Plan, Doors: c.Gateways, Rate: ledger(c.QuotaCounter), Gauge: ledger(c.InFlightCounter),
-		Demand: ledger(c.DemandCounter), Press: seen(c.Demand), Level: c.QuotaTokens, Hard: c.CeilingTokens, Take: c.OthersRate, Taken: c.PredictedUsage,
+		Demand: ledger(c.DemandCounter), Press: seen(c.ObservedDemand), Level: c.QuotaTokens, Hard: c.CeilingTokens, Take: c.OthersRate, Taken: c.PredictedUsage,
 		Used: int64(c.LastSeen), LevelAt: int64(c.QuotaTokensAt), HardAt: int64(c.CeilingTokensAt), Out: int64(c.InFlight), Reg: c.InFlightCounted, Fit: c.UnderCapShare}
 }
 
 // FromCustomer is its inverse.
 func FromCustomer(c *pb.Customer) admission.CustomerState {
 	return admission.CustomerState{ID: c.GetId(), Plan: c.GetPlan(), Gateways: c.GetDoors(), QuotaCounter: fromLedger(c.GetRate()),
-		InFlightCounter: fromLedger(c.GetGauge()), DemandCounter: fromLedger(c.GetDemand()), Demand: fromSeen(c.GetPress()),
+		InFlightCounter: fromLedger(c.GetGauge()), DemandCounter: fromLedger(c.GetDemand()), ObservedDemand: fromSeen(c.GetPress()),
 		QuotaTokens: c.GetLevel(), CeilingTokens: c.GetHard(), OthersRate: c.GetTake(), PredictedUsage: c.GetTaken(), LastSeen: d(c.GetUsed()),
 		QuotaTokensAt: d(c.GetLevelAt()), CeilingTokensAt: d(c.GetHardAt()), InFlight: int(c.GetOut()), InFlightCounted: c.GetReg(), UnderCapShare: c.GetFit()}
 }
