--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -53,10 +53,11 @@
 	return false
 }
 
-// ParseError is the error of a malformed, oversized or unsupported message. The parser can't be used after it.
+// ParseError is the error of a malformed, oversized or unsupported message. The parser can't be used after it. The
+// fronts send Reason to clients as the body of the local reply, so its texts must not change.
 type ParseError struct {
-	Status int // the HTTP status for a local reply to the message
-	Reason string
+	Status int    // the HTTP status for a local reply to the message
+	Reason string // one line without a line end
 }
 
 func (e *ParseError) Error() string { return e.Reason }
--- a/internal/net/http1/reader.go
+++ b/internal/net/http1/reader.go
@@ -164,25 +164,25 @@
 		switch {
 		case strings.EqualFold(h[i].Name, "Content-Length"):
 			if length != "" && length != h[i].Value {
-				return newParseError(400, "conflicting Content-Length fields")
+				return newParseError(400, "two lengths")
 			}
 			length = h[i].Value
 		case strings.EqualFold(h[i].Name, "Transfer-Encoding"):
 			if isChunked || !strings.EqualFold(h[i].Value, "chunked") {
-				return newParseError(400, "unsupported transfer coding %q", h[i].Value)
+				return newParseError(400, "transfer coding %q", h[i].Value)
 			}
 			isChunked = true
 		}
 	}
 	switch {
 	case isChunked && length != "":
-		return newParseError(400, "both Content-Length and Transfer-Encoding")
+		return newParseError(400, "a length and a transfer coding")
 	case isChunked:
 		r.bodyFraming = chunkedFraming
 	case length != "":
 		n, err := strconv.ParseUint(length, 10, 31)
 		if err != nil || length[0] == '+' {
-			return newParseError(400, "malformed Content-Length")
+			return newParseError(400, "malformed length")
 		}
 		if int(n) > r.maxBody {
 			return newParseError(413, "body over %d bytes", r.maxBody)
@@ -224,7 +224,7 @@
 			switch r.nextChunkPart {
 			case chunkDataEnd:
 				if line != "" {
-					return false, newParseError(400, "chunk data without CRLF")
+					return false, newParseError(400, "malformed end of a chunk")
 				}
 				r.nextChunkPart = chunkSizeLine
 			case chunkTrailers:
@@ -239,7 +239,7 @@
 				digits = strings.TrimRight(digits, " \t")
 				n, err := strconv.ParseUint(digits, 16, 31)
 				if err != nil || digits[0] == '+' {
-					return false, newParseError(400, "malformed chunk size")
+					return false, newParseError(400, "malformed size of a chunk")
 				}
 				if r.bytesDelivered+len(r.body)+int(n) > r.maxBody {
 					return false, newParseError(413, "body over %d bytes", r.maxBody)
@@ -265,13 +265,13 @@
 	i := bytes.IndexByte(r.unparsed[r.scanned:], '\n')
 	if i < 0 {
 		if r.scanned = len(r.unparsed); r.scanned > 4096 {
-			return "", false, newParseError(400, "chunk line over 4096 bytes")
+			return "", false, newParseError(400, "line of a chunk over 4096 bytes")
 		}
 		return "", false, nil
 	}
 	line, ok := strings.CutSuffix(string(r.unparsed[:r.scanned+i]), "\r")
 	if !ok { // recipients differ on whether a bare line feed ends a chunk line, so they would see different messages
-		return "", false, newParseError(400, "chunk line without CR")
+		return "", false, newParseError(400, "line of a chunk without CR")
 	}
 	r.consume(r.scanned + i + 1)
 	return line, true, nil
--- a/internal/net/http1/request.go
+++ b/internal/net/http1/request.go
@@ -29,7 +29,7 @@
 			return nil, newParseError(400, "malformed request line")
 		}
 		if proto != "HTTP/1.1" && proto != "HTTP/1.0" {
-			return nil, newParseError(400, "unsupported protocol %q", proto)
+			return nil, newParseError(400, "protocol %q", proto)
 		}
 		if err := p.startBody(h, false); err != nil {
 			return nil, err
