--- a/internal/core/turn.go
+++ b/internal/core/turn.go
@@ -7,71 +7,80 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// The turn: what has happened goes to the decision module, and its actions are carried out.
+// probeTimeout bounds a probe. It may be long, as no request waits for a probe.
+const probeTimeout = time.Second
 
 type timerKind int
 
 const (
-	moduleTimer timerKind = iota
-	waitOver              // of an upstream request
-	deadline              // of a stream: upstream requests end here
-	overdue               // of a stream that nobody answered
-	probeOver
-	windowOver // of a repeat: it is not begun any more
+	moduleTimer       timerKind = iota // set by the module
+	attemptTimer                       // an upstream request times out
+	deadlineTimer                      // a stream's upstream requests time out
+	overdueTimer                       // a stream that is still open is answered without the module
+	probeTimer                         // a probe times out
+	repeatWindowTimer                  // a repeat of an idempotency key that is not fully written is withdrawn
 )
 
-// Turn fires what is due, gives the turn's events to the module in one go and carries out the
-// actions. It returns when it needs the next turn, 0 for never.
+// timer says what a due time in Core.timers is for.
+type timer struct {
+	kind  timerKind
+	ref   Ref    // of all kinds but moduleTimer; without an attempt for a stream's or probe's timer
+	token uint64 // of moduleTimer
+}
+
+// Turn fires the timers that are due, passes the pending events to the module, all before any action is carried out,
+// and carries out the actions. It returns the time at which the next turn is due, 0 for none. While events are held it
+// does nothing and returns 0.
 func (c *Core) Turn(now time.Duration) time.Duration {
 	c.AdvanceClock(now)
-	if c.held {
+	if c.isHeld {
 		return 0
 	}
 	for {
-		d, ok := c.timers.Pop(c.now)
+		due, ok := c.timers.Pop(c.now)
 		if !ok {
 			break
 		}
-		c.fire(d)
+		c.fireTimer(due)
 	}
 	events := c.events
-	c.events, c.spare = c.spare[:0], events
-	leaving := c.leaving
-	c.leaving = nil
+	c.events, c.spareEvents = c.spareEvents[:0], events
+	disconnected := c.unreportedDisconnects
+	c.unreportedDisconnects = nil
 	c.actions = c.actions[:0]
 	for _, ev := range events {
-		c.handle(ev)
+		c.handleEvent(ev)
 	}
 	clear(events)
 	c.Execute(c.actions)
-	c.told(leaving)
-	if len(c.events) > 0 { // carrying out has brought news
+	c.removeReportedDisconnects(disconnected)
+	if len(c.events) > 0 { // the actions have caused new events
 		return c.now
 	}
-	c.timers.DiscardInactive(c.matters)
+	c.timers.DiscardInactive(c.isTimerActive)
 	next, _ := c.timers.Next()
 	return next
 }
 
-// matters tells whether a timer can still do something. Most streams end long before their deadlines,
-// and a turn for nothing costs as much as one for a request.
-func (c *Core) matters(d due) bool {
-	switch d.kind {
-	case waitOver, windowOver:
-		s := c.streams[d.ref.Stream]
-		return s != nil && s.attempts[d.ref.Attempt].live
-	case deadline, overdue:
-		return c.streams[d.ref.Stream] != nil
-	case probeOver:
-		_, ok := c.probes[d.ref.Stream]
+// isTimerActive reports whether a timer can still have an effect. Most streams end long before their deadline, and a turn
+// without effect costs as much as one for a request.
+func (c *Core) isTimerActive(t timer) bool {
+	switch t.kind {
+	case attemptTimer, repeatWindowTimer:
+		s := c.streams[t.ref.Stream]
+		return s != nil && s.attempts[t.ref.Attempt].isPending
+	case deadlineTimer, overdueTimer:
+		return c.streams[t.ref.Stream] != nil
+	case probeTimer:
+		_, ok := c.probes[t.ref.Stream]
 		return ok
 	}
 	return true
 }
 
-// handle runs the module on one event. A fault in it must not take the other streams along; the one
-// that met it is still answered, at its deadline.
-func (c *Core) handle(ev admission.Event) {
+// handleEvent passes one event to the module. A panic there is logged and must not affect other streams; the stream that
+// caused it is still answered at its deadline.
+func (c *Core) handleEvent(ev admission.Event) {
 	defer func() {
 		if r := recover(); r != nil {
 			c.log.Error("decision module failed", "event", fmt.Sprintf("%T", ev), "fault", fmt.Sprint(r))
@@ -80,138 +89,89 @@
 	c.actions = append(c.actions, c.decider.Handle(c.now, ev)...)
 }
 
-func (c *Core) fire(d due) {
-	switch d.kind {
+func (c *Core) fireTimer(t timer) {
+	switch t.kind {
 	case moduleTimer:
-		c.events = append(c.events, admission.TimerFired{Token: d.token})
-	case probeOver:
-		if _, ok := c.probes[d.ref.Stream]; ok {
-			c.upstreams.Cancel(d.ref)
-			c.ProbeEnded(c.now, d.ref, admission.TimedOut)
+		c.events = append(c.events, admission.TimerFired{Token: t.token})
+	case probeTimer:
+		if _, ok := c.probes[t.ref.Stream]; ok {
+			c.upstreams.Cancel(t.ref)
+			c.ProbeEnded(c.now, t.ref, admission.TimedOut)
 		}
-	case waitOver:
-		c.stop(d.ref, admission.TimedOut)
-	case windowOver:
-		c.withdraw(d.ref)
-	case deadline:
-		if s := c.streams[d.ref.Stream]; s != nil {
+	case attemptTimer:
+		c.cancelAttempt(t.ref, admission.TimedOut)
+	case repeatWindowTimer:
+		c.withdraw(t.ref)
+	case deadlineTimer:
+		if s := c.streams[t.ref.Stream]; s != nil {
 			for i := range s.attempts {
-				c.stop(Ref{s.id, i}, admission.TimedOut)
+				c.cancelAttempt(Ref{s.id, i}, admission.TimedOut)
 			}
 		}
-	case overdue:
-		// The module answers every stream by its deadline. Should it not, the client still gets its one
-		// answer, and that is no refusal: the module has ordered none.
-		if s := c.streams[d.ref.Stream]; s != nil && !s.closed {
+	case overdueTimer:
+		// The module answers every stream by its deadline. If it does not, the client still gets its one answer, which
+		// is not a refusal, since the module has ordered none.
+		if s := c.streams[t.ref.Stream]; s != nil && !s.isClosed {
 			c.log.Error("stream unanswered at its deadline", "stream", s.id)
-			c.leave(s, Expired)
+			c.abandonStream(s, Expired)
 		}
 	}
 }
 
-// stop gives up an upstream request that is out. Its connection is closed before the module hears
-// of it, so that a further one is never a second copy. One that was not wholly written can't have run.
-func (c *Core) stop(ref Ref, o admission.Outcome) {
-	s := c.streams[ref.Stream]
-	if s == nil || ref.Attempt < 0 || ref.Attempt >= len(s.attempts) || !s.attempts[ref.Attempt].live {
-		return
+// Execute carries out actions of the module. The module reuses the slice for its next event, so it gets no event before
+// all actions are carried out, whatever they cause: an answer may bring the next request of the same connection.
+func (c *Core) Execute(actions []admission.Action) {
+	c.isExecuting = true
+	for _, action := range actions {
+		c.executeAction(action)
 	}
-	if ran := c.upstreams.Cancel(ref); !ran && o == admission.TimedOut {
-		o = admission.Unreachable
-	} else if !ran {
-		o = admission.NotSent
-	}
-	c.UpstreamEnded(c.now, ref, o, Answer{})
+	c.isExecuting = false
 }
 
-func (c *Core) do(a admission.Action) {
-	switch a := a.(type) {
+func (c *Core) executeAction(action admission.Action) {
+	switch action := action.(type) {
 	case admission.Send:
-		c.send(a)
+		c.startAttempt(action)
 	case admission.Cancel:
-		c.stop(Ref{a.ID, a.Attempt}, admission.Cancelled)
+		c.cancelAttempt(Ref{action.ID, action.Attempt}, admission.Cancelled)
 	case admission.Refuse:
-		if s := c.streams[a.ID]; s != nil && !s.closed {
-			c.reason = a.Reason
-			c.end(s, End{Kind: Refused, RetryAfter: a.RetryAfter})
+		if s := c.streams[action.ID]; s != nil && !s.isClosed {
+			c.endReason = action.Reason
+			c.closeStream(s, End{Kind: Refused, RetryAfter: action.RetryAfter})
 		}
 	case admission.Fail:
-		if s := c.streams[a.ID]; s != nil && !s.closed {
+		if s := c.streams[action.ID]; s != nil && !s.isClosed {
 			kind := Failed
-			if s.timedOut {
+			if s.hasTimedOut {
 				kind = Expired
 			}
-			c.reason = a.Reason
-			c.end(s, End{Kind: kind})
+			c.endReason = action.Reason
+			c.closeStream(s, End{Kind: kind})
 		}
 	case admission.SetTimer:
-		c.timers.Push(a.At, due{kind: moduleTimer, token: a.Token})
+		c.timers.Push(action.At, timer{kind: moduleTimer, token: action.Token})
 	case admission.CounterAdd:
 		switch {
-		case c.dropping:
-		case c.parking:
-			c.parked = append(c.parked, a)
+		case c.dropsCounterCalls:
+		case c.parksCounterCalls:
+			c.parkedCounterCalls = append(c.parkedCounterCalls, action)
 		default:
-			c.counter.Add(a.Name, a.Delta, a.TTL)
+			c.counter.Add(action.Name, action.Delta, action.TTL)
 		}
 	case admission.Probe:
 		c.lastID++
 		ref := Ref{Stream: c.lastID}
-		c.probes[ref.Stream] = probe{a.Server, c.now}
-		c.timers.Push(c.now+probeLimit, due{kind: probeOver, ref: ref})
-		c.upstreams.Probe(ref, a.Server, probeLimit)
+		c.probes[ref.Stream] = probe{action.Server, c.now}
+		c.timers.Push(c.now+probeTimeout, timer{kind: probeTimer, ref: ref})
+		c.upstreams.Probe(ref, action.Server, probeTimeout)
 	case admission.CloseIdle:
-		c.upstreams.CloseIdle(a.Server)
+		c.upstreams.CloseIdle(action.Server)
 	case admission.FetchList:
 		c.cluster.Refetch()
-	case admission.Subscribe: // the watch is always on
+	case admission.Subscribe: // discovery is always watched
 	case admission.Log:
-		c.log.Info("decision", "text", a.Text)
+		c.log.Info("decision", "text", action.Text)
 	default:
-		c.log.Error("action not carried out", "action", fmt.Sprintf("%T", a))
-	}
-}
-
-// probeLimit is for a probe, which no request waits for.
-const probeLimit = time.Second
-
-func (c *Core) send(a admission.Send) {
-	s := c.streams[a.ID]
-	if s == nil {
-		c.log.Error("send for an unknown stream", "stream", a.ID)
-		return
-	}
-	ref := Ref{s.id, len(s.attempts)}
-	s.attempts = append(s.attempts, attempt{AttemptRecord: AttemptRecord{Host: a.Server, Began: c.now}, live: true})
-	s.live++
-	if c.witness != nil {
-		c.witness.AttemptStarted(s.id, a.Server, c.now)
-	}
-	if s.closed || c.now >= s.ends || a.Wait < 0 || gone(s.payload) {
-		c.UpstreamEnded(c.now, ref, admission.NotSent, Answer{})
-		return
-	}
-	if s.order != "" {
-		if until := c.orders.sent(s.order, a.Server, c.now, s.window); until > 0 {
-			c.timers.Push(until-c.margin, due{kind: windowOver, ref: ref})
-		}
-	}
-	wait := s.ends - c.now
-	c.traceSend(s, ref, a.Server, wait)
-	if s.open {
-		s.attempts[ref.Attempt].wait, wait = a.Wait, s.expires
-	} else if a.Wait > 0 && a.Wait < wait {
-		wait = a.Wait
-		c.timers.Push(c.now+wait, due{kind: waitOver, ref: ref})
-	}
-	c.upstreams.Start(ref, a.Server, s.payload, wait)
-}
-
-// told forgets streams of whose clients' leaving the module was told among the turn's events. Before that it may send one on
-// by an event that came earlier, and each send is answered.
-func (c *Core) told(leaving []*stream) {
-	for _, s := range leaving {
-		s.leaving = false
-		c.forget(s)
+		c.log.Error("action not carried out", "action", fmt.Sprintf("%T", action))
 	}
 }
--- /dev/null
+++ b/internal/net/downstream/close.go
@@ -0,0 +1,122 @@
+package downstream
+
+import (
+	"errors"
+	"io"
+	"math"
+	"time"
+
+	"ferryfront.example/ferryfront/internal/net/http1"
+	"ferryfront.example/ferryfront/internal/net/loop"
+)
+
+// closeGracefully closes the sending side once all output is written, and then lingers: input is read for a while,
+// because closing a socket with unread input resets the connection and can destroy the response in flight.
+func (c *Conn) closeGracefully(reason closeReason) {
+	if c.lingering || c.source.FD() < 0 {
+		return
+	}
+	c.removeFromList()
+	c.traceClosing(reason)
+	c.lingering, c.phaseSince = true, c.server.loop.Now()
+	if len(c.unsent) == 0 {
+		c.shutdownWrite()
+	}
+	c.updateEvents()
+}
+
+// shutdownWrite closes the sending side. The connection may be evicted from then on.
+func (c *Conn) shutdownWrite() {
+	if err := loop.CloseWrite(c.source.FD()); err != nil {
+		c.close(closeReason(err.Error()))
+		return
+	}
+	c.server.lingering.push(c)
+}
+
+// discardInput reads and discards input of a lingering connection. It does one read per turn and closes the connection
+// after a maximum of bytes, so that a client that never stops sending can't block the loop.
+func (c *Conn) discardInput() {
+	n, err := loop.Read(c.source.FD(), c.server.loop.ReadBuffer())
+	c.discardedBytes += n
+	switch {
+	case errors.Is(err, loop.ErrAgain):
+	case errors.Is(err, io.EOF) && len(c.unsent) > 0:
+		c.source.SetEvents(loop.Out) // the client has closed its sending side and still reads the response
+	case err != nil, c.discardedBytes > c.server.bounds.MaxLingerBytes && !c.hasUnreadBody,
+		c.discardedBytes > c.server.bounds.MaxBodyBytes+c.server.bounds.MaxLingerBytes:
+		c.close(closedAfterLinger)
+	}
+}
+
+// Closing the listeners is retried while the machine lacks a resource to accept the last connections. Closing at once
+// would reset those connections together with the requests that they have sent.
+const (
+	maxCloseRetries    = 25
+	closeRetryInterval = 20 * time.Millisecond
+)
+
+// CloseListeners accepts the connections that still wait, closes the listeners, and closes idle connections. It may
+// take several turns to finish; [Server.ListenersClosed] reports when it has.
+func (s *Server) CloseListeners() { s.closeListeners(maxCloseRetries) }
+
+// ListenersClosed reports whether the listeners are closed, so that no new connections are accepted.
+func (s *Server) ListenersClosed() bool { return s.listenersClosed }
+
+// closeListeners tries to close the listeners, and reschedules itself up to retries times while an accept fails.
+func (s *Server) closeListeners(retries int) {
+	if s.listenersClosed {
+		return
+	}
+	s.acceptPending()
+	s.closeIdle()
+	s.acceptFailed = false
+	s.acceptPending() // at the connection limit, the connections closed above make room for waiting ones
+	if s.acceptFailed && retries > 0 {
+		s.loop.After(closeRetryInterval, func() { s.closeListeners(retries - 1) })
+		return
+	}
+	s.listenersClosed = true
+	for _, ln := range s.listeners {
+		// Another process of this ingress may hold the socket, too. If it were only closed here, it would stay in the
+		// epoll set of this process and be reported as ready for as long as any connection waits.
+		ln.source.Unwatch()
+		ln.source.Close()
+	}
+	s.closeIdle()
+}
+
+// closeIdle closes the connections that are idle and have no unread request.
+func (s *Server) closeIdle() {
+	for c := range s.conns {
+		c.closeIfIdle(closedDraining)
+	}
+}
+
+// closeIfIdle closes a connection between requests. It reads first: a request that has arrived is answered instead.
+func (c *Conn) closeIfIdle(reason closeReason) {
+	if c.awaitingResponse || c.lingering {
+		return
+	}
+	c.read()
+	if !c.awaitingResponse && !c.lingering && !c.parser.HasMessageStarted() {
+		c.closeGracefully(reason)
+	}
+}
+
+// acceptPending accepts all waiting connections, up to the limit. It sets acceptFailed if one can't be accepted.
+func (s *Server) acceptPending() {
+	for _, ln := range s.listeners {
+		ln.accept(math.MaxInt)
+	}
+}
+
+// AbortCloseDelimitedRelays resets the connections whose relayed response is delimited by the end of the connection.
+// It is for the exit of the process, which would otherwise make those incomplete responses look complete.
+func (s *Server) AbortCloseDelimitedRelays() {
+	for c := range s.conns {
+		if c.relay != nil && c.relay.framing == http1.FramedByClose {
+			c.abortRelay()
+		}
+	}
+}
--- a/internal/net/downstream/trace.go
+++ b/internal/net/downstream/trace.go
@@ -2,45 +2,47 @@
 
 import "ferryfront.example/ferryfront/internal/net/http1"
 
-// closeReason tells the operator why a client's connection was closed: one of these, or an error of the system's.
+// closeReason is the logged reason for closing a client connection: one of the constants below, or the text of a system
+// error.
 type closeReason string
 
 const (
-	closedLingered   closeReason = "the client did not end its side in time"
-	closedNoProgress closeReason = "the client takes nothing of its answer"
-	closedIdle       closeReason = "idle for too long"
-	closedReset      closeReason = "reset by the client"
-	closedAnswered   closeReason = "answered, and this was to be the last answer"
-	closedAfterEnd   closeReason = "ended on both sides, or sent too much after our end"
-	closedDraining   closeReason = "draining"
-	closedLeft       closeReason = "the client has ended its side behind a body for which there is no room"
-	closedRelayCut   closeReason = "its answer broke off"
-	closedForRoom    closeReason = "to make room for another"
+	closedLingerTimeout closeReason = "client did not close its side in time"
+	closedNoProgress    closeReason = "client does not read its response"
+	closedIdle          closeReason = "idle timeout"
+	closedReset         closeReason = "reset by the client"
+	closedAfterResponse closeReason = "last response sent"
+	closedAfterLinger   closeReason = "closed by the client, or too much input, after the last response"
+	closedDraining      closeReason = "draining"
+	closedUploadBlocked closeReason = "client closed its side while its request body was held back"
+	closedRelayAborted  closeReason = "relayed response ended early"
+	closedEvicted       closeReason = "evicted for a new connection"
 )
 
 func (c *Conn) traceOpened() {
-	if c.s.debugs {
-		c.s.log.Debug("client connection", "connection", c.number)
+	if c.server.debugEnabled {
+		c.server.log.Debug("client connection", "connection", c.id)
 	}
 }
 
-// traceRead joins the lines of a connection to those of its requests.
-func (c *Conn) traceRead(r *http1.Request) {
-	if c.s.debugs {
-		c.s.log.Debug("request read", "connection", c.number, "request", r.Headers.Get("Request-Id"), "waited", c.RequestAge(),
-			"late", c.s.loop.MaxReadDelay())
+// traceRequestRead logs the connection together with the Request-Id, which connects its log records to those of the
+// request.
+func (c *Conn) traceRequestRead(r *http1.Request) {
+	if c.server.debugEnabled {
+		c.server.log.Debug("request read", "connection", c.id, "request", r.Headers.Get("Request-Id"),
+			"waited", c.RequestAge(), "late", c.server.loop.MaxReadDelay())
 	}
 }
 
-func (c *Conn) traceEnding(why closeReason) {
-	if c.s.debugs {
-		c.s.log.Debug("client connection ends", "connection", c.number, "reason", string(why), "unsent", len(c.out))
+func (c *Conn) traceClosing(reason closeReason) {
+	if c.server.debugEnabled {
+		c.server.log.Debug("client connection ends", "connection", c.id, "reason", string(reason), "unsent", len(c.unsent))
 	}
 }
 
-func (c *Conn) traceClosed(why closeReason) {
-	if c.s.debugs {
-		c.s.log.Debug("client connection closed", "connection", c.number, "reason", string(why), "owed", c.busy,
-			"unsent", len(c.out), "held", c.parser.Buffered())
+func (c *Conn) traceClosed(reason closeReason) {
+	if c.server.debugEnabled {
+		c.server.log.Debug("client connection closed", "connection", c.id, "reason", string(reason),
+			"owed", c.awaitingResponse, "unsent", len(c.unsent), "held", c.parser.Buffered())
 	}
 }
