--- a/internal/net/flow/flow.go
+++ b/internal/net/flow/flow.go
@@ -1,6 +1,7 @@
 // Package flow passes a message body on from the connection that it is read from (the writer of a pipe) to the
 // connection that it is written to (its reader), with back-pressure. A pipe is a buffer in memory without I/O of its
-// own. It belongs to the event loop's goroutine, never blocks and is not safe for concurrent use.
+// own; a writer that observes FreeSpace keeps it within its window. It belongs to the event loop's goroutine, never
+// blocks and is not safe for concurrent use.
 package flow
 
 // Pipe buffers the part of a body that has arrived and is not passed on yet. One side calls Append and CloseWrite, the
@@ -15,13 +16,13 @@
 	// CloseRead and must not append at once.
 	OnFreeSpace func()
 
-	maxUnread    int    // bytes that the writer may have unread in the pipe
-	storage      []byte // the memory that unread is a part of; reused as long as the pipe exists
-	unread       []byte
-	consumed     int64 // bytes
-	isComplete   bool  // the writer has closed after the last byte
-	isTruncated  bool  // the writer has closed before the last byte
-	isReadClosed bool
+	maxUnread       int    // bytes that the writer may have unread in the pipe
+	storage         []byte // the memory that unread is a part of; reused as long as the pipe exists
+	unread          []byte
+	consumed        int64 // bytes
+	isWriteComplete bool  // the writer has closed after the last byte; the reader may have bytes left to consume
+	isTruncated     bool  // the writer has closed before the last byte
+	isReadClosed    bool
 }
 
 // New returns an empty pipe. window is in bytes, length is that of the whole body, -1 if it is not known in advance.
@@ -54,10 +55,10 @@
 // CloseWrite marks the end of the data. isComplete is false if the body ended before its last byte. Only the first call
 // has an effect.
 func (p *Pipe) CloseWrite(isComplete bool) {
-	if p.isComplete || p.isTruncated {
+	if p.isWriteComplete || p.isTruncated {
 		return
 	}
-	p.isComplete, p.isTruncated = isComplete, !isComplete
+	p.isWriteComplete, p.isTruncated = isComplete, !isComplete
 	p.notifyReader()
 }
 
@@ -78,7 +79,7 @@
 	}
 	p.consumed += int64(n)
 	if p.unread = p.unread[n:]; len(p.unread) == 0 {
-		if cap(p.storage) > p.maxUnread { // it held a part that was read before the pipe existed
+		if cap(p.storage) > p.maxUnread { // it held the part of the body that was read before the pipe existed
 			p.storage = nil
 		}
 		p.unread = p.storage[:0]
@@ -93,7 +94,7 @@
 func (p *Pipe) HasConsumed() bool { return p.consumed > 0 }
 
 // IsComplete reports whether the whole body was appended and consumed.
-func (p *Pipe) IsComplete() bool { return p.isComplete && len(p.unread) == 0 }
+func (p *Pipe) IsComplete() bool { return p.isWriteComplete && len(p.unread) == 0 }
 
 // IsTruncated reports whether the writer has closed before the last byte of the body. Bytes may still be unread.
 func (p *Pipe) IsTruncated() bool { return p.isTruncated }
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -11,7 +11,7 @@
 	"ferryfront.example/ferryfront/internal/net/flow"
 )
 
-// Header is one header field, its name spelled as received, its value without surrounding blanks.
+// Header is one header field, its name spelled as received, its value without the spaces and tabs around it.
 type Header struct{ Name, Value string }
 
 // Headers are the fields of a message in their order. Names are compared without regard to case.
@@ -37,8 +37,8 @@
 	return n
 }
 
-// hasToken reports whether the comma-separated lists in the fields of that name contain a token, compared without
-// regard to case.
+// hasToken reports whether any field of that name contains a token in its comma-separated list. Names and tokens are
+// compared without regard to case.
 func (h Headers) hasToken(name, token string) bool {
 	for i := range h {
 		if !strings.EqualFold(h[i].Name, name) {
--- a/internal/net/http1/reader.go
+++ b/internal/net/http1/reader.go
@@ -27,13 +27,13 @@
 	scanned        int  // bytes of unparsed known to contain no end of a head, or no end of a chunk line
 	inBody         bool // the head is read, the body is not complete
 	bodyFraming    bodyFraming
-	bytesLeft      int // of a body with a length, or of the current chunk without its CRLF
+	bytesLeft      int // still to be read of a body with a length, or of the current chunk without its CRLF
 	nextChunkPart  chunkPart
 	body           []byte
-	bytesDelivered int  // body bytes that a streamed message has handed out and body no longer holds
-	isStreaming    bool // the message is handed out, the rest of its body follows in parts
-	isBodyComplete bool // the body was already complete when the streamed message was handed out
-	trailerBytes   int
+	bytesDelivered int  // bytes of a streamed body that were returned to the caller and that body no longer holds
+	isStreaming    bool // the message has been returned, the rest of its body follows in parts
+	isBodyComplete bool // the body was already complete when the streamed message was returned
+	trailerBytes   int  // without their line ends
 }
 
 // chunkPart is the part of a chunked body that is read next. RequestParserState carries it to another
@@ -47,8 +47,8 @@
 	chunkTrailers
 )
 
-// Feed copies received bytes into the parser. The space of parsed bytes is reclaimed only here and not after each
-// message: with hundreds of pipelined messages, each one would move all the others.
+// Feed copies received bytes into the parser. The space of parsed bytes is reclaimed only here. Reclaiming it after each
+// message would move all later messages each time, and hundreds may be pipelined.
 func (r *reader) Feed(b []byte) {
 	switch capacity := cap(r.storage); {
 	case len(b) <= cap(r.unparsed)-len(r.unparsed):
@@ -74,7 +74,7 @@
 	}
 }
 
-// Buffered returns how many bytes are fed and not parsed yet.
+// Buffered returns how many bytes were fed and are not parsed yet.
 func (r *reader) Buffered() int { return len(r.unparsed) }
 
 // DiscardBuffered discards the bytes that are not parsed yet and returns how many they were.
@@ -98,8 +98,9 @@
 	r.scanned = 0
 }
 
-// readHead returns the start line and the fields once the head is complete; until then ok is false. It accepts bare
-// line feeds as line ends and skips empty lines before the start line.
+// readHead returns the start line and the fields once the head is complete; until then ok is false. The head ends with
+// two CRLF or with two bare line feeds; within it, lines may end with either. Empty lines before the start line are
+// skipped.
 func (r *reader) readHead() (start string, h Headers, ok bool, err error) {
 	for len(r.unparsed) > 0 && r.scanned == 0 && (r.unparsed[0] == '\r' || r.unparsed[0] == '\n') {
 		r.consume(1)
@@ -141,8 +142,8 @@
 	return start, h, true, nil
 }
 
-// isToken reports whether s is a token of HTTP. Field names with a blank before the colon or at the start are not: they
-// are used for request smuggling.
+// isToken reports whether s is an HTTP token. A field name with a space before the colon or at the start is none: such
+// names are used for request smuggling.
 func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c <= ' ' || c >= 0x7f || strings.IndexByte(`()<>@,;:\"/[]?={}`, c) >= 0 {
@@ -152,10 +153,11 @@
 	return s != ""
 }
 
-// startBody determines from the fields how the body ends and resets the state of the body. closesWithoutLength says
-// that a body without a declared length ends with the connection; otherwise there is no body then. A message with both
-// a length and a transfer coding, or with two lengths, is an error: another recipient may choose the other one.
-func (r *reader) startBody(h Headers, closesWithoutLength bool) error {
+// startBody determines from the fields how the body ends, and resets the state of the body. Without a declared length or
+// chunks, the body lasts until the connection is closed if readsUntilClose; otherwise there is none. A message with both
+// a length and a transfer coding, or with two different lengths, is an error, because another recipient may choose the
+// other one. So is a length of 2^31 bytes or more.
+func (r *reader) startBody(h Headers, readsUntilClose bool) error {
 	r.inBody, r.body, r.bytesLeft, r.nextChunkPart, r.trailerBytes, r.bytesDelivered, r.isStreaming, r.isBodyComplete =
 		true, r.body[:0], 0, chunkSizeLine, 0, 0, false, false
 	r.bodyFraming = lengthFraming
@@ -188,14 +190,15 @@
 			return newParseError(413, "body over %d bytes", r.maxBody)
 		}
 		r.bytesLeft = int(n)
-	case closesWithoutLength:
+	case readsUntilClose:
 		r.bodyFraming = closeFraming
 	}
 	return nil
 }
 
-// readBody moves the available bytes of the body from unparsed to body and reports whether the body is complete. A body
-// with closeFraming is never complete here: only the end of the connection completes it.
+// readBody moves the available bytes of the body from unparsed to body and reports whether the body is complete. Chunk
+// extensions and trailers are discarded. A body with closeFraming is never complete here: only the end of the connection
+// completes it.
 func (r *reader) readBody() (bool, error) {
 	switch r.bodyFraming {
 	case lengthFraming:
@@ -277,8 +280,8 @@
 	return line, true, nil
 }
 
-// shouldStream reports whether the body that is being read is longer than streamThreshold, so that its message is to be
-// handed out before the body is complete.
+// shouldStream reports whether the body that is being read is known to be longer than streamThreshold, so that its
+// message is to be returned before the body is complete.
 func (r *reader) shouldStream() bool {
 	return r.streamThreshold > 0 && !r.isStreaming && (len(r.body) > r.streamThreshold ||
 		r.bodyFraming == lengthFraming && r.bytesLeft+len(r.body) > r.streamThreshold)
@@ -292,8 +295,8 @@
 	return int64(r.bytesDelivered + len(r.body) + r.bytesLeft)
 }
 
-// NextBodyPart returns the bytes of a streamed body that arrived since the message or the previous part was handed out,
-// and whether they end the body. They are valid until the next call of the parser.
+// NextBodyPart returns the bytes of a streamed body that arrived since the message or the previous part was returned, and
+// whether they end the body. They are valid until the next call of the parser. The error is a *ParseError.
 func (r *reader) NextBodyPart() (b []byte, isLast bool, err error) {
 	r.bytesDelivered += len(r.body)
 	r.body = r.body[:0]
@@ -307,8 +310,9 @@
 }
 
 // TakeRawBody lets received bytes that were not fed bypass the parser. It returns how many leading bytes of b are the
-// next bytes of a streamed body and counts them as handed out; the caller passes these on itself and feeds the rest. It
-// returns 0 if the bytes have to be parsed, as those of a chunked body.
+// next bytes of a streamed body and counts them as returned; the caller passes these on itself and feeds the rest. It
+// returns 0 if the bytes have to be parsed, as those of a chunked body. Bytes beyond the size limit of the body are not
+// taken, so that NextBodyPart reports the error.
 func (r *reader) TakeRawBody(b []byte) (n int) {
 	if !r.isStreaming || r.isBodyComplete || len(r.unparsed) > 0 || r.bodyFraming == chunkedFraming {
 		return 0
--- a/internal/net/http1/request.go
+++ b/internal/net/http1/request.go
@@ -5,12 +5,12 @@
 // RequestParser parses the requests of one connection.
 type RequestParser struct {
 	reader
-	request         *Request // its head is read, its body is not complete; nil once handed out
+	request         *Request // its head has been read, its body is not complete; nil once returned
 	expectsContinue bool     // the client waits for "100 Continue" before it sends the body of request
 }
 
 // NewRequestParser returns a parser that refuses heads and bodies over the given sizes. A request whose body is longer
-// than streamThreshold is streamed; 0: none is. All are in bytes.
+// than streamThreshold is streamed; with 0 none is. All sizes are in bytes.
 func NewRequestParser(maxHead, maxBody, streamThreshold int) *RequestParser {
 	return &RequestParser{reader: reader{maxHead: maxHead, maxBody: maxBody, streamThreshold: streamThreshold}}
 }
--- a/internal/net/http1/response.go
+++ b/internal/net/http1/response.go
@@ -8,18 +8,19 @@
 // ResponseParser parses the responses of one connection.
 type ResponseParser struct {
 	reader
-	response *Response // its head is read, its body is not complete; nil once handed out
+	response *Response // its head has been read, its body is not complete; nil once returned
 }
 
 // NewResponseParser returns a parser that refuses heads and bodies over the given sizes. If a body is longer than
-// streamThreshold, a response with status 200 is streamed, and of any other one only the beginning of the body is
-// returned; 0: all bodies are read in full. All are in bytes.
+// streamThreshold, a response with status 200 is streamed, and any other response is returned with only the beginning of
+// its body; with 0 all bodies are read in full. All sizes are in bytes.
 func NewResponseParser(maxHead, maxBody, streamThreshold int) *ResponseParser {
 	return &ResponseParser{reader: reader{maxHead: maxHead, maxBody: maxBody, streamThreshold: streamThreshold}}
 }
 
 // Next returns the next response, or nil if more input is needed. Interim responses (status below 200) are skipped.
-// After a streamed response, NextBodyPart must be called until its end before Next. The error is a *ParseError.
+// After a streamed response, NextBodyPart must be called until its end before Next. A response that is returned without
+// the rest of its body has Close set, and the parser can't be used after it. The error is a *ParseError.
 func (p *ResponseParser) Next() (*Response, error) {
 	for !p.inBody {
 		start, h, ok, err := p.readHead()
@@ -51,7 +52,7 @@
 	case isComplete:
 		return p.finishResponse(), nil
 	case p.shouldStream() && p.response.Status != 200:
-		// The rest of the body is not needed, and keeping the connection is not worth reading it.
+		// The rest of the body is not needed, and reading it only to keep the connection is not worthwhile.
 		p.response.Close = true
 		return p.finishResponse(), nil
 	case p.shouldStream():
@@ -61,8 +62,8 @@
 }
 
 // StartStreaming returns the response that is being read as a streamed one, whatever the length of its body so far. It
-// is for a body of unknown length, see HasUnknownLength. It returns nil if no head is read or the response is streamed
-// already.
+// is for a body of unknown length, see HasUnknownLength. It returns nil if the head is not complete or the response is
+// streamed already.
 func (p *ResponseParser) StartStreaming() *Response {
 	if p.response == nil || p.isStreaming {
 		return nil
@@ -73,8 +74,8 @@
 	return response
 }
 
-// HasUnknownLength reports whether a response with status 200 is being read whose length is not known in advance and
-// that is not streamed yet.
+// HasUnknownLength reports whether a response with status 200 is being read that is not streamed yet and whose body's
+// length is not known in advance.
 func (p *ResponseParser) HasUnknownLength() bool {
 	return p.inBody && !p.isStreaming && p.bodyFraming != lengthFraming && p.response != nil && p.response.Status == 200
 }
@@ -103,7 +104,8 @@
 }
 
 // TakePartialBody returns the status of the response that is being read, and the bytes of its body that arrived since
-// the last call. The status is 0 until the head is complete.
+// the last call. The status is 0 until the head is complete. The caller owns the bytes, and they no longer count towards
+// the size limit of the body, so a response may last as long as its connection.
 func (p *ResponseParser) TakePartialBody() (status int, body []byte) {
 	if p.response == nil {
 		return 0, nil
--- a/internal/net/http1/state_test.go
+++ b/internal/net/http1/state_test.go
@@ -32,13 +32,14 @@
 		require.NoError(t, err)
 		require.Equal(t, p.TakeExpectContinue(), restored.TakeExpectContinue())
 		restored.Feed([]byte(text[cut:]))
-		require.Equal(t, []string{"POST/a?bhelloh", "POST/cabcde", "GET/d", "close"}, read(restored, got), "state after %d bytes", cut)
+		require.Equal(t, []string{"POST/a?bhelloh", "POST/cabcde", "GET/d", "close"}, read(restored, got),
+			"state after %d bytes", cut)
 	}
 }
 
 func TestInconsistentStateIsRefused(t *testing.T) {
-	for _, s := range []RequestParserState{{Scanned: 1}, {BytesLeft: -1}, {InBody: true}, {HasStartLine: true}, {Framing: 2}, {Framing: -1}, {ChunkState: 9},
-		{TrailerBytes: -1}, {Body: make([]byte, 2000)}, {BytesLeft: 2000}} {
+	for _, s := range []RequestParserState{{Scanned: 1}, {BytesLeft: -1}, {InBody: true}, {HasStartLine: true},
+		{Framing: 2}, {Framing: -1}, {ChunkState: 9}, {TrailerBytes: -1}, {Body: make([]byte, 2000)}, {BytesLeft: 2000}} {
 		_, err := RestoreRequestParser(s, 1000, 1000, 0)
 		require.Error(t, err, "%+v", s)
 	}
--- a/internal/net/http1/write.go
+++ b/internal/net/http1/write.go
@@ -17,7 +17,7 @@
 }
 
 // AppendRequestHead appends the head of a request whose body the caller appends later. length is that of the body in
-// bytes; if it is negative, the body is sent in chunks.
+// bytes; if it is negative, the body is sent in chunks. h must contain none of the fields that this adds.
 func AppendRequestHead(b []byte, method, target, host string, h Headers, length int64) []byte {
 	b = appendRequestStart(b, method, target, host, h)
 	if length >= 0 {
@@ -52,7 +52,7 @@
 
 const (
 	FramedByLength Framing = iota // by Content-Length
-	FramedByChunks                // by an empty chunk
+	FramedByChunks                // by a chunk of size 0
 	FramedByClose                 // by closing the connection
 )
 
--- a/internal/net/loop/injected_faults.go
+++ b/internal/net/loop/injected_faults.go
@@ -18,18 +18,19 @@
 // is a list of name=value pairs separated by commas:
 //
 //   - seed: the seed of the random numbers, 1 by default.
-//   - accept, shortage (accept failing for a lack of resources on the machine), socket, connect, interrupt, short and
-//     broken: the probability from 0 to 1 that a call of this kind fails.
-//   - from, until: the times between which faults are injected, since the start of the process, as Go durations; 0 and
-//     one hour by default.
+//   - accept, shortage, socket, connect, interrupt, short and broken: the probability from 0 to 1 of a fault. accept,
+//     socket and connect fail for a reason on this machine; shortage makes accept fail for a lack of resources only;
+//     interrupt makes a read, a write or the wait for events fail with EINTR; short makes a read or write transfer only
+//     a part; broken makes a read or write fail as on a lost connection.
+//   - from, until: when faults are injected, since the start of the process, as Go durations; 0 and one hour by default.
 //   - step: how far the wall clock is set forward at the time from, as a Go duration.
-//   - spare: a local port whose connections are not broken. Clients notice a broken connection of their own, and no ingress
+//   - spare: a local port whose connections are not broken. Clients see the loss of their own connections, and no ingress
 //     can make up for it.
 //
 // A malformed value ends the process with exit status 2.
 const FaultsEnvVar = "FERRYFRONT_FAULTS"
 
-// injector decides which calls fail. It is called by the loop's goroutine and by goroutines that post to the loop.
+// injector decides which calls fail. The loop's goroutine calls it, and goroutines that post to the loop.
 type injector struct {
 	mu            sync.Mutex // guards random
 	random        *rand.Rand
@@ -108,7 +109,7 @@
 	return b[:1+f.random.IntN(len(b))]
 }
 
-// install replaces the calls of system with failing ones. It must be called before any loop runs.
+// install replaces the calls of system with ones that may fail. It must be called before any loop runs.
 func (f *injector) install() {
 	original := system
 	system.accept = func(listener int) (int, error) {
@@ -132,8 +133,8 @@
 		}
 		return original.connect(fd, to)
 	}
-	system.read = f.transfer(original.read)
-	system.write = f.transfer(original.write)
+	system.read = f.wrapTransfer(original.read)
+	system.write = f.wrapTransfer(original.write)
 	system.wait = func(epoll int, ready []unix.EpollEvent, milliseconds int) (int, error) {
 		if f.shouldFail("interrupt") {
 			return -1, unix.EINTR
@@ -149,8 +150,8 @@
 	}
 }
 
-// transfer wraps read or write: the call is interrupted, transfers only a part, or finds the connection broken.
-func (f *injector) transfer(original func(int, []byte) (int, error)) func(int, []byte) (int, error) {
+// wrapTransfer returns a read or write that may be interrupted, transfer only a part, or find the connection broken.
+func (f *injector) wrapTransfer(original func(int, []byte) (int, error)) func(int, []byte) (int, error) {
 	return func(fd int, b []byte) (int, error) {
 		switch {
 		case f.shouldFail("interrupt"):
--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -1,7 +1,7 @@
 // Package loop is the daemon's event loop: epoll, timers and functions posted by other goroutines. One goroutine calls
 // [Loop.Run]; it owns the loop, its sources and timers, and every handler and callback runs on it. A turn is one
-// iteration of the loop. Only [Loop.Post] may be called from other goroutines. Nothing here blocks but the wait for
-// events, a Post while too many functions wait, and the retries of [Listen], [ListenReusePort] and [ListenUDP].
+// iteration of the loop. Only [Loop.Post] may be called from other goroutines. Nothing blocks except the wait for events,
+// a Post while too many functions wait, and the retries of [Listen], [ListenReusePort] and [ListenUDP].
 package loop
 
 import (
@@ -25,12 +25,12 @@
 	ReadHangup = unix.EPOLLRDHUP
 	// Hangup: the peer has closed its sending direction or the whole connection, or the connection has failed.
 	Hangup = ReadHangup | unix.EPOLLHUP | unix.EPOLLERR
-	// HangupOrError: the connection is closed in both directions or has failed. It is reported whether watched for or
-	// not.
+	// HangupOrError is Hangup without ReadHangup: the connection is closed in both directions or has failed. It is
+	// reported whether watched for or not.
 	HangupOrError = unix.EPOLLHUP | unix.EPOLLERR
 )
 
-// Handler is called on the loop's goroutine with the events that a descriptor is ready for.
+// Handler handles the events of a descriptor. Ready is called on the loop's goroutine with those that have occurred.
 type Handler interface{ Ready(events uint32) }
 
 // Source is one watched descriptor. It belongs to the loop's goroutine.
@@ -43,7 +43,7 @@
 	serveOrder serveOrder
 }
 
-// serveOrder is when a descriptor is served in a turn, relative to the others.
+// serveOrder is the position of a descriptor's handler among those that are called in a turn.
 type serveOrder int
 
 const (
@@ -70,15 +70,15 @@
 	lastGeneration  int32
 	ready           []unix.EpollEvent // the events of this turn
 	timers          timerq.Queue[*Timer]
-	hasFirst        bool          // some source was set to be served first
-	hasLast         bool          // some source of this turn is to be served last
-	polledAt        time.Duration // when the events of the last turn were collected
-	stalledSince    time.Duration // when the process began to stall, until all that arrived meanwhile is read; 0: no stall
+	hasFirst        bool          // ServeFirst was called for some source, now or earlier
+	hasLast         bool          // some ready source of this turn is to be served last
+	polledAt        time.Duration // when the last wait for events returned
+	stalledSince    time.Duration // when the process began to stall; 0 once all that arrived meanwhile has been read
 	turnStart       func(now time.Duration)
 	posted          chan func()
 	readBuffer      []byte
 	startedAt       time.Time
-	// clockBase is the time at startedAt, now the time of this turn, both since the Unix epoch.
+	// clockBase is what the loop's clock shows at startedAt, now the time of this turn, both since the Unix epoch.
 	clockBase, now time.Duration
 	isStopped      bool
 
@@ -86,15 +86,15 @@
 	isClosed  bool       // guarded by wakeMutex
 }
 
-// maxEventsPerTurn is about as many descriptors as a process may hold. After a stall each of them may be ready, and
-// those to be served first must not be left for the next turn.
+// maxEventsPerTurn is about the number of descriptors that a process may have open. After a stall each of them may be
+// ready, and those to be served first must not be left for the next turn.
 const maxEventsPerTurn = 1024
 
-// maxWait bounds the wait for events, so that a wait that takes visibly longer shows a stall of the process.
+// maxWait bounds the wait for events, so that one that takes notably longer reveals a stall of the process.
 const maxWait = 100 * time.Millisecond
 
-// stallThreshold is the time between two collections of events above which the process counts as having stalled. A
-// stall that goes unnoticed is thus shorter than the slack of deadlines (0.15 s).
+// stallThreshold is the time between the ends of two waits for events above which the process counts as having stalled.
+// An unnoticed stall is thus shorter than the slack that deadlines allow, 0.15 s.
 const stallThreshold = maxWait + 25*time.Millisecond
 
 // New opens a loop. It fails if the kernel provides no epoll instance or no eventfd, as when descriptors have run out.
@@ -141,8 +141,8 @@
 }
 
 // MaxReadDelay returns how long data read in this turn may have waited to be read. It is 0 unless the process stalled,
-// as when it was stopped and continued, and has not read all that arrived meanwhile. A deadline that a peer sets counts
-// from when it sent its request, so this delay is part of it.
+// as when it was stopped and continued, and has not read all that arrived meanwhile. A time limit that a peer sets counts
+// from when it sent its request, so this delay uses up part of it.
 func (l *Loop) MaxReadDelay() time.Duration {
 	if l.stalledSince == 0 {
 		return 0
@@ -150,8 +150,9 @@
 	return l.now - l.stalledSince
 }
 
-// HasStalled reports whether the process has stalled within this turn. What was read at the start of the turn may then
-// be out of date, and nothing that depends on it should be started.
+// HasStalled reports whether the process has stalled within this turn, that is, whether the turn has already lasted longer
+// than half of stallThreshold. What was found at the start of the turn may then be out of date, and nothing that depends
+// on it should be started.
 func (l *Loop) HasStalled() bool { return l.readClock()-l.now > stallThreshold/2 }
 
 // ClockOffset returns how far the loop's clock is ahead of the wall clock, which may have been set since the start.
@@ -189,7 +190,7 @@
 func (s *Source) ServeFirst() { s.serveOrder, s.loop.hasFirst = orderFirst, true }
 
 // ServeLast has the handler called after all others of a turn, until ServeNormally. It is for a handler that starts
-// something which data still unread at another descriptor may forbid.
+// work, such as sending a request, which data that is still unread at another descriptor may forbid.
 func (s *Source) ServeLast() { s.serveOrder = orderLast }
 
 // ServeNormally ends the effect of ServeFirst or ServeLast.
@@ -297,9 +298,8 @@
 func (l *Loop) ClearStop() { l.isStopped = false }
 
 // OnTurnStart sets the function that is called at the start of each turn, after the clock is read and before any
-// handler, posted function or timer. What is valid only until some time, such as a lease, can be given up there before
-// an event of the turn relies on it, also after the process was stopped and continued. There is one such function; nil
-// removes it.
+// handler, posted function or timer. It can give up what has expired, such as a lease, before an event of the turn relies
+// on it, also after the process was stopped and continued. There is one such function; nil removes it.
 func (l *Loop) OnTurnStart(fn func(now time.Duration)) { l.turnStart = fn }
 
 // Turner is called at the end of each turn. Turn returns the time of the next turn it needs, since the Unix epoch, or 0
@@ -350,8 +350,8 @@
 const maxWaitAttempts = 100
 
 // pollEvents waits for events, at most the given time, and returns how many there are. After an interruption it polls
-// again without waiting: a process that is continued after a stop is interrupted so, and a turn that had not read what
-// arrived meanwhile would start work that the unread data forbids.
+// again without waiting: continuing a stopped process interrupts the wait, and a turn that had not read what arrived
+// meanwhile would start work that the unread data forbids.
 func (l *Loop) pollEvents(milliseconds int) (n int, err error) {
 	for range maxWaitAttempts {
 		if n, err = system.wait(l.epollFD, l.ready, milliseconds); !errors.Is(err, unix.EINTR) {
@@ -362,12 +362,12 @@
 	return 0, nil
 }
 
-// minBlockingWait is the least time that a wait takes which at first found nothing ready.
+// minBlockingWait is the shortest wait that counts as having blocked, that is, with nothing ready when it began.
 const minBlockingWait = time.Millisecond
 
-// updateStall records when the events of a turn were collected, n of them after a wait of the given time, and whether
-// the process stalled before that. A stall is over once a wait finds nothing ready: all that arrived meanwhile has been
-// read.
+// updateStall is called at the end of each wait for events, with the number of events and the duration of the wait. It
+// records a stall if the previous wait ended more than stallThreshold ago. A stall is over once a wait finds nothing ready
+// at first: all that arrived during the stall has then been read.
 func (l *Loop) updateStall(n int, waited time.Duration) {
 	switch {
 	case l.now-l.polledAt > stallThreshold:
@@ -390,7 +390,8 @@
 	}
 }
 
-// serve calls the handlers of those ready descriptors that have the given order.
+// serve calls the handlers of those ready descriptors that have the selected serveOrder, and sets hasLast if others are to
+// be served last.
 func (l *Loop) serve(ready []unix.EpollEvent, selected serveOrder) {
 	for _, ev := range ready {
 		s := l.sources[ev.Fd]
--- a/internal/net/loop/loop_test.go
+++ b/internal/net/loop/loop_test.go
@@ -90,7 +90,7 @@
 	_, err = Write(remote, []byte("x"))
 	require.ErrorIs(t, err, unix.EPIPE)
 	var reused []int
-	for range 3 { // as many as epoll, the eventfd and the socket pair had
+	for range 3 { // enough to reuse the numbers of epoll, the eventfd and the watched socket
 		fd, other := socketPair(t)
 		reused = append(reused, fd, other)
 	}
--- a/internal/net/loop/socket.go
+++ b/internal/net/loop/socket.go
@@ -12,8 +12,8 @@
 // ErrAgain is returned where a descriptor has nothing to read or no space to write.
 var ErrAgain = unix.EAGAIN
 
-// Read reads what is available into b. It returns io.EOF once the peer has closed its sending direction, and ErrAgain
-// where nothing is available yet.
+// Read reads what is available into b, which must not be empty. It returns io.EOF once the peer has closed its sending
+// direction, and ErrAgain where nothing is available yet.
 func Read(fd int, b []byte) (int, error) {
 	for {
 		n, err := system.read(fd, b)
@@ -67,7 +67,7 @@
 }
 
 // ListenReusePort is Listen with SO_REUSEPORT: other processes of the same user may listen at the address, too, if they
-// open their sockets in the same way. Where the system does not support the option, the listener is an ordinary one.
+// set the same option. Where the system does not support it, the listener is an ordinary one.
 func ListenReusePort(addr string) (int, error) {
 	return retryListen(func() (int, error) { return listen(addr, true) })
 }
@@ -102,8 +102,8 @@
 // descriptors of the turn are served.
 const maxAcceptAttempts = 16
 
-// Accept accepts one pending connection. It returns ErrAgain where there is none. After any other error it is to be
-// called again after a delay; see [IsOutOfDescriptors].
+// Accept accepts one pending connection and returns its non-blocking descriptor. It returns ErrAgain where there is none.
+// After any other error it is to be called again after a delay; see [IsOutOfDescriptors].
 func Accept(fd int) (c int, err error) {
 	for range maxAcceptAttempts {
 		c, err = system.accept(fd)
@@ -123,7 +123,7 @@
 
 // Dial starts a TCP connection to addr, of the form ip:port, and returns its non-blocking descriptor. The descriptor
 // becomes writable once the connection is established or has failed; [DialResult] then tells which. Where the machine
-// is short of a resource it tries up to maxDialAttempts times without a delay.
+// is short of a resource or the network is unreachable, it tries up to maxDialAttempts times without a delay.
 func Dial(addr string) (int, error) {
 	sockaddr, family, err := parseAddress(addr)
 	if err != nil {
--- a/internal/net/loop/system.go
+++ b/internal/net/loop/system.go
@@ -47,8 +47,8 @@
 // its own helps.
 func IsOutOfDescriptors(err error) bool { return errors.Is(err, unix.EMFILE) }
 
-// IsOutOfResources reports whether a call failed for a temporary lack of resources on this machine. Such an error says
-// nothing about the peer, and the call is worth repeating.
+// IsOutOfResources reports whether a call failed for a temporary reason on this machine: a lack of resources, or a
+// connection that was aborted locally. Such an error says nothing about the peer, and the call is worth repeating.
 func IsOutOfResources(err error) bool {
 	for _, transient := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL,
 		unix.ECONNABORTED, unix.EAGAIN} {
@@ -59,7 +59,7 @@
 	return false
 }
 
-// maxDialAttempts bounds how often a connection is started in immediate succession that fails for a local reason.
+// maxDialAttempts bounds how often Dial starts a connection, without a delay, that fails for a local reason.
 const maxDialAttempts = 3
 
 // retryDial calls start, which starts a connection, until it succeeds, fails for a reason that a repetition would meet
@@ -74,7 +74,7 @@
 }
 
 const (
-	// listenRetryTimeout bounds how long opening a listener is retried that fails for a temporary local reason.
+	// listenRetryTimeout bounds how long opening a listener is retried that fails for a temporary reason on this machine.
 	listenRetryTimeout = 5 * time.Second
 	// listenRetryInterval is the delay between two of these attempts.
 	listenRetryInterval = 20 * time.Millisecond
--- a/internal/net/loop/system_test.go
+++ b/internal/net/loop/system_test.go
@@ -144,7 +144,7 @@
 	require.NoError(t, SendUDP(from, []byte("x"), to))
 }
 
-// An interrupted wait is no more than a turn without events.
+// An interrupted wait must not end Run with an error: the loop polls again, and its timers fire.
 func TestInterruptedWait(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
@@ -200,8 +200,8 @@
 	require.NoError(t, l.Run(turnerFunc(func(time.Duration) time.Duration { return 0 })))
 }
 
-// A handler set to ServeLast, such as that of a connection that is being established, runs after all others: what they
-// read may forbid the request that it would write.
+// A handler set to ServeLast, as that of a connection being established is, runs after all others: what they read may
+// forbid the request that it would write.
 func TestServeLast(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
@@ -220,12 +220,12 @@
 	connecting := watch("connecting")
 	connecting.ServeLast()
 	watch("client")
-	watch("list")
+	watch("discovery")
 	runOneTurn := func() {
 		require.NoError(t, l.Run(turnerFunc(func(time.Duration) time.Duration { l.Stop(); return 0 })))
 	}
 	runOneTurn()
-	require.Equal(t, []string{"client", "list", "connecting"}, order)
+	require.Equal(t, []string{"client", "discovery", "connecting"}, order)
 }
 
 // A wait is interrupted when a stopped process is continued. Data that arrived meanwhile is read before timers that
--- a/internal/net/loop/udp.go
+++ b/internal/net/loop/udp.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// ListenUDP opens a non-blocking UDP socket bound to addr, of the form ip:port. While the machine is short of a
-// resource it retries, and blocks, for up to listenRetryTimeout.
+// ListenUDP opens a non-blocking UDP socket bound to addr, of the form ip:port. While the machine is short of a resource
+// it retries, and blocks, for up to listenRetryTimeout.
 func ListenUDP(addr string) (int, error) {
 	return retryListen(func() (int, error) { return listenUDP(addr) })
 }
--- a/internal/net/nettest/nettest.go
+++ b/internal/net/nettest/nettest.go
@@ -36,8 +36,8 @@
 // addressCount is how many addresses FreeAddress has returned in this process.
 var addressCount atomic.Uint32
 
-// FreeAddress returns an unused TCP address, ip:port, on loopback. Its IP address differs between calls and between test
-// processes, unless their ids are equal modulo 192, so that nobody else takes the port until the caller listens on it.
+// FreeAddress returns an unused TCP address, ip:port, on loopback. Its IP address differs between calls, and between test
+// processes unless their ids are equal modulo 192, so the port stays free until the caller listens on it.
 func FreeAddress(t *testing.T) string {
 	n := addressCount.Add(1)
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 32+os.Getpid()%192, n>>8, n&255))
@@ -46,13 +46,13 @@
 	return l.Addr().String()
 }
 
-// idleTurner is a Turner that needs no turn.
+// idleTurner is a Turner that does nothing and asks for no turn.
 type idleTurner struct{}
 
 func (idleTurner) Turn(time.Duration) time.Duration { return 0 }
 
-// Until runs a loop, on the calling goroutine, until cond holds, which it checks every millisecond. The test fails
-// after 20 seconds. The loop may be run again afterwards.
+// Until runs a loop on the calling goroutine until cond holds. It checks cond every millisecond, and fails the test after
+// 20 seconds. The loop may be run again afterwards.
 func Until(t *testing.T, l *loop.Loop, cond func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
--- a/internal/net/tcpstate/tcpstate.go
+++ b/internal/net/tcpstate/tcpstate.go
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// tcpClose is the kernel's state TCP_CLOSE. A connection that the peer has closed in an orderly way is in another one,
-// half open.
+// tcpClose is the kernel's state TCP_CLOSE, that of a reset connection. One that the peer has closed in an orderly way is
+// in another state: it is half-closed.
 const tcpClose = 7
 
 // WasReset reports whether the peer has reset a connection that this side has not closed. If the state can't be
-// queried, it returns true. It is needed because the kernel reports a reset as an error once only: after a write has
-// returned it, reading returns an ordinary end of file.
+// queried, it returns true. Reading alone does not show it, because the kernel reports a reset only once: after a write
+// has returned the error, a read returns an ordinary end of file.
 func WasReset(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire iterates over the fields of messages in the protobuf wire format, for messages that are decoded without
-// generated code. It keeps no state and is owned by its callers.
+// generated code. It keeps no state.
 package wire
 
 import (
