--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -187,7 +187,7 @@
 		return
 	}
 	switch {
-	case events&loop.HangupOrError != 0: // unread input is of no use any more
+	case events&loop.FullHangup != 0: // unread input is of no use any more
 		c.disconnect(closedReset)
 	case events&loop.ReadHangup != 0 && c.isUploadBlocked():
 		c.closeBlockedUpload()
--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -25,9 +25,9 @@
 	ReadHangup = unix.EPOLLRDHUP
 	// Hangup: the peer has closed its sending direction or the whole connection, or the connection has failed.
 	Hangup = ReadHangup | unix.EPOLLHUP | unix.EPOLLERR
-	// HangupOrError is Hangup without ReadHangup: the connection is closed in both directions or has failed. It is
-	// reported whether watched for or not.
-	HangupOrError = unix.EPOLLHUP | unix.EPOLLERR
+	// FullHangup is Hangup without ReadHangup: the connection is closed in both directions or has failed. It is reported
+	// whether watched for or not.
+	FullHangup = unix.EPOLLHUP | unix.EPOLLERR
 )
 
 // Handler handles the events of a descriptor. Ready is called on the loop's goroutine with those that have occurred.
--- a/internal/net/mgmt/mgmt.go
+++ b/internal/net/mgmt/mgmt.go
@@ -112,7 +112,7 @@
 	}
 	if err != nil {
 		// A peer that has closed only its sending side still gets the rest of its answer.
-		if c.isAnswered && len(c.unsent) > 0 && events&loop.HangupOrError == 0 {
+		if c.isAnswered && len(c.unsent) > 0 && events&loop.FullHangup == 0 {
 			c.source.SetEvents(loop.Out)
 			return
 		}
