--- a/internal/net/flow/flow.go
+++ b/internal/net/flow/flow.go
@@ -1,7 +1,7 @@
 // Package flow passes a message body on from the connection that it is read from (the writer of a pipe) to the
 // connection that it is written to (its reader), with back-pressure. A pipe is a buffer in memory without I/O of its
-// own; a writer that observes FreeSpace keeps it within its window. It belongs to the event loop's goroutine, never
-// blocks and is not safe for concurrent use.
+// own, kept within its window by a writer that observes FreeSpace. It belongs to the event loop's goroutine, never blocks
+// and is not safe for concurrent use.
 package flow
 
 // Pipe buffers the part of a body that has arrived and is not passed on yet. One side calls Append and CloseWrite, the
@@ -37,7 +37,8 @@
 	return max(0, p.maxUnread-len(p.unread))
 }
 
-// Append copies b to the end of the pipe. It does not enforce the window: the writer observes FreeSpace.
+// Append copies b to the end of the pipe. It does not enforce the window: the writer observes FreeSpace, except for the
+// part of the body that it read before the pipe existed.
 func (p *Pipe) Append(b []byte) {
 	if p.isReadClosed || len(b) == 0 {
 		return
--- a/internal/net/http1/reader.go
+++ b/internal/net/http1/reader.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// bodyFraming is how the end of a body that is read is recognized. RequestParserState carries it to another
-// process as a number, so the values must not change.
+// bodyFraming is how the parser recognizes the end of a body. RequestParserState carries it to another process as a
+// number, so the values must not change.
 type bodyFraming int
 
 const (
@@ -25,7 +25,7 @@
 	storage        []byte // the memory that unparsed is a part of
 	unparsed       []byte
 	scanned        int  // bytes of unparsed known to contain no end of a head, or no end of a chunk line
-	inBody         bool // the head is read, the body is not complete
+	inBody         bool // the head has been read, the body is not complete
 	bodyFraming    bodyFraming
 	bytesLeft      int // still to be read of a body with a length, or of the current chunk without its CRLF
 	nextChunkPart  chunkPart
@@ -36,8 +36,8 @@
 	trailerBytes   int  // without their line ends
 }
 
-// chunkPart is the part of a chunked body that is read next. RequestParserState carries it to another
-// process as a number, so the values must not change.
+// chunkPart is the part of a chunked body that is read next. RequestParserState carries it to another process as a
+// number, so the values must not change.
 type chunkPart int
 
 const (
