--- a/internal/net/http1/request.go
+++ b/internal/net/http1/request.go
@@ -5,12 +5,12 @@
 // RequestParser parses the requests of one connection.
 type RequestParser struct {
 	reader
-	request         *Request // its head is read, its body is not complete; nil once handed out
+	request         *Request // its head has been read, its body is not complete; nil once returned
 	expectsContinue bool     // the client waits for "100 Continue" before it sends the body of request
 }
 
 // NewRequestParser returns a parser that refuses heads and bodies over the given sizes. A request whose body is longer
-// than streamThreshold is streamed; 0: none is. All are in bytes.
+// than streamThreshold is streamed; with 0 none is. All sizes are in bytes.
 func NewRequestParser(maxHead, maxBody, streamThreshold int) *RequestParser {
 	return &RequestParser{reader: reader{maxHead: maxHead, maxBody: maxBody, streamThreshold: streamThreshold}}
 }
@@ -29,7 +29,7 @@
 			return nil, newParseError(400, "malformed request line")
 		}
 		if proto != "HTTP/1.1" && proto != "HTTP/1.0" {
-			return nil, newParseError(400, "unsupported protocol %q", proto)
+			return nil, newParseError(400, "protocol %q", proto)
 		}
 		if err := p.startBody(h, false); err != nil {
 			return nil, err
