--- a/admission/counter.go
+++ b/admission/counter.go
@@ -1,6 +1,6 @@
 package admission
 
-// Counter trouble: a local share, a circuit breaker.
+// Failures and overload of the shared counter: fewer queries, a circuit breaker, local decisions.
 
 import (
 	"math"
@@ -8,142 +8,166 @@
 )
 
 const (
-	breakAfter  = 4                      // calls lost in a row open the breaker
-	crowdedCut  = 0.8                    // a call turned away or late: this much of the asking goes on...
-	crowdedGain = 0.01                   // ...and each answer in time brings this much back,
-	crowdedEase = 0.05                   // and each second between answers, for who asks little
-	fitGain     = 0.2                    // EWMA weight of a total read, in what fits
-	crowdedAt   = 0.25                   // of a call's time limit: an answer later than this shows crowding,
-	crowdedX    = 2.0                    // and so many times what one takes at a counter at ease,
-	easeGain    = 0.005                  // EWMA weight of one that took more than that, in what it takes
-	probeEvery  = 250 * time.Millisecond // calls made while the breaker is open, to see whether it is back,
-	probeSum    = 10 * time.Millisecond  // and by all gateways together at most one in this time
+	// Calls lost in a row that open the circuit breaker.
+	breakerThreshold = 4
+	// Factor on the query share (requests that query the counter, over all) for a call that is refused, lost
+	// or answered late.
+	queryShareCut = 0.8
+	// Query share regained with each answer in time.
+	queryShareGain = 0.01
+	// Query share regained, with an answer in time, for each second since the previous answer. It serves
+	// gateways that seldom query.
+	queryShareRecovery = 0.05
+	// EWMA weight of a total in the share of totals that are under the in-flight cap.
+	underCapWeight = 0.2
+	// Share of a call's time limit after which an answer is late, the sign of a crowded counter.
+	slowCounterThreshold = 0.25
+	// Multiple of the baseline latency before which no answer is late.
+	slowCounterFactor = 2.0
+	// EWMA weight of a slower answer in the baseline latency, the latency of a counter that is not crowded.
+	counterBaselineWeight = 0.005
+	// Interval between the calls that test, while the breaker is open, whether the counter answers again.
+	counterProbeInterval = 250 * time.Millisecond
+	// Shortest mean interval between the test calls of all gateways together while their breakers are open.
+	fleetProbeInterval = 10 * time.Millisecond
 )
 
-// counterFailed: crowded or lost. Fewer requests ask, the others are counted with the next call; calls
-// lost in a row open the breaker.
-func (g *Gateway) counterFailed(o Outcome) {
-	g.askShare = math.Max(askLeast, g.askShare*crowdedCut)
-	if o != Full {
-		g.failures++
+// counterFailed handles a call that was refused or lost. Fewer requests query the counter; the units of the
+// others are added with the next call. Calls lost in a row open the breaker.
+func (g *Gateway) counterFailed(outcome Outcome) {
+	g.queryShare = math.Max(minQueryShare, g.queryShare*queryShareCut)
+	if outcome != Full {
+		g.counterFailures++
 	}
-	if g.failures >= breakAfter && !g.open {
-		g.open, g.nextProbe = true, g.probeNext()
-		g.log(logMost, "counter lost: deciding by own share")
+	if g.counterFailures >= breakerThreshold && !g.isBreakerOpen {
+		g.isBreakerOpen, g.nextCounterProbe = true, g.nextProbeTime()
+		g.log(maxLogLines, "counter lost: deciding by own share")
 	}
 }
 
-func (g *Gateway) probeNext() time.Duration {
-	return g.now + max(probeEvery, time.Duration(g.s.Gateways)*probeSum)
+// nextProbeTime returns when the counter may be tried again while the breaker is open.
+func (g *Gateway) nextProbeTime() time.Duration {
+	return g.now + max(counterProbeInterval, time.Duration(g.settings.Gateways)*fleetProbeInterval)
 }
 
-func (g *Gateway) counterWorks(took time.Duration) {
-	g.failures = 0
-	if g.ease == 0 || took < g.ease {
-		g.ease = took
-	}
-	g.ease += time.Duration(easeGain * float64(took-g.ease))
-	if took > seconds(max(crowdedAt*g.s.CounterTimeout.Seconds(), crowdedX*g.ease.Seconds())) {
-		g.askShare = math.Max(askLeast, g.askShare*crowdedCut)
+// counterSucceeded handles an answered call. An answer in time raises the query share and closes the breaker;
+// a late one lowers the share. A counter that is far away but steady is not taken for crowded.
+func (g *Gateway) counterSucceeded(took time.Duration) {
+	g.counterFailures = 0
+	if g.counterBaseline == 0 || took < g.counterBaseline {
+		g.counterBaseline = took
+	}
+	g.counterBaseline += time.Duration(counterBaselineWeight * float64(took-g.counterBaseline))
+	if took > seconds(max(slowCounterThreshold*g.settings.CounterTimeout.Seconds(),
+		slowCounterFactor*g.counterBaseline.Seconds())) {
+		g.queryShare = math.Max(minQueryShare, g.queryShare*queryShareCut)
 	} else {
-		ease := crowdedGain + crowdedEase*(g.now-g.answeredAt).Seconds()
-		if g.askShare = math.Min(1, g.askShare+ease); g.open {
-			g.open = false
-			g.log(logMost, "counter back")
+		gain := queryShareGain + queryShareRecovery*(g.now-g.counterAnsweredAt).Seconds()
+		if g.queryShare = math.Min(1, g.queryShare+gain); g.isBreakerOpen {
+			g.isBreakerOpen = false
+			g.log(maxLogLines, "counter back")
 		}
 	}
-	g.answeredAt = g.now
+	g.counterAnsweredAt = g.now
 }
 
-// decideAlone decides without waiting for the counter: by the mirror, and while the breaker is open each unit
-// sent from here stands for one at every door. At a sparse door that would refuse nearly all, so lots are
-// drawn. Guards against a counter slow, silent, crowded or refusing; harms when demand changes meanwhile.
-func (g *Gateway) decideAlone(r *request) {
-	c := r.cust
+// decideLocally decides a request without waiting for the counter, by the local tokens. While the breaker is
+// open, or without a counter, each unit sent from here is charged for all gateways of the customer, unless
+// their use is predicted. At a sparse gateway the tokens would refuse nearly all, so if the settings have a
+// counter, a random sample is admitted there. This covers a counter that is slow, silent, crowded or
+// refusing; it is wrong when demand changes in the meantime.
+func (g *Gateway) decideLocally(r *request) {
+	c := r.customer
 	p := c.plan
-	over := r.over
-	g.refill(c)
-	heft := 1.0
-	if (g.open || !g.s.HasCounter) && !g.foretells(c) {
-		heft = c.doors
-	}
-	if p.Rate > 0 && !(c.sparse(r.units) && g.s.HasCounter) {
-		over = over || c.level < r.units
+	isOver := r.isOverQuota
+	g.refillQuota(c)
+	weight := 1.0
+	if (g.isBreakerOpen || !g.settings.HasCounter) && !g.predictsOthers(c) {
+		weight = c.gateways
+	}
+	if p.Rate > 0 && !(c.isSparse(r.units) && g.settings.HasCounter) {
+		isOver = isOver || c.quotaTokens < r.units
 	} else if p.Rate > 0 || p.MaxInFlight > 0 {
-		over = over || !g.lot(c)
+		isOver = isOver || !g.sampleAdmits(c)
 	}
-	over = over || p.CeilingRate > 0 && !r.shown && !c.underCeiling(g.now, r.units)
-	g.decide(r, over, heft)
+	isOver = isOver || p.CeilingRate > 0 && !r.isShownUnderCeiling && !c.hasCeilingTokens(g.now, r.units)
+	g.decide(r, isOver, weight)
 }
 
-// fits is the part of what all doors ask of a customer that fits its quota, as far as known.
-func (g *Gateway) fits(c *customer) float64 {
-	if c.plan.MaxInFlight > 0 && g.capLedger(c) == &c.gauge {
-		return c.fit
+// fitShare estimates the share of a customer's demand, over all gateways, that fits its quota.
+func (g *Gateway) fitShare(c *customer) float64 {
+	if c.plan.MaxInFlight > 0 && g.capCounter(c) == &c.inFlightCounter {
+		return c.underCapShare
 	}
-	return 1 / g.pressOf(c)
+	return 1 / g.demandRatio(c)
 }
 
-// lot lets in unchecked the part that fits. On a gauge that is the chance to find room; to find none costs.
-func (g *Gateway) lot(c *customer) bool {
-	worth := c.plan.OverQuotaCost / (1 + c.plan.OverQuotaCost)
+// sampleAdmits draws whether a request is admitted unchecked, so that the share that fits passes. Under the
+// in-flight counter that share is the chance of finding a free slot, and a send without one costs: requests
+// pass only above the chance at which a send breaks even.
+func (g *Gateway) sampleAdmits(c *customer) bool {
+	breakEven := c.plan.OverQuotaCost / (1 + c.plan.OverQuotaCost)
 	switch {
-	case c.plan.MaxInFlight > 0 && c.out >= c.plan.MaxInFlight:
+	case c.plan.MaxInFlight > 0 && c.inFlight >= c.plan.MaxInFlight:
 		return false
-	case c.plan.MaxInFlight > 0 && g.capLedger(c) == &c.gauge:
-		return g.rng.Float64() < (g.fits(c)-worth)/(1-worth)
+	case c.plan.MaxInFlight > 0 && g.capCounter(c) == &c.inFlightCounter:
+		return g.rng.Float64() < (g.fitShare(c)-breakEven)/(1-breakEven)
 	}
-	return g.rng.Float64() < g.fits(c)
+	return g.rng.Float64() < g.fitShare(c)
 }
 
-// capLedger is what a cap on attempts out is held by: a gauge, or by many doors at a crowded counter demand.
-func (g *Gateway) capLedger(c *customer) *ledger {
-	if g.asking(c.index) < gaugeAbove && c.doors > 2*float64(c.plan.MaxInFlight) {
-		return &c.demand
-	}
-	return &c.gauge
+// capCounter returns the counter that enforces an in-flight cap: the in-flight counter or, with many
+// gateways at a crowded counter, the demand counter.
+func (g *Gateway) capCounter(c *customer) *windowCounter {
+	if g.planQueryShare(c.planIndex) < inFlightCounterThreshold &&
+		c.gateways > 2*float64(c.plan.MaxInFlight) {
+		return &c.demandCounter
+	}
+	return &c.inFlightCounter
 }
 
-// load is what fits of a ledger's demand, in units a second: the rate, or of a cap a part.
-func (g *Gateway) load(c *customer, l *ledger) float64 {
-	if l == &c.demand {
-		return capLoad * float64(c.plan.MaxInFlight) / g.outFor
+// demandCapacity returns how much demand on a counter fits, in units a second: the quota's rate, or a part of
+// the rate at which an in-flight cap frees its slots.
+func (g *Gateway) demandCapacity(c *customer, counter *windowCounter) float64 {
+	if counter == &c.demandCounter {
+		return capDemandShare * float64(c.plan.MaxInFlight) / g.meanTimeInFlight
 	}
 	return c.plan.Rate
 }
 
-// weigh learns from one total what all doors have asked since the last look, or the window's start: that is
-// no arrival of ours, so there the call's own units tell nothing.
-func (g *Gateway) weigh(c *customer, l *ledger, k *call, total float64) {
-	since, news := (g.now - l.seenAt).Seconds(), total-l.seen
-	if l.seen == 0 {
-		news -= k.by
-	}
-	l.seenAt = g.now
-	if since <= 0 || news < 0 {
+// learnDemand learns from a total how much was asked through all gateways since the previous total. The
+// first total of a window covers the time from the start of the window. That is no arrival at this gateway,
+// so the call's own units are no sign of the demand in that time and are left out.
+func (g *Gateway) learnDemand(c *customer, counter *windowCounter, call *counterCall, total float64) {
+	elapsed, demand := (g.now - counter.lastTotalAt).Seconds(), total-counter.lastTotal
+	if counter.lastTotal == 0 {
+		demand -= call.delta
+	}
+	counter.lastTotalAt = g.now
+	if elapsed <= 0 || demand < 0 {
 		return
 	}
-	news /= g.load(c, l)
-	for _, e := range []*evidence{&c.press, &g.press[c.index]} {
-		e.fade(g.now, pressMemory)
-		e.asked, e.span = e.asked+news, e.span+since
+	demand /= g.demandCapacity(c, counter)
+	for _, e := range []*demandEstimate{&c.observedDemand, &g.planDemand[c.planIndex]} {
+		e.decay(g.now, demandMemory)
+		e.demand, e.observed = e.demand+demand, e.observed+elapsed
 	}
 }
 
-// pressOf estimates what all doors ask of a customer over what fits. Its plan's mean counts as if seen for
-// some requests: one total is not trusted, and who is not asked about, as most at many doors, is like the
-// others.
-func (g *Gateway) pressOf(c *customer) float64 {
-	l, first := &c.rate, pressFirst
+// demandRatio estimates a customer's demand over all gateways as a multiple of what fits its quota. The mean
+// of its plan counts like some units of observed demand: a single total is not trusted, and a customer of
+// which no total was read, as most are at many gateways, is taken to be like the others.
+func (g *Gateway) demandRatio(c *customer) float64 {
+	counter, initial := &c.quotaCounter, initialQuotaDemand
 	if c.plan.MaxInFlight > 0 {
-		l, first = &c.demand, capFirst
+		counter, initial = &c.demandCounter, initialCapDemand
 	}
-	plan := g.press[c.index].mean(first, l.span.Seconds())
-	if c.plan.OverQuotaCost == 0 { // nothing is lost by letting in who is not known to ask too much
-		plan = math.Min(1, plan)
+	planMean := g.planDemand[c.planIndex].mean(initial, counter.length.Seconds())
+	if c.plan.OverQuotaCost == 0 { // admitting a customer that is not known to ask too much costs nothing
+		planMean = math.Min(1, planMean)
 	}
-	if !g.open { // what was known last is kept through an outage
-		c.press.fade(g.now, pressMemory)
+	if !g.isBreakerOpen { // during an outage the last observations are kept
+		c.observedDemand.decay(g.now, demandMemory)
 	}
-	return c.press.mean(plan, priorUnits/g.load(c, l))
+	return c.observedDemand.mean(planMean, demandPriorUnits/g.demandCapacity(c, counter))
 }
--- /dev/null
+++ b/internal/net/downstream/body.go
@@ -0,0 +1,219 @@
+package downstream
+
+import (
+	"time"
+
+	"ferryfront.example/ferryfront/internal/net/flow"
+	"ferryfront.example/ferryfront/internal/net/http1"
+	"ferryfront.example/ferryfront/internal/net/loop"
+)
+
+// bodyUpload is the body of a streamed request, which is forwarded while it is being received.
+type bodyUpload struct {
+	pipe      *flow.Pipe
+	rateSince time.Duration // start of the rate measurement; postponed while the pipe is full
+	received  int           // bytes
+}
+
+// startUpload passes a streamed request to the handler, which may send it upstream before its body is complete.
+func (c *Conn) startUpload(req *http1.Request) {
+	u := &bodyUpload{pipe: flow.New(c.server.bounds.RelayWindow(c.server.activeUploads), req.ContentLength),
+		rateSince: c.server.loop.Now()}
+	u.pipe.Append(req.Body) // the parser's copy is released
+	c.parser.ReleaseBodyBuffers()
+	req.Body, req.BodyPipe, c.upload = nil, u.pipe, u
+	c.server.activeUploads++
+	u.pipe.OnFreeSpace = c.updateEvents
+	c.listener.handler.HandleRequest(c, req)
+	if c.upload == nil {
+		return
+	}
+	if c.parser.TakeExpectContinue() {
+		c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	}
+	c.pumpUpload()
+}
+
+// pumpUpload moves received bytes of the body into the pipe, as far as there is space.
+func (c *Conn) pumpUpload() {
+	if c.upload == nil || c.source.FD() < 0 || c.upload.pipe.FreeSpace() == 0 && c.parser.Buffered() > 0 {
+		return
+	}
+	u := c.upload
+	b, complete, err := c.parser.NextBodyPart()
+	if err != nil {
+		c.abortUpload()
+		c.rejectUnparsable(err)
+		return
+	}
+	u.received += len(b)
+	u.pipe.Append(b)
+	c.parser.ReleaseBodyBuffers()
+	if complete {
+		c.clearUpload()
+		u.pipe.CloseWrite(true)
+		if c.awaitingResponse {
+			c.listener.handler.HandleBodyComplete(c)
+		}
+	}
+}
+
+// isUploadBlocked reports whether the pipe of the request body is full. Nothing is read then, not even the end of the
+// client's side.
+func (c *Conn) isUploadBlocked() bool { return c.upload != nil && c.upload.pipe.FreeSpace() == 0 }
+
+// closeBlockedUpload handles a client that has closed its side while the pipe of its request body is full. The client
+// counts as gone at once, not only after its remaining input has been read. That input is read and discarded, because
+// closing the socket with unread input would reset the connection.
+func (c *Conn) closeBlockedUpload() {
+	c.abortUpload()
+	c.awaitingResponse, c.hasUnreadBody = false, true
+	c.closeGracefully(closedUploadBlocked)
+}
+
+// clearUpload ends the forwarding of the current request's body.
+func (c *Conn) clearUpload() {
+	c.upload = nil
+	c.server.activeUploads--
+}
+
+// abortUpload ends an upload that will never be complete. The handler learns that the client is gone, which ends the
+// stream.
+func (c *Conn) abortUpload() {
+	u := c.upload
+	c.clearUpload()
+	u.pipe.CloseWrite(false)
+	if c.awaitingResponse {
+		c.listener.handler.HandleClientGone(c)
+	}
+}
+
+// isUploadTooSlow reports whether a body arrives slower than the minimum rate. It must be called once per sweep, since
+// it takes the sweep interval out of the measurement if the pipe is full: a slow reader is not the client's fault.
+func (c *Conn) isUploadTooSlow(now time.Duration) bool {
+	u := c.upload
+	if u.pipe.FreeSpace() == 0 {
+		u.rateSince += sweepInterval
+		return false
+	}
+	return now-u.rateSince > c.server.bounds.RequestTimeout(u.received)
+}
+
+// responseRelay is a response body that is forwarded while it is being received from the upstream host.
+type responseRelay struct {
+	pipe       *flow.Pipe
+	framing    http1.Framing
+	done       func(complete bool)
+	progressAt time.Duration // last time that the client took bytes, or that none were available
+}
+
+// Relay answers the current request with a body that is still being received. If the body ends early, the connection is
+// closed so that the client can tell that the response is incomplete. done is called once with whether the body is
+// complete, unless the connection to the client fails first. A relay is not cut off at the client's deadline, however
+// late it ends, because a long response counts as answered with its first bytes. If the connection is closed or has no
+// unanswered request, Relay only drops the body.
+func (c *Conn) Relay(status int, h http1.Headers, body *flow.Pipe, done func(complete bool)) {
+	if c.source.FD() < 0 || !c.awaitingResponse {
+		body.CloseRead()
+		return
+	}
+	c.StreamID = 0
+	h = c.withTraceParent(h)
+	c.wasServed = true
+	c.closeAfterResponse = c.closeAfterResponse || c.server.draining || c.upload != nil
+	r := &responseRelay{pipe: body, done: done, progressAt: c.server.loop.Now()}
+	switch {
+	case body.ContentLength >= 0:
+	case c.isHTTP10:
+		r.framing, c.closeAfterResponse = http1.FramedByClose, true
+	default:
+		r.framing = http1.FramedByChunks
+	}
+	c.discardUpload()
+	c.relay = r
+	b := http1.AppendResponseHead(nil, status, h, body.ContentLength, r.framing, c.closeAfterResponse)
+	if !c.write(b) {
+		return
+	}
+	body.OnData = c.pumpRelay
+	c.pumpRelay()
+}
+
+// pumpRelay writes received bytes of the response body, as long as the client takes them, and finishes the response at
+// the end of the body.
+func (c *Conn) pumpRelay() {
+	r := c.relay
+	if r == nil || c.source.FD() < 0 {
+		return
+	}
+	if len(c.unsent) == 0 {
+		r.progressAt = c.server.loop.Now()
+	}
+	if b := r.pipe.Bytes(); len(b) > 0 && len(c.unsent) == 0 {
+		n := len(b)
+		if r.framing == http1.FramedByChunks {
+			if !c.write(http1.AppendChunk(make([]byte, 0, n+16), b)) {
+				return
+			}
+		} else {
+			var err error
+			if n, err = loop.Write(c.source.FD(), b); err != nil {
+				c.disconnect(closeReason(err.Error()))
+				return
+			}
+		}
+		r.pipe.Consume(n)
+		c.updateEvents()
+	}
+	switch {
+	case r.pipe.IsTruncated() && len(r.pipe.Bytes()) == 0:
+		c.abortRelay()
+	case r.pipe.IsComplete() && c.relay == r:
+		c.relay = nil
+		if r.framing == http1.FramedByChunks && !c.write(http1.AppendLastChunk(nil)) {
+			return
+		}
+		c.awaitingResponse = false
+		r.done(true)
+		c.finishResponse()
+	}
+}
+
+// abortRelay closes a connection whose response can't be completed. If the end of the connection would mark the end of
+// the response, the connection is reset instead.
+func (c *Conn) abortRelay() {
+	if c.relay.framing == http1.FramedByClose {
+		c.source.ResetOnClose()
+	}
+	done := c.relay.done
+	c.close(closedRelayAborted)
+	done(false)
+}
+
+// discardUpload drops the rest of the body of a request that is already answered. It is still read, but not forwarded.
+func (c *Conn) discardUpload() {
+	if c.upload != nil {
+		c.upload.pipe.CloseRead()
+		c.clearUpload()
+		c.hasUnreadBody = true
+	}
+}
+
+// lingerTimeout returns how long a lingering connection still reads input. It is longer after an unread body: a client
+// that writes all of a long body before it reads would otherwise never see the response sent meanwhile.
+func (c *Conn) lingerTimeout() time.Duration {
+	if c.hasUnreadBody {
+		return c.server.bounds.RelayStallTimeout
+	}
+	return c.server.bounds.LingerTimeout
+}
+
+// ActiveRelays returns the number of relayed responses that are not completely written.
+func (s *Server) ActiveRelays() (n int) {
+	for c := range s.conns {
+		if c.relay != nil {
+			n++
+		}
+	}
+	return n
+}
--- a/internal/net/downstream/read.go
+++ b/internal/net/downstream/read.go
@@ -8,77 +8,77 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// What comes of a client: bytes, requests, what can't be read as one.
+// read reads the socket and processes the input. One call normally reads once, and no more than the buffer has space
+// for: other connections must get their turn, and hundreds of long bodies that begin at the same time must not each
+// buffer a first part of maximum size.
+func (c *Conn) read() { c.readDelayed(c.server.loop.MaxReadDelay()) }
 
-// read takes what one read brings, and no more than there is room for: the others have their turns, and hundreds that
-// begin long bodies at one instant must not hold the first piece of each at its largest.
-func (c *Conn) read() { c.readLate(c.s.loop.MaxReadDelay()) }
+// maxDelayedReads is the number of additional reads of input that had to wait. The client had time to disconnect, and
+// the end of its side may be right behind the input.
+const maxDelayedReads = 8
 
-// lateReads is how much more is read, in reads, of what had to wait: its client's end may be right behind, and it had its
-// time to go.
-const lateReads = 8
-
-// readLate reads what may have come so much earlier. Of that nothing is begun before it is known whether its client is still
-// there.
-func (c *Conn) readLate(late time.Duration) {
-	got, stands := c.take(late)
-	for n := 0; stands && got && late > 0 && c.up == nil && n < lateReads; n++ {
-		got, stands = c.take(late)
+// readDelayed reads input that may have arrived up to delay earlier. If delay is positive, no request is started before
+// further reads have shown whether the client is still connected.
+func (c *Conn) readDelayed(delay time.Duration) {
+	received, open := c.readOnce(delay)
+	for n := 0; open && received && delay > 0 && c.upload == nil && n < maxDelayedReads; n++ {
+		received, open = c.readOnce(delay)
 	}
-	if !stands {
+	if !open {
 		return
 	}
-	c.upload()
-	c.parse()
+	c.pumpUpload()
+	c.parseRequests()
 }
 
-// take reads once. It tells whether anything came, and whether the connection still stands.
-func (c *Conn) take(late time.Duration) (got, stands bool) {
-	most := c.s.lim.MaxHeaderBytes
-	if c.up != nil {
-		most = max(1, c.up.pipe.FreeSpace())
+// readOnce reads the socket once and buffers the input, which may have arrived up to delay earlier. It reports whether
+// bytes were received, and whether the connection is still open.
+func (c *Conn) readOnce(delay time.Duration) (received, open bool) {
+	limit := c.server.bounds.MaxHeaderBytes
+	if c.upload != nil {
+		limit = max(1, c.upload.pipe.FreeSpace())
 	}
-	buf := c.s.loop.ReadBuffer()
-	n, err := loop.Read(c.src.FD(), buf[:min(len(buf), most)])
-	if err != nil && !errors.Is(err, loop.ErrAgain) { // gone, whether with EOF or a reset
-		c.gone(closeReason(err.Error()))
+	buf := c.server.loop.ReadBuffer()
+	n, err := loop.Read(c.source.FD(), buf[:min(len(buf), limit)])
+	if err != nil && !errors.Is(err, loop.ErrAgain) { // end of stream or reset
+		c.disconnect(closeReason(err.Error()))
 		return false, false
 	}
 	if n == 0 {
 		return false, true
 	}
-	c.moved = c.s.loop.Now()
-	if !c.busy && !c.parser.HasMessageStarted() {
-		c.since = c.moved
+	c.lastReadAt = c.server.loop.Now()
+	if !c.awaitingResponse && !c.parser.HasMessageStarted() {
+		c.phaseSince = c.lastReadAt
 	}
 	d := 0
-	if c.up != nil {
+	if c.upload != nil {
 		d = c.parser.TakeRawBody(buf[:n])
-		c.up.got += d
-		c.up.pipe.Append(buf[:d])
+		c.upload.received += d
+		c.upload.pipe.Append(buf[:d])
 	}
-	if d < n && !c.tooMuch(n-d) {
+	if d < n && !c.discardOverflow(n-d) {
 		c.parser.Feed(buf[d:n])
-		c.arrivals.came(n-d, c.moved-late)
+		c.arrivals.add(n-d, c.lastReadAt-delay)
 	}
 	return true, true
 }
 
-// parse hands on the next request, and the next again if it was answered at once.
-func (c *Conn) parse() {
+// parseRequests passes the next buffered request to the handler, and further ones as long as each is answered at once.
+func (c *Conn) parseRequests() {
 	if c.parsing {
 		return
 	}
 	c.parsing = true
 	defer func() { c.parsing = false }()
-	for n := 0; !c.busy && !c.lingering && !c.s.held && c.src.FD() >= 0; n++ {
-		if n == c.s.lim.MaxPipelinedPerTurn { // the others have their turn
-			c.s.loop.After(time.Microsecond, c.parse)
+	for n := 0; !c.awaitingResponse && !c.lingering && !c.server.suspended && c.source.FD() >= 0; n++ {
+		if n == c.server.bounds.MaxPipelinedPerTurn { // other connections get their turn first
+			c.server.loop.After(time.Microsecond, c.parseRequests)
 			break
 		}
 		req, err := c.parser.Next()
 		if err != nil {
-			c.complain(err)
+			c.rejectUnparsable(err)
 			return
 		}
 		if req == nil {
@@ -87,61 +87,63 @@
 			}
 			break
 		}
-		c.came = c.arrivals.of(c.parser.Buffered(), c.Now())
-		c.busy, c.head, c.old = true, req.Method == "HEAD", req.IsHTTP10
-		c.last = c.last || req.Close
-		c.traceRead(req)
-		c.unlist()
+		c.requestArrivedAt = c.arrivals.lastParsed(c.parser.Buffered(), c.Now())
+		c.awaitingResponse, c.isHead, c.isHTTP10 = true, req.Method == "HEAD", req.IsHTTP10
+		c.closeAfterResponse = c.closeAfterResponse || req.Close
+		c.traceRequestRead(req)
+		c.removeFromList()
 		if req.IsStreamed {
-			c.begin(req)
+			c.startUpload(req)
 			continue
 		}
-		c.ln.front.HandleRequest(c, req)
+		c.listener.handler.HandleRequest(c, req)
 	}
-	if !c.busy && !c.lingering && c.src.FD() >= 0 && c.parser.HasMessageStarted() {
-		c.s.begun.push(c)
+	if !c.awaitingResponse && !c.lingering && c.source.FD() >= 0 && c.parser.HasMessageStarted() {
+		c.server.receiving.push(c)
 	}
-	c.want()
+	c.updateEvents()
 }
 
-// complain answers what could not be read.
-func (c *Conn) complain(err error) {
+// rejectUnparsable answers input that is not a valid request, with the parser's status or 400.
+func (c *Conn) rejectUnparsable(err error) {
 	status := 400
 	var pe *http1.ParseError
 	if errors.As(err, &pe) {
 		status = pe.Status
 	}
-	c.malformed(status, err.Error())
+	c.rejectRequest(status, err.Error())
 }
 
-// want watches for what can be used: no more input than is bounded, output only while some waits.
-func (c *Conn) want() {
-	if c.src.FD() < 0 {
+// updateEvents polls for the events that the connection can use: input while the buffer has space for it, output while
+// bytes wait to be written.
+func (c *Conn) updateEvents() {
+	if c.source.FD() < 0 {
 		return
 	}
 	events := uint32(loop.Hangup)
 	switch {
-	case c.s.held && !c.busy && !c.lingering:
+	case c.server.suspended && !c.awaitingResponse && !c.lingering:
 		events = 0
 	case c.lingering:
 		events |= loop.In
-	case c.up != nil:
-		if events = loop.Hangup; c.up.pipe.FreeSpace() > 0 { // else only its end is of use now
+	case c.upload != nil:
+		if events = loop.Hangup; c.upload.pipe.FreeSpace() > 0 { // a full pipe only needs the end of the connection
 			events |= loop.In
 		}
-	case c.dumped > c.s.lim.MaxLingerBytes:
-	case c.busy, c.parser.Buffered() <= c.most():
+	case c.overflowBytes > c.server.bounds.MaxLingerBytes:
+	case c.awaitingResponse, c.parser.Buffered() <= c.maxBufferedBytes():
 		events |= loop.In
 	}
-	if len(c.out) > 0 || c.down != nil && len(c.down.pipe.Bytes()) > 0 {
+	if len(c.unsent) > 0 || c.relay != nil && len(c.relay.pipe.Bytes()) > 0 {
 		events |= loop.Out
 	}
-	c.src.SetEvents(events)
+	c.source.SetEvents(events)
 }
 
-func (c *Conn) malformed(status int, what string) {
-	c.busy, c.last = true, true
-	c.unread = c.unread || status == 413 // its client may write all of it before it reads
-	c.unlist()
-	c.ln.front.HandleMalformed(c, status, what)
+// rejectRequest has the handler answer an invalid or too slow request. The response closes the connection.
+func (c *Conn) rejectRequest(status int, message string) {
+	c.awaitingResponse, c.closeAfterResponse = true, true
+	c.hasUnreadBody = c.hasUnreadBody || status == 413 // the client may write the whole body before it reads
+	c.removeFromList()
+	c.listener.handler.HandleMalformed(c, status, message)
 }
--- a/internal/net/mgmt/mgmt.go
+++ b/internal/net/mgmt/mgmt.go
@@ -1,5 +1,6 @@
-// Package mgmt is the admin endpoint: a listener of its own, one line to a connection, an answer, and the end. It is
-// owned by the loop's goroutine, and decides nothing: a Handler answers.
+// Package mgmt serves the admin endpoint: a TCP listener of its own on which an operator's tool sends one line per
+// connection and gets one answer. The goroutine of the event loop owns an Endpoint. The package never computes an answer: a
+// Handler does.
 package mgmt
 
 import (
@@ -12,169 +13,173 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Handler answers what operators ask.
+// Handler provides the contents of answers.
 type Handler interface {
-	IsReady() bool                    // a client's request would be served
-	AppendMetrics(room []byte) []byte // appends the figures
-	StatusDetails() string            // goes behind the word on readiness
+	IsReady() bool                   // whether a client's request would be served
+	AppendMetrics(buf []byte) []byte // appends the metrics, as lines of text
+	StatusDetails() string           // follows the readiness in the answer to STATUS
 }
 
-// Endpoint is a listener with its callers. They are served first in each turn of the loop, and their descriptors are theirs:
-// no number of clients keeps an operator out.
+// Endpoint is the listener and its open connections. The loop serves them before all others in each turn, and their
+// descriptors are reserved, so that no number of clients can keep operators out.
 type Endpoint struct {
-	loop    *loop.Loop
-	lim     limits.Limits
-	log     *slog.Logger
-	handler Handler
-	ln      *loop.Source
-	calls   []*caller     // the one that has waited longest first
-	told    time.Duration // when a failure to accept was last told
+	loop            *loop.Loop
+	bounds          limits.Limits
+	log             *slog.Logger
+	handler         Handler
+	listener        *loop.Source
+	conns           []*conn       // oldest first
+	failureLoggedAt time.Duration // time of the last warning of a failed accept, 0: never
 }
 
-// Open listens at an address.
-func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, addr string, o Handler) (*Endpoint, error) {
-	d := &Endpoint{loop: l, lim: lim, log: log, handler: o}
-	fd, err := loop.ListenReusePort(addr) // a successor opens it before we close it
+// Open listens at addr, a TCP address. It fails if the address can't be listened on.
+func Open(l *loop.Loop, bounds limits.Limits, log *slog.Logger, addr string, h Handler) (*Endpoint, error) {
+	e := &Endpoint{loop: l, bounds: bounds, log: log, handler: h}
+	// In an upgrade the successor process listens here before this one closes its listener.
+	fd, err := loop.ListenReusePort(addr)
 	if err != nil {
 		return nil, err
 	}
-	if d.ln, err = l.Watch(fd, loop.In, d); err != nil {
+	if e.listener, err = l.Watch(fd, loop.In, e); err != nil {
 		loop.CloseFD(fd)
 		return nil, err
 	}
-	d.ln.ServeFirst()
-	return d, nil
+	e.listener.ServeFirst()
+	return e, nil
 }
 
-// Close takes no more callers. It is safe on nil.
-func (d *Endpoint) Close() {
-	if d != nil {
-		d.ln.Close()
+// Close closes the listener. Open connections are still served. It is safe on nil.
+func (e *Endpoint) Close() {
+	if e != nil {
+		e.listener.Close()
 	}
 }
 
-// logEvery: accepting that fails again and again is told of so often.
-const logEvery = 10 * time.Second
+// logInterval is the minimum time between two warnings of a failed accept.
+const logInterval = 10 * time.Second
 
-// Ready accepts who waits. Callers that say nothing must not shut out the next: where all places are taken, the
-// one that has been there longest goes.
-func (d *Endpoint) Ready(uint32) {
-	for range d.lim.MaxAcceptsPerTurn {
-		fd, err := loop.Accept(d.ln.FD())
+// Ready accepts waiting connections, up to the limit per turn. If MaxManagementConns connections are open it closes the
+// oldest one, so that connections that send nothing don't keep out the next.
+func (e *Endpoint) Ready(uint32) {
+	for range e.bounds.MaxAcceptsPerTurn {
+		fd, err := loop.Accept(e.listener.FD())
 		if errors.Is(err, loop.ErrAgain) {
 			return
 		}
 		if err != nil {
-			if now := d.loop.Now(); d.told == 0 || now-d.told > logEvery {
-				d.told = now
-				d.log.Warn("operators' door: accept failed", "error", err)
+			if now := e.loop.Now(); e.failureLoggedAt == 0 || now-e.failureLoggedAt > logInterval {
+				e.failureLoggedAt = now
+				e.log.Warn("operators' door: accept failed", "error", err)
 			}
 			return
 		}
-		if len(d.calls) >= d.lim.MaxManagementConns {
-			d.calls[0].close()
+		if len(e.conns) >= e.bounds.MaxManagementConns {
+			e.conns[0].close()
 		}
-		c := &caller{d: d}
-		if c.src, err = d.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
+		c := &conn{endpoint: e}
+		if c.source, err = e.loop.Watch(fd, loop.In|loop.Hangup, c); err != nil {
 			loop.CloseFD(fd)
 			return
 		}
-		c.src.ServeFirst()
-		c.timer = d.loop.After(d.lim.ManagementConnTimeout, c.close)
-		d.calls = append(d.calls, c)
+		c.source.ServeFirst()
+		c.timer = e.loop.After(e.bounds.ManagementConnTimeout, c.close)
+		e.conns = append(e.conns, c)
 	}
 }
 
-// caller is one connection: it says one line and gets one answer.
-type caller struct {
-	d     *Endpoint
-	src   *loop.Source
-	timer *loop.Timer
-	line  []byte
-	out   []byte
-	done  bool // answered; what still comes is dropped
+// conn is one connection of an operator's tool.
+type conn struct {
+	endpoint   *Endpoint
+	source     *loop.Source
+	timer      *loop.Timer // closes the connection after ManagementConnTimeout
+	line       []byte      // received so far
+	unsent     []byte      // rest of the answer
+	isAnswered bool        // further input is dropped
 }
 
-// Ready reads the line, or writes what is left of the answer.
-func (c *caller) Ready(events uint32) {
-	if events&loop.Out != 0 && len(c.out) > 0 && !c.flush() {
+// Ready reads input, or writes more of the answer.
+func (c *conn) Ready(events uint32) {
+	if events&loop.Out != 0 && len(c.unsent) > 0 && !c.flush() {
 		return
 	}
 	if events&(loop.In|loop.Hangup) == 0 {
 		return
 	}
-	buf := c.d.loop.ReadBuffer()
-	n, err := loop.Read(c.src.FD(), buf)
+	buf := c.endpoint.loop.ReadBuffer()
+	n, err := loop.Read(c.source.FD(), buf)
 	if errors.Is(err, loop.ErrAgain) {
 		return
 	}
-	if err != nil { // it has ended its side; one that still waits for its answer gets it
-		if c.done && len(c.out) > 0 && events&loop.HangupOrError == 0 {
-			c.src.SetEvents(loop.Out)
+	if err != nil {
+		// A peer that has closed only its sending side still gets the rest of its answer.
+		if c.isAnswered && len(c.unsent) > 0 && events&loop.FullHangup == 0 {
+			c.source.SetEvents(loop.Out)
 			return
 		}
 		c.close()
 		return
 	}
-	if c.done {
+	if c.isAnswered {
 		return
 	}
-	most := c.d.lim.MaxManagementLineBytes
-	c.line = append(c.line, buf[:min(n, most+1-len(c.line))]...)
-	i := bytes.IndexByte(c.line, '\n')
+	maxLength := c.endpoint.bounds.MaxManagementLineBytes
+	c.line = append(c.line, buf[:min(n, maxLength+1-len(c.line))]...)
+	end := bytes.IndexByte(c.line, '\n')
 	switch {
-	case i >= 0:
-		c.answer(c.line[:i])
-	case len(c.line) > most:
-		c.answer(nil)
+	case end >= 0:
+		c.respond(c.line[:end])
+	case len(c.line) > maxLength:
+		c.respond(nil)
 	}
 }
 
-// answer answers one line; what comes behind it is dropped.
-func (c *caller) answer(line []byte) {
-	c.done = true
+// respond answers a line; nil, for a line that is too long, gets the answer to an unknown call.
+func (c *conn) respond(line []byte) {
+	c.isAnswered = true
 	switch string(bytes.TrimSuffix(line, []byte("\r"))) {
 	case "STATUS":
-		word := "200 ready"
-		if !c.d.handler.IsReady() {
-			word = "400 not ready"
+		status := "200 ready"
+		if !c.endpoint.handler.IsReady() {
+			status = "400 not ready"
 		}
-		c.out = []byte(word + c.d.handler.StatusDetails() + "\n")
+		c.unsent = []byte(status + c.endpoint.handler.StatusDetails() + "\n")
 	case "METRICS":
-		c.out = append(c.d.handler.AppendMetrics(nil), "EOF\n"...)
+		c.unsent = append(c.endpoint.handler.AppendMetrics(nil), "EOF\n"...)
 	default:
-		c.out = []byte("400 no such call\n")
+		c.unsent = []byte("400 no such call\n")
 	}
 	c.flush()
 }
 
-// flush writes what there is room for and then ends our side. It tells whether the connection still stands.
-func (c *caller) flush() bool {
-	n, err := loop.Write(c.src.FD(), c.out)
+// flush writes the answer as far as the socket takes it, and after the whole answer ends this side of the connection. It
+// returns false if it closed the connection.
+func (c *conn) flush() bool {
+	n, err := loop.Write(c.source.FD(), c.unsent)
 	if err != nil {
 		c.close()
 		return false
 	}
-	if c.out = c.out[n:]; len(c.out) > 0 {
-		c.src.SetEvents(loop.In | loop.Out | loop.Hangup)
+	if c.unsent = c.unsent[n:]; len(c.unsent) > 0 {
+		c.source.SetEvents(loop.In | loop.Out | loop.Hangup)
 		return true
 	}
-	// To close on bytes not read would reset the connection and could destroy the answer on its way, so the
-	// caller's own end is waited for.
-	if err := loop.CloseWrite(c.src.FD()); err != nil {
+	// The connection is closed only after the peer's end. To close it with unread input would reset it, and the reset
+	// could destroy an answer that the peer has not read yet.
+	if err := loop.CloseWrite(c.source.FD()); err != nil {
 		c.close()
 		return false
 	}
-	c.src.SetEvents(loop.In | loop.Hangup)
+	c.source.SetEvents(loop.In | loop.Hangup)
 	return true
 }
 
-func (c *caller) close() {
+// close closes the connection without waiting for unsent bytes.
+func (c *conn) close() {
 	c.timer.Stop()
-	c.src.Close()
-	for i, o := range c.d.calls {
-		if o == c {
-			c.d.calls = append(c.d.calls[:i], c.d.calls[i+1:]...)
+	c.source.Close()
+	for i, other := range c.endpoint.conns {
+		if other == c {
+			c.endpoint.conns = append(c.endpoint.conns[:i], c.endpoint.conns[i+1:]...)
 			break
 		}
 	}
--- a/internal/net/upstream/response.go
+++ b/internal/net/upstream/response.go
@@ -12,49 +12,50 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// What comes back of a request.
-
+// read reads the socket and processes the response to the current request. On an idle connection, any input or the end
+// of the stream closes it.
 func (c *conn) read() {
-	buf := c.p.loop.ReadBuffer()
+	buf := c.pool.loop.ReadBuffer()
 	for {
-		if c.relay != nil { // no more than there is room for
+		if c.relay != nil { // no more than the pipe has space for
 			buf = buf[:min(len(buf), max(1, c.relay.pipe.FreeSpace()))]
 		}
-		n, err := loop.Read(c.src.FD(), buf)
+		n, err := loop.Read(c.source.FD(), buf)
 		if errors.Is(err, loop.ErrAgain) {
 			return
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) && c.relay != nil && c.parser.EndsWithConnection() {
-				c.closes = true
-				c.relayed()
+				c.closeAfterRelay = true
+				c.finishRelay()
 				return
 			}
-			if errors.Is(err, io.EOF) && c.busy && c.relay == nil && len(c.out) == 0 {
-				// That it was cut off there can't be told from an answer without a length that ends as it must.
+			if errors.Is(err, io.EOF) && c.hasRequest && c.relay == nil && len(c.unsent) == 0 {
+				// A response without a length ends with the connection, so a truncated one can't be told from a
+				// complete one.
 				if resp := c.parser.FinishAtEOF(); resp != nil {
-					c.answer(resp)
+					c.completeResponse(resp)
 					return
 				}
 			}
 			c.fail(err)
 			return
 		}
-		if !c.busy { // bytes that nobody asked for
-			c.p.noisyAt = c.p.loop.Now()
-			c.close(errNotQuiet)
+		if !c.hasRequest { // bytes that belong to no request
+			c.pool.unsolicitedAt = c.pool.loop.Now()
+			c.close(errUnexpectedInput)
 			return
 		}
-		if c.relay != nil { // the others have their turns
+		if c.relay != nil { // one read per turn, so that other connections get theirs
 			d := c.parser.TakeRawBody(buf[:n])
 			c.relay.pipe.Append(buf[:d])
-			if c.relay == nil { // its client has left with that
+			if c.relay == nil { // the client has disconnected during Append
 				return
 			}
 			if d < n {
 				c.parser.Feed(buf[d:n])
 			}
-			c.pull()
+			c.pumpRelay()
 			return
 		}
 		c.parser.Feed(buf[:n])
@@ -64,16 +65,17 @@
 			c.fail(err)
 			return
 		case resp != nil && resp.IsStreamed:
-			c.open(resp)
+			c.startRelay(resp)
 			return
 		case resp != nil:
-			c.answer(resp)
+			c.completeResponse(resp)
 			return
-		case c.early == nil && c.parser.HasUnknownLength():
-			// What is so short that its last byte counts is soon here; of what is long the first bytes count.
-			c.early = c.p.loop.After(c.p.lim.RelayStartDelay, func() {
-				if resp := c.parser.StartStreaming(); resp != nil && c.busy && c.src.FD() >= 0 {
-					c.open(resp)
+		case c.earlyRelayTimer == nil && c.parser.HasUnknownLength():
+			// A short response counts as answered with its last byte, which arrives soon. A long one counts with its
+			// first bytes, so it is relayed from now on.
+			c.earlyRelayTimer = c.pool.loop.After(c.pool.bounds.RelayStartDelay, func() {
+				if resp := c.parser.StartStreaming(); resp != nil && c.hasRequest && c.source.FD() >= 0 {
+					c.startRelay(resp)
 				}
 			})
 		}
@@ -83,34 +85,34 @@
 	}
 }
 
-// answer takes a whole response. An answer that came before its request was whole, or with more
-// behind it, leaves a connection that can't be trusted with the next one.
-func (c *conn) answer(resp *http1.Response) {
-	ref, probe := c.ref, c.probe
-	if c.doubtful(resp) {
+// completeResponse reports the outcome of a request whose response is complete. The connection is not reused if the
+// response came before the request was completely written, or if more bytes follow it.
+func (c *conn) completeResponse(resp *http1.Response) {
+	ref, isProbe := c.ref, c.isProbe
+	if c.failPossibleDuplicate(resp) {
 		return
 	}
-	if !probe {
-		c.p.reuse.learn(c.p.loop.Now(), c.kept, false)
+	if !isProbe {
+		c.pool.resetStats.record(c.pool.loop.Now(), c.isReused, false)
 	}
-	c.busy = false
-	c.early.Stop()
-	c.early = nil
-	delete(c.p.out, ref)
-	answer := core.Answer{Body: resp.Body, ContentType: resp.Headers.Get("Content-Type"), Billed: billed(resp)}
-	if resp.Close || len(c.out) > 0 || c.body != nil || c.parser.Buffered() > 0 {
-		c.detach()
-		c.close(errLastAnswer)
+	c.hasRequest = false
+	c.earlyRelayTimer.Stop()
+	c.earlyRelayTimer = nil
+	delete(c.pool.active, ref)
+	answer := core.Answer{Body: resp.Body, ContentType: resp.Headers.Get("Content-Type"), Billed: chargedUnits(resp)}
+	if resp.Close || len(c.unsent) > 0 || c.body != nil || c.parser.Buffered() > 0 {
+		c.detachBody()
+		c.close(errNotReusable)
 	} else {
-		c.rest()
+		c.keepIdle()
 	}
-	c.p.ended(ref, probe, outcome(resp), answer)
+	c.pool.reportOutcome(ref, isProbe, responseOutcome(resp), answer)
 	c.parser.ReleaseIdleBuffers()
 }
 
-// billed reads the true units of a good answer from X-Units-Charged: a whole number from 1 up, else 0,
-// which tells nothing.
-func billed(r *http1.Response) int {
+// chargedUnits returns the units that the host charged for a successful request, from the X-Units-Charged header. It
+// returns 0, which means not known, unless the header is a whole number from 1 up.
+func chargedUnits(r *http1.Response) int {
 	if r.Status != 200 {
 		return 0
 	}
@@ -121,8 +123,9 @@
 	return n
 }
 
-// outcome tells what a response says of its request.
-func outcome(r *http1.Response) admission.Outcome {
+// responseOutcome returns the outcome of a request from its response: OK for 200, Full for a 503 or 504 with the header
+// Not-Started: 1, else Errored.
+func responseOutcome(r *http1.Response) admission.Outcome {
 	switch {
 	case r.Status == 200:
 		return admission.OK
--- a/internal/net/upstream/trace.go
+++ b/internal/net/upstream/trace.go
@@ -6,38 +6,40 @@
 	"ferryfront.example/ferryfront/internal/core"
 )
 
-// Why a connection to a host is closed, where the system has no error of its own for it.
+// Causes for closing an upstream connection, where there is no system error.
 var (
-	errFull       = errors.New("all upstream connections in use")
-	errSilent     = errors.New("no progress")
-	errLate       = errors.New("no time is left for the request")
-	errSecond     = errors.New("an answer too soon after another")
-	errIdle       = errors.New("idle for too long")
-	errGivenUp    = errors.New("its request was given up")
-	errTakerLeft  = errors.New("the client of its answer has left")
-	errLastAnswer = errors.New("it can't be used after this answer")
-	errNotKept    = errors.New("its host leaves, has moved or has begun anew")
-	errNotQuiet   = errors.New("something came that nobody had asked for, or its end")
-	errRisky      = errors.New("kept connections are reset more often than new ones")
-	errForRoom    = errors.New("to make room for another")
+	errPoolExhausted     = errors.New("upstream connection limit reached and no connection is idle")
+	errNoProgress        = errors.New("no progress of a request or response body")
+	errDeadlinePassed    = errors.New("request deadline passed before the connection was established")
+	errPossibleDuplicate = errors.New("response may be a duplicate of the previous one")
+	errIdleTimeout       = errors.New("idle timeout")
+	errCancelled         = errors.New("request cancelled")
+	errClientGone        = errors.New("client of the relayed response disconnected")
+	errNotReusable       = errors.New("not reusable after this response")
+	errHostChanged       = errors.New("host is leaving, moved, restarted or removed")
+	errUnexpectedInput   = errors.New("unexpected input or end of stream on an idle connection")
+	errReuseRisky        = errors.New("reused connections are reset more often than new ones")
+	errEvicted           = errors.New("evicted for a new connection")
 )
 
+// traceNotOpened logs a failed dial for each request; the warning in startRequest is rate-limited.
 func (p *Pool) traceNotOpened(ref core.Ref, host string, err error) {
-	if p.debugs {
-		p.log.Debug("upstream connection not opened", "stream", ref.Stream, "attempt", ref.Attempt, "host", host, "error", err)
+	if p.debugEnabled {
+		p.log.Debug("upstream connection not opened", "stream", ref.Stream, "attempt", ref.Attempt, "host", host,
+			"error", err)
 	}
 }
 
-func (c *conn) traceBegun(ref core.Ref) {
-	if c.p.debugs {
-		c.p.log.Debug("upstream connection used", "stream", ref.Stream, "attempt", ref.Attempt, "host", c.h.name, "kept", c.kept,
-			"descriptor", c.src.FD())
+func (c *conn) traceAssigned(ref core.Ref) {
+	if c.pool.debugEnabled {
+		c.pool.log.Debug("upstream connection used", "stream", ref.Stream, "attempt", ref.Attempt, "host", c.host.name,
+			"kept", c.isReused, "descriptor", c.source.FD())
 	}
 }
 
 func (c *conn) traceClosed(cause error) {
-	if c.p.debugs {
-		c.p.log.Debug("upstream connection closed", "host", c.h.name, "stream", c.ref.Stream, "attempt", c.ref.Attempt,
-			"up", c.up, "descriptor", c.src.FD(), "cause", cause)
+	if c.pool.debugEnabled {
+		c.pool.log.Debug("upstream connection closed", "host", c.host.name, "stream", c.ref.Stream, "attempt", c.ref.Attempt,
+			"up", c.isConnected, "descriptor", c.source.FD(), "cause", cause)
 	}
 }
