--- a/internal/daemon/agreement.go
+++ b/internal/daemon/agreement.go
@@ -37,7 +37,7 @@
 	Refused() map[versions.Version]string
 	// Stale returns the other ingresses that are not known to apply the newest version.
 	Stale() []string
-	// Alone reports whether this ingress is cut off from whoever else decides on versions.
+	// Alone reports whether this ingress is cut off from the other ingresses or the control group.
 	Alone(now time.Duration) bool
 
 	// Admissible returns an error if this ingress knows a reason that a version can't be offered now.
@@ -223,8 +223,8 @@
 	return d.watcher.IsReady() && (d.agreement == nil || d.agreement.isReady)
 }
 
-// markVersionsKnown marks the agreement on versions ready. isAlone is only logged: this ingress is cut off from whoever
-// else decides on versions, and has stopped waiting for them.
+// markVersionsKnown marks the agreement on versions ready. isAlone is only logged: this ingress is cut off from the other
+// ingresses or the control group.
 func (d *Daemon) markVersionsKnown(isAlone bool) {
 	d.agreement.isReady = true
 	d.log.Info("settings version heard", "alone", isAlone)
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -62,7 +62,7 @@
 	ActiveVersions   []uint64 `json:"settings_acting"`   // versions of the settings that it applies together, oldest first
 	StaleMembers     []string `json:"settings_stale"`    // members not known to apply the newest version
 	RejectedVersions []string `json:"settings_rejected"` // each with the reason
-	IsCutOff         bool     `json:"settings_cut_off"`  // it hears nobody else who decides on versions
+	IsCutOff         bool     `json:"settings_cut_off"`  // cut off from the other ingresses or the control group
 	DrainedHosts     []string `json:"drained"`           // hosts that any active version of the drained list names
 }
 
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// reportProgress sends a message to whoever asked for the upgrade.
+// reportProgress passes a message to the caller of upgrade, if there is one.
 func (p *predecessorRole) reportProgress(progress Progress) {
 	if p.onProgress != nil {
 		p.onProgress(progress)
@@ -189,7 +189,7 @@
 	return fd, nil
 }
 
-// copyCustomers sends customers until MaxHandoverQueueBytes are queued, and goes on when the queue is empty. The last
+// copyCustomers sends customers until MaxHandoverQueueBytes are queued, and continues when the queue is empty. The last
 // message is Mark, which the successor answers with CaughtUp.
 func (p *predecessorRole) copyCustomers() {
 	if p.machine.State != phase.Copying {
@@ -273,7 +273,7 @@
 	d := p.daemon
 	d.stopListeningForSuccessor()
 	d.closeMembership() // the successor continues under this member's name
-	// A replacement has an admin endpoint of its own; this process keeps its own and goes on to report there.
+	// A replacement has another admin endpoint, so this process keeps its own and still reports on itself there.
 	if !p.machine.Beside {
 		d.admin.Close()
 		d.admin = nil
