--- a/internal/net/downstream/arrivals.go
+++ b/internal/net/downstream/arrivals.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// arrivals records when the buffered, unparsed input of a connection arrived. The timeout that a client states for its
-// request runs from the request's last byte, even if the request waits behind the one before it.
+// arrivals records when the buffered, unparsed input of a connection arrived. The timeout that a client sends with
+// its request runs from the request's last byte, even if the request waits behind the one before it.
 type arrivals struct {
-	total int64 // bytes buffered since the connection was opened
-	marks []arrival
+	total   int64 // bytes that this process has buffered for the connection
+	records []arrival
 }
 
-// arrival records that all bytes before an offset had arrived at a time.
+// arrival records the time by which all buffered bytes before the offset upTo had arrived.
 type arrival struct {
 	upTo int64
 	at   time.Duration
@@ -18,8 +18,8 @@
 // arrivalMergeWindow is the time within which received bytes share one record, with the time of the first.
 const arrivalMergeWindow = 5 * time.Millisecond
 
-// maxArrivals is the number of records that are kept for a client that writes in many small parts. Beyond it the oldest
-// is dropped, and its bytes count as having arrived with the next.
+// maxArrivals is the maximum number of records, which a client reaches that writes in many small parts. Beyond it the
+// oldest record is dropped, and its bytes count as having arrived with those of the next.
 const maxArrivals = 64
 
 // add records bytes that have been added to the buffer.
@@ -28,27 +28,27 @@
 		return
 	}
 	a.total += int64(bytes)
-	if last := len(a.marks) - 1; last >= 0 && at-a.marks[last].at < arrivalMergeWindow {
-		a.marks[last].upTo = a.total
+	if last := len(a.records) - 1; last >= 0 && at-a.records[last].at < arrivalMergeWindow {
+		a.records[last].upTo = a.total
 		return
 	}
-	if len(a.marks) == maxArrivals {
-		a.marks = append(a.marks[:0], a.marks[1:]...)
+	if len(a.records) == maxArrivals {
+		a.records = append(a.records[:0], a.records[1:]...)
 	}
-	a.marks = append(a.marks, arrival{a.total, at})
+	a.records = append(a.records, arrival{a.total, at})
 }
 
 // lastParsed returns when the last parsed byte arrived, given the number of buffered bytes that are not parsed yet. It
-// returns now if there is no record of that byte, and drops the records before it.
+// returns now if that byte has no record, and never a time after now. It drops the records of earlier bytes.
 func (a *arrivals) lastParsed(unparsed int, now time.Duration) time.Duration {
 	parsed := a.total - int64(unparsed)
-	done := 0
-	for done < len(a.marks) && a.marks[done].upTo < parsed {
-		done++
+	obsolete := 0
+	for obsolete < len(a.records) && a.records[obsolete].upTo < parsed {
+		obsolete++
 	}
-	a.marks = append(a.marks[:0], a.marks[done:]...)
-	if len(a.marks) == 0 {
+	a.records = append(a.records[:0], a.records[obsolete:]...)
+	if len(a.records) == 0 {
 		return now
 	}
-	return min(now, a.marks[0].at)
+	return min(now, a.records[0].at)
 }
--- a/internal/net/downstream/arrivals_test.go
+++ b/internal/net/downstream/arrivals_test.go
@@ -29,7 +29,7 @@
 	for i := range 10 * maxArrivals {
 		a.add(1, time.Duration(i)*time.Second)
 	}
-	require.Len(t, a.marks, maxArrivals)
+	require.Len(t, a.records, maxArrivals)
 	last := time.Duration(10*maxArrivals-1) * time.Second
 	require.Equal(t, last, a.lastParsed(0, last+time.Second))
 }
--- a/internal/net/downstream/body.go
+++ b/internal/net/downstream/body.go
@@ -19,7 +19,7 @@
 func (c *Conn) startUpload(req *http1.Request) {
 	u := &bodyUpload{pipe: flow.New(c.server.bounds.RelayWindow(c.server.activeUploads), req.ContentLength),
 		rateSince: c.server.loop.Now()}
-	u.pipe.Append(req.Body) // the parser's copy is released
+	u.pipe.Append(req.Body) // copies it, so the parser's buffer can be released
 	c.parser.ReleaseBodyBuffers()
 	req.Body, req.BodyPipe, c.upload = nil, u.pipe, u
 	c.server.activeUploads++
@@ -58,8 +58,8 @@
 	}
 }
 
-// isUploadBlocked reports whether the pipe of the request body is full. Nothing is read then, not even the end of the
-// client's side.
+// isUploadBlocked reports whether the pipe of the request body is full. The socket is not read then, so the end of the
+// client's stream is not read either.
 func (c *Conn) isUploadBlocked() bool { return c.upload != nil && c.upload.pipe.FreeSpace() == 0 }
 
 // closeBlockedUpload handles a client that has closed its side while the pipe of its request body is full. The client
@@ -88,8 +88,9 @@
 	}
 }
 
-// isUploadTooSlow reports whether a body arrives slower than the minimum rate. It must be called once per sweep, since
-// it takes the sweep interval out of the measurement if the pipe is full: a slow reader is not the client's fault.
+// isUploadTooSlow reports whether a body arrives slower than the minimum rate. While the pipe is full, the upstream side
+// is slow, which is not the client's fault: the sweep interval is then taken out of the measurement. So it must be called
+// once per sweep.
 func (c *Conn) isUploadTooSlow(now time.Duration) bool {
 	u := c.upload
 	if u.pipe.FreeSpace() == 0 {
--- a/internal/net/downstream/close.go
+++ b/internal/net/downstream/close.go
@@ -49,16 +49,17 @@
 	}
 }
 
-// Closing the listeners is retried while the machine lacks a resource to accept the last connections. Closing at once
-// would reset those connections together with the requests that they have sent.
+// Closing the listeners is retried while a waiting connection can't be accepted, at the connection limit or because the
+// machine lacks a resource. Closing at once would reset the waiting connections together with the requests that they
+// have sent.
 const (
-	maxCloseRetries    = 25
-	closeRetryInterval = 20 * time.Millisecond
+	maxListenerCloseRetries    = 25
+	listenerCloseRetryInterval = 20 * time.Millisecond
 )
 
 // CloseListeners accepts the connections that still wait, closes the listeners, and closes idle connections. It may
 // take several turns to finish; [Server.ListenersClosed] reports when it has.
-func (s *Server) CloseListeners() { s.closeListeners(maxCloseRetries) }
+func (s *Server) CloseListeners() { s.closeListeners(maxListenerCloseRetries) }
 
 // ListenersClosed reports whether the listeners are closed, so that no new connections are accepted.
 func (s *Server) ListenersClosed() bool { return s.listenersClosed }
@@ -73,7 +74,7 @@
 	s.acceptFailed = false
 	s.acceptPending() // at the connection limit, the connections closed above make room for waiting ones
 	if s.acceptFailed && retries > 0 {
-		s.loop.After(closeRetryInterval, func() { s.closeListeners(retries - 1) })
+		s.loop.After(listenerCloseRetryInterval, func() { s.closeListeners(retries - 1) })
 		return
 	}
 	s.listenersClosed = true
@@ -93,7 +94,7 @@
 	}
 }
 
-// closeIfIdle closes a connection between requests. It reads first: a request that has arrived is answered instead.
+// closeIfIdle closes a connection that has no request. It reads first: a request that has arrived is answered instead.
 func (c *Conn) closeIfIdle(reason closeReason) {
 	if c.awaitingResponse || c.lingering {
 		return
@@ -104,7 +105,8 @@
 	}
 }
 
-// acceptPending accepts all waiting connections, up to the limit. It sets acceptFailed if one can't be accepted.
+// acceptPending accepts all waiting connections, up to the connection limit. It sets acceptFailed if one can't be
+// accepted.
 func (s *Server) acceptPending() {
 	for _, ln := range s.listeners {
 		ln.accept(math.MaxInt)
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -48,7 +48,7 @@
 	idle      connList // served, and no request begun; longest idle first
 	lingering connList // last response written and sending side closed; oldest first
 
-	acceptPaused     bool                 // the listeners are not polled, for want of connections or descriptors
+	acceptPaused     bool                 // the listeners are not polled, at the connection limit or for lack of a resource
 	acceptFailed     bool                 // an accept has failed since this was last cleared
 	draining         bool                 // every response closes its connection
 	listenersClosed  bool                 // no new connections are accepted
@@ -153,8 +153,8 @@
 // Now returns the time of the current loop turn.
 func (c *Conn) Now() time.Duration { return c.server.loop.Now() }
 
-// RequestAge returns the time since the current request arrived, which is when the timeout that its client states
-// began to run.
+// RequestAge returns the time since the current request arrived: its last byte or, if its body is streamed, the last byte
+// that was parsed before HandleRequest. The timeout that the client sends with the request runs from then.
 func (c *Conn) RequestAge() time.Duration { return max(0, c.Now()-c.requestArrivedAt) }
 
 // setIdle starts the idle phase after a response.
@@ -187,7 +187,7 @@
 		return
 	}
 	switch {
-	case events&loop.HangupOrError != 0: // unread input is of no use any more
+	case events&loop.HangupOrError != 0: // unread input is useless, since no response can be sent
 		c.disconnect(closedReset)
 	case events&loop.ReadHangup != 0 && c.isUploadBlocked():
 		c.closeBlockedUpload()
--- a/internal/net/downstream/eviction.go
+++ b/internal/net/downstream/eviction.go
@@ -11,8 +11,9 @@
 //
 // It chooses a lingering connection if there is one, else the one that has been silent for the longest weighted time,
 // so that a slow client keeps its connection as long as it writes. Idle connections that have been served are eligible
-// only while unserved ones hold at most half of the places. Otherwise a flood of new connections would push out regular
-// clients, whose connections would then soon be new ones, too; further clients wait in the kernel's queue instead.
+// only while new and receiving ones are at most half of the connection limit. Otherwise a flood of new connections would
+// evict those of regular clients, which would then have to connect anew like the flood. Further clients wait in the
+// kernel's queue instead.
 func (s *Server) evictOne() bool {
 	if c := s.lingering.first; c != nil {
 		c.close(closedEvicted)
@@ -39,8 +40,8 @@
 // maxEvictionTries is the number of candidates that may turn out not to be silent before evictOne gives up.
 const maxEvictionTries = 8
 
-// evictionCandidate returns the connection without an unanswered request that has the longest weighted silence, or nil
-// if none has been silent for EvictionGrace.
+// evictionCandidate returns the eligible connection with the longest weighted silence, or nil if none has been silent
+// for longer than EvictionGrace. A connection with an unanswered request is not eligible.
 func (s *Server) evictionCandidate() *Conn {
 	now := s.loop.Now()
 	var candidate *Conn
@@ -58,13 +59,15 @@
 	return candidate
 }
 
-// Weights of a connection's silence. The silence of a connection that is sending a request has the weight 1.
+// Factors by which evictionCandidate multiplies the time that a connection has been silent. For a connection that is
+// sending a request the factor is 1.
 const (
 	newConnWeight    = 4 // not served yet, and no request begun
 	servedConnWeight = 2 // served, and no request begun
 )
 
-// pauseAccepting leaves new connections in the kernel's queue until a connection closes or EvictionGrace has passed.
+// pauseAccepting leaves new connections in the kernel's queue until a connection closes or EvictionGrace has passed. The
+// cause is only logged.
 func (s *Server) pauseAccepting(cause string) {
 	s.acceptFailed = true
 	if s.acceptPaused {
--- a/internal/net/downstream/handover.go
+++ b/internal/net/downstream/handover.go
@@ -16,7 +16,7 @@
 type ConnState struct {
 	ListenerAddress      string                   // identifies the listener that accepted the connection
 	Unsent               []byte                   // rest of the last response, not written yet
-	PhaseSince, OpenedAt time.Duration            // loop times of the phase's begin and of the accept
+	PhaseSince, OpenedAt time.Duration            // loop times at which the phase began and the connection was accepted
 	WasServed            bool                     // has had a response other than a client error; 429 counts as served
 	Parser               http1.RequestParserState // buffered input and parser state
 }
--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -18,8 +18,8 @@
 	handler Handler
 
 	// backlogSince is the time since which connections may be waiting to be accepted; 0: none is known to wait.
-	// armedAt is when polling last resumed, or accept last left connections waiting. epoll reports connections that
-	// wait at that time at once.
+	// armedAt is when polling last resumed, or accept last stopped before the queue was known to be empty. If connections
+	// wait at armedAt, epoll reports the socket within readinessDelay; if it does not, none waited.
 	backlogSince, armedAt time.Duration
 }
 
@@ -31,7 +31,7 @@
 	return ln.server.loop.Now() - ln.backlogSince
 }
 
-// noteBacklog records that connections may still be waiting.
+// noteBacklog records that connections may still be waiting after accept has stopped.
 func (ln *clientListener) noteBacklog() {
 	ln.armedAt = ln.server.loop.Now()
 	if ln.backlogSince == 0 {
@@ -39,10 +39,11 @@
 	}
 }
 
-// readinessDelay is the time within which epoll has certainly reported connections that were left waiting.
+// readinessDelay is the time after armedAt within which epoll has certainly reported waiting connections.
 const readinessDelay = 10 * time.Millisecond
 
-// expireBacklog clears the backlog if epoll did not report one at once: connections that are accepted now are new.
+// expireBacklog clears the backlog if epoll did not report one within readinessDelay of armedAt: connections that are
+// accepted now arrived later.
 func (ln *clientListener) expireBacklog() {
 	if !ln.server.acceptPaused && ln.server.loop.Now()-ln.armedAt > ln.server.loop.MaxReadDelay()+readinessDelay {
 		ln.backlogSince = 0
--- a/internal/net/downstream/read.go
+++ b/internal/net/downstream/read.go
@@ -8,13 +8,12 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// read reads the socket and processes the input. One call normally reads once, and no more than the buffer has space
-// for: other connections must get their turn, and hundreds of long bodies that begin at the same time must not each
-// buffer a first part of maximum size.
+// read reads the socket and processes the input. It reads once, so that other connections get their turn, or several
+// times after a stall of the process, see readDelayed.
 func (c *Conn) read() { c.readDelayed(c.server.loop.MaxReadDelay()) }
 
-// maxDelayedReads is the number of additional reads of input that had to wait. The client had time to disconnect, and
-// the end of its side may be right behind the input.
+// maxDelayedReads is the maximum number of additional reads of input that had to wait. The client has had time to
+// disconnect, so the end of its stream may follow right after the input.
 const maxDelayedReads = 8
 
 // readDelayed reads input that may have arrived up to delay earlier. If delay is positive, no request is started before
@@ -32,7 +31,9 @@
 }
 
 // readOnce reads the socket once and buffers the input, which may have arrived up to delay earlier. It reports whether
-// bytes were received, and whether the connection is still open.
+// bytes were received, and whether the connection is still open. It reads at most MaxHeaderBytes, or what the pipe of an
+// upload has space for: hundreds of long bodies that begin at the same time must not each buffer a first part as large
+// as the read buffer.
 func (c *Conn) readOnce(delay time.Duration) (received, open bool) {
 	limit := c.server.bounds.MaxHeaderBytes
 	if c.upload != nil {
@@ -51,15 +52,15 @@
 	if !c.awaitingResponse && !c.parser.HasMessageStarted() {
 		c.phaseSince = c.lastReadAt
 	}
-	d := 0
+	bodyBytes := 0
 	if c.upload != nil {
-		d = c.parser.TakeRawBody(buf[:n])
-		c.upload.received += d
-		c.upload.pipe.Append(buf[:d])
+		bodyBytes = c.parser.TakeRawBody(buf[:n])
+		c.upload.received += bodyBytes
+		c.upload.pipe.Append(buf[:bodyBytes])
 	}
-	if d < n && !c.discardOverflow(n-d) {
-		c.parser.Feed(buf[d:n])
-		c.arrivals.add(n-d, c.lastReadAt-delay)
+	if bodyBytes < n && !c.discardOverflow(n-bodyBytes) {
+		c.parser.Feed(buf[bodyBytes:n])
+		c.arrivals.add(n-bodyBytes, c.lastReadAt-delay)
 	}
 	return true, true
 }
@@ -127,7 +128,7 @@
 	case c.lingering:
 		events |= loop.In
 	case c.upload != nil:
-		if events = loop.Hangup; c.upload.pipe.FreeSpace() > 0 { // a full pipe only needs the end of the connection
+		if events = loop.Hangup; c.upload.pipe.FreeSpace() > 0 { // while the pipe is full, only a hangup matters
 			events |= loop.In
 		}
 	case c.overflowBytes > c.server.bounds.MaxLingerBytes:
--- a/internal/net/downstream/trace.go
+++ b/internal/net/downstream/trace.go
@@ -34,6 +34,7 @@
 	}
 }
 
+// traceClosing logs the start of a graceful close; traceClosed logs the end of the connection.
 func (c *Conn) traceClosing(reason closeReason) {
 	if c.server.debugEnabled {
 		c.server.log.Debug("client connection ends", "connection", c.id, "reason", string(reason), "unsent", len(c.unsent))
--- a/internal/net/upstream/body.go
+++ b/internal/net/upstream/body.go
@@ -9,8 +9,8 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Gone reports whether part of a forwarded body has been written to a host. That part is not kept, so the message can't
-// be sent again.
+// Gone reports whether part of a forwarded body has been written to a host, or encoded for it. That part is not kept, so
+// the message can't be sent again.
 func (m *Message) Gone() bool { return m.BodyPipe != nil && m.BodyPipe.HasConsumed() }
 
 // BodyPipe returns the pipe with the body of an answer that is being relayed, or nil if the answer is complete.
@@ -29,7 +29,7 @@
 	}
 }
 
-// detachBody stops reading the request body. Another upstream request may send it if none of it has been written.
+// detachBody stops reading the request body. Another upstream request may send it if none of it has been consumed.
 func (c *conn) detachBody() {
 	if c.body != nil {
 		c.body.OnData = nil
@@ -37,8 +37,9 @@
 	}
 }
 
-// writeBody writes the available part of the request body, or encodes it as a chunk into unsent. It reports whether
-// unsent must be written. If not, the body is complete, more of it has to be received, or the socket takes no more.
+// writeBody writes the available part of a request body of known length, or encodes that of a body of unknown length as
+// a chunk into unsent. It reports whether unsent must be written. If not, the body is complete, more of it has to be
+// received, or the socket takes no more.
 func (c *conn) writeBody() (mustFlush bool, err error) {
 	if c.body == nil {
 		return false, nil
@@ -73,8 +74,9 @@
 	progressAt time.Duration // last time that the host sent bytes, or that the pipe was full
 }
 
-// startRelay reports the outcome of a request whose response body is still being received. The connection goes on
-// moving the body into a pipe.
+// startRelay reports the outcome of a request whose response body is still being received, together with a pipe into
+// which the connection goes on moving the body. If the reader closes the pipe, the connection is closed. A response that
+// may be a duplicate fails the request instead.
 func (c *conn) startRelay(resp *http1.Response) {
 	if c.failPossibleDuplicate(resp) {
 		return
@@ -154,8 +156,8 @@
 	delete(c.pool.relays, c)
 }
 
-// failStalled fails transfers that make no progress: a host that sends nothing more of a relayed response, or takes
-// nothing more of a request.
+// failStalled fails transfers that make no progress for RelayStallTimeout: the host sends nothing more of a relayed
+// response body, or takes nothing more of a request whose body is still being received or written.
 func (p *Pool) failStalled(now time.Duration) {
 	for c := range p.relays {
 		if c.relay.pipe.FreeSpace() == 0 {
@@ -165,7 +167,7 @@
 		}
 	}
 	for _, c := range p.active {
-		// Either no body is left to read, or the client has to send more of it, which has a timeout of its own.
+		// Either no body is left to read, or the client has to send more of it, for which downstream has a timeout.
 		if c.body == nil || len(c.unsent) == 0 && len(c.body.Bytes()) == 0 {
 			c.bodyProgressAt = now
 		} else if c.isConnected && now-c.bodyProgressAt > p.bounds.RelayStallTimeout {
--- a/internal/net/upstream/handover.go
+++ b/internal/net/upstream/handover.go
@@ -8,9 +8,9 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// HandOver passes every idle connection to receive, now and whenever a connection becomes idle. It saves the hosts new
-// handshakes and the first requests the time of them. receive gets the host's name, the loop time since when the
-// connection is idle, and the descriptor, which it then owns.
+// HandOver passes every idle connection to receive, now and whenever a connection becomes idle. Without it, the hosts
+// would have to accept new handshakes, and the first requests of the other process would wait for them. receive gets the
+// host's name, the loop time since which the connection has been idle, and the descriptor, which it then owns.
 func (p *Pool) HandOver(receive func(host string, since time.Duration, fd int)) {
 	p.transfer = receive
 	names := make([]string, 0, len(p.hosts))
@@ -35,7 +35,7 @@
 // the common connection limit.
 func (p *Pool) SetPredecessorConnections(n int) { p.predecessorConns = max(0, n) }
 
-// ActiveRequests returns the number of requests and probes without an outcome.
+// ActiveRequests returns the number of requests and probes whose outcome has not been reported.
 func (p *Pool) ActiveRequests() int { return len(p.active) }
 
 // handOver passes the idle connection to the other process.
@@ -63,7 +63,7 @@
 		return err
 	}
 	p.connCount++
-	at, _ := slices.BinarySearchFunc(h.idle, since, func(o *conn, t time.Duration) int { return int(o.idleSince - t) })
-	h.idle = slices.Insert(h.idle, at, c)
+	index, _ := slices.BinarySearchFunc(h.idle, since, func(o *conn, t time.Duration) int { return int(o.idleSince - t) })
+	h.idle = slices.Insert(h.idle, index, c)
 	return nil
 }
--- a/internal/net/upstream/hosts.go
+++ b/internal/net/upstream/hosts.go
@@ -9,8 +9,8 @@
 	"ferryfront.example/ferryfront/internal/core"
 )
 
-// upstreamHost is one upstream host. Its idle connections are used last in, first out: the few in use stay warm, and
-// the others reach the idle timeout.
+// upstreamHost is one upstream host. Its idle connections are used last in, first out: the few that suffice stay
+// in frequent use, and the others reach the idle timeout.
 type upstreamHost struct {
 	name, address string
 	bootTime      time.Duration // last start of the host; 0: not known
@@ -26,7 +26,7 @@
 		p.hosts[name] = &upstreamHost{name: name, address: address, bootTime: bootTime, leaving: leaving}
 		return
 	}
-	// Connections to a process that no longer exists may look open: a request on one would be lost.
+	// Connections to a process that no longer exists may still look open here: a request on one would be lost.
 	moved, restarted := h.address != address, bootTime != h.bootTime && bootTime != 0
 	h.address, h.bootTime, h.leaving = address, bootTime, leaving
 	if moved || restarted || leaving {
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -47,7 +47,7 @@
 		p.reportOutcome(ref, isProbe, admission.Unreachable, core.Answer{})
 		return
 	}
-	if h.leaving || p.loop.HasStalled() { // chosen before the change was announced, or before a stall of the process
+	if h.leaving || p.loop.HasStalled() { // the host was chosen before its change was announced, or before a stall
 		p.reportOutcome(ref, isProbe, admission.NotSent, core.Answer{})
 		return
 	}
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	p.connCount++
-	c.source.ServeLast() // the event only allows a request to be written, so all other input of the turn comes first
+	c.source.ServeLast() // connecting only lets a request be written, which other input of the turn may still forbid
 	c.dialTimer = p.loop.After(p.bounds.DialTimeout, func() { c.fail(io.ErrNoProgress) })
 	return c, nil
 }
@@ -143,7 +143,7 @@
 
 // handleConnected completes the dial and writes the waiting request, unless its deadline has passed.
 func (c *conn) handleConnected() {
-	if c.pool.loop.HasStalled() { // input of clients and discovery that arrived meanwhile goes first, in the next turn
+	if c.pool.loop.HasStalled() { // input of clients and discovery that arrived in the stall is read first, next turn
 		return
 	}
 	err := loop.DialResult(c.source.FD())
@@ -161,7 +161,8 @@
 	c.flush()
 }
 
-// flush writes as much of the request as is available and the socket takes, and polls for the events it needs next.
+// flush writes as much of the request as is available and the socket takes, and polls for the events it needs next. It
+// counts a request, but not a probe, once the last byte is written.
 func (c *conn) flush() {
 	for {
 		n, err := loop.Write(c.source.FD(), c.unsent)
--- a/internal/net/upstream/response.go
+++ b/internal/net/upstream/response.go
@@ -31,8 +31,7 @@
 				return
 			}
 			if errors.Is(err, io.EOF) && c.hasRequest && c.relay == nil && len(c.unsent) == 0 {
-				// A response without a length ends with the connection, so a truncated one can't be told from a
-				// complete one.
+				// A response without a length ends with the connection. If it was truncated, that can't be detected.
 				if resp := c.parser.FinishAtEOF(); resp != nil {
 					c.completeResponse(resp)
 					return
@@ -47,13 +46,13 @@
 			return
 		}
 		if c.relay != nil { // one read per turn, so that other connections get theirs
-			d := c.parser.TakeRawBody(buf[:n])
-			c.relay.pipe.Append(buf[:d])
+			bodyBytes := c.parser.TakeRawBody(buf[:n])
+			c.relay.pipe.Append(buf[:bodyBytes])
 			if c.relay == nil { // the client has disconnected during Append
 				return
 			}
-			if d < n {
-				c.parser.Feed(buf[d:n])
+			if bodyBytes < n {
+				c.parser.Feed(buf[bodyBytes:n])
 			}
 			c.pumpRelay()
 			return
--- a/internal/net/upstream/reuse.go
+++ b/internal/net/upstream/reuse.go
@@ -38,8 +38,8 @@
 // resetStats holds the rates, from 0 to 1, of requests that are reset on reused and on newly dialed connections.
 type resetStats struct{ reused, dialed estimate.FadingAverage }
 
-// record adds the end of a request: whether it was reset soon after it was written, before a byte of its response
-// arrived.
+// record adds the outcome of a request: whether its connection was reset within resetWindow after the request was
+// written and before a byte of the response arrived.
 func (r *resetStats) record(now time.Duration, reused, reset bool) {
 	rate := &r.dialed
 	if reused {
@@ -83,10 +83,11 @@
 }
 
 // mayReceiveDuplicate reports whether a duplicate of the previous response may still arrive: the pool has received
-// unsolicited bytes lately, and the previous response is younger than UpstreamReuseDelay. A duplicate can't be
-// distinguished from the response to the next request, so a successful response in that time counts as a broken
-// connection. Without unsolicited bytes a fast host is trusted: to let each connection rest would cost a handshake
-// wherever the next request only waits for the previous response.
+// unsolicited bytes within unsolicitedMemory, and the previous response is younger than UpstreamReuseDelay. A duplicate
+// can't be distinguished from the response to the next request, so a successful response in that time counts as a broken
+// connection, see failPossibleDuplicate. Without unsolicited bytes, a response that follows so soon is trusted. If every
+// connection stayed unused for UpstreamReuseDelay, each request that only waits for the previous response would cost a
+// handshake.
 func (c *conn) mayReceiveDuplicate() bool {
 	now := c.pool.loop.Now()
 	return c.pool.unsolicitedAt > 0 && now-c.pool.unsolicitedAt < unsolicitedMemory &&
@@ -105,7 +106,8 @@
 }
 
 // isQuiet reports whether an idle connection has no unread input, neither bytes nor the end of the stream, which may be
-// waiting in this turn. Otherwise a request written now would be lost, or the stray bytes be taken for its response.
+// waiting in this turn. Otherwise a request written now would be lost, or the unsolicited bytes be taken for its
+// response.
 func (c *conn) isQuiet() bool {
 	_, err := loop.Read(c.source.FD(), c.pool.loop.ReadBuffer()[:1])
 	if err == nil {
@@ -128,7 +130,8 @@
 	return oldest != nil
 }
 
-// keepIdle keeps the connection for the next request, hands it over, or closes it if its host has changed.
+// keepIdle keeps the connection for the next request, hands it over, or closes it if its host is leaving, has moved or
+// was removed.
 func (c *conn) keepIdle() {
 	c.idleSince = c.pool.loop.Now()
 	switch {
--- a/internal/net/upstream/reuse_test.go
+++ b/internal/net/upstream/reuse_test.go
@@ -60,7 +60,7 @@
 		require.Equal(t, admission.OK, send(true))
 	}
 	require.LessOrEqual(t, p.OpenConnections(), 1)
-	// Hosts that no longer reset are trusted again, by the outcomes of the other requests.
+	// Once hosts stop resetting, the outcomes of the other requests lower the reset rate, and reuse resumes.
 	limit.Store(-1)
 	for range 600 {
 		send(false)
--- a/internal/net/upstream/trace.go
+++ b/internal/net/upstream/trace.go
@@ -6,7 +6,7 @@
 	"ferryfront.example/ferryfront/internal/core"
 )
 
-// Causes for closing an upstream connection, where there is no system error.
+// Causes for closing an upstream connection, or for not opening one, where there is no system error.
 var (
 	errPoolExhausted     = errors.New("upstream connection limit reached and no connection is idle")
 	errNoProgress        = errors.New("no progress of a request or response body")
--- a/internal/net/upstream/upstream.go
+++ b/internal/net/upstream/upstream.go
@@ -84,11 +84,11 @@
 		if p.connCount == 0 { // there may be thousands of hosts; skip them all
 			break
 		}
-		old := 0
-		for old < len(h.idle) && now-h.idle[old].idleSince+sweepInterval >= p.bounds.UpstreamIdleTimeout {
-			old++
+		expired := 0
+		for expired < len(h.idle) && now-h.idle[expired].idleSince+sweepInterval >= p.bounds.UpstreamIdleTimeout {
+			expired++
 		}
-		for _, c := range append([]*conn(nil), h.idle[:old]...) {
+		for _, c := range append([]*conn(nil), h.idle[:expired]...) {
 			c.close(errIdleTimeout)
 		}
 	}
@@ -120,7 +120,7 @@
 	writtenAt time.Duration // when the current request was written completely
 	dialTimer *loop.Timer
 
-	bodyProgressAt time.Duration // last time that the host took request bytes, or that none were available
+	bodyProgressAt time.Duration // last time that the host took request bytes, or that there were none to write
 	body           *flow.Pipe    // part of the request body that is not in unsent yet; nil: none
 
 	earlyRelayTimer *loop.Timer // relays an incomplete response of unknown length; started only if nil
@@ -128,19 +128,19 @@
 	closeAfterRelay bool        // the connection can't be reused after the relay
 }
 
-// Cancel gives up a request by closing its connection; its outcome is not reported. It reports whether the request may
-// have run; an unknown one may have.
-func (p *Pool) Cancel(ref core.Ref) (ran bool) {
+// Cancel gives up a request by closing its connection; its outcome is not reported. It returns whether the request may
+// have run, which is true also if ref is unknown.
+func (p *Pool) Cancel(ref core.Ref) (mayHaveRun bool) {
 	c := p.active[ref]
 	if c == nil {
 		return true
 	}
-	ran = c.isFullyWritten()
+	mayHaveRun = c.isFullyWritten()
 	c.hasRequest = false
 	c.detachBody()
 	delete(p.active, ref)
 	c.close(errCancelled)
-	return ran
+	return mayHaveRun
 }
 
 // Withdraw cancels a request that is not completely written and so can't have run. It reports whether it did.
@@ -182,9 +182,11 @@
 }
 
 // fail closes the connection and reports the outcome of its request. A request can't have run before its last byte was
-// written; after that it may have. The body of a relayed response is marked as truncated instead.
+// written and ends as Unreachable; after that it may have run and ends as Broken. If its deadline passed before it was
+// written, it ends as NotSent. For a relayed response, whose outcome is already reported, the body is marked as
+// truncated.
 func (c *conn) fail(cause error) {
-	if c.relay != nil { // the outcome is already reported
+	if c.relay != nil {
 		pipe := c.relay.pipe
 		c.clearRelay()
 		c.close(cause)
