--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -132,7 +132,7 @@
 	if a.ContentType != "" {
 		h = http1.Headers{{Name: "Content-Type", Value: a.ContentType}}
 	}
-	if rest := upstream.BodyPipe(a); rest != nil {
+	if rest := upstream.RelayedBody(a); rest != nil {
 		c.Relay(200, h, rest, e.OnRelayed)
 		return
 	}
--- a/internal/net/upstream/body.go
+++ b/internal/net/upstream/body.go
@@ -13,8 +13,8 @@
 // the message can't be sent again.
 func (m *Message) Gone() bool { return m.BodyPipe != nil && m.BodyPipe.HasConsumed() }
 
-// BodyPipe returns the pipe with the body of an answer that is being relayed, or nil if the answer is complete.
-func BodyPipe(a core.Answer) *flow.Pipe {
+// RelayedBody returns the pipe with the body of an answer that is being relayed, or nil if the answer is complete.
+func RelayedBody(a core.Answer) *flow.Pipe {
 	p, _ := a.Rest.(*flow.Pipe)
 	return p
 }
--- a/internal/net/upstream/body_test.go
+++ b/internal/net/upstream/body_test.go
@@ -70,7 +70,7 @@
 	p.Start(core.Ref{Stream: 1}, "h", &Message{Method: "GET", Target: "/"}, time.Minute)
 	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 })
 	require.Equal(t, []admission.Outcome{admission.OK}, sink.outcomes)
-	body := BodyPipe(sink.answers[0])
+	body := RelayedBody(sink.answers[0])
 	require.Equal(t, int64(100000), body.ContentLength)
 	nettest.Until(t, l, body.IsTruncated)
 	require.Zero(t, p.OpenConnections())
@@ -83,9 +83,9 @@
 		_, _ = c.Write(make([]byte, 10000000))
 	})
 	p.Start(core.Ref{Stream: 1}, "h", &Message{Method: "GET", Target: "/"}, time.Minute)
-	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 && len(BodyPipe(sink.answers[0]).Bytes()) > 0 })
+	nettest.Until(t, l, func() bool { return len(sink.outcomes) > 0 && len(RelayedBody(sink.answers[0]).Bytes()) > 0 })
 	require.Equal(t, 1, p.OpenConnections())
-	BodyPipe(sink.answers[0]).CloseRead()
+	RelayedBody(sink.answers[0]).CloseRead()
 	require.Zero(t, p.OpenConnections())
 }
 
