--- a/internal/net/downstream/close_test.go
+++ b/internal/net/downstream/close_test.go
@@ -97,11 +97,11 @@
 	require.Less(t, h.ages[1], readinessDelay)
 	sendRequest()
 	nettest.Until(t, l, func() bool { return s.acceptPaused })
-	const longest = 60 * time.Millisecond
+	const acceptDelay = 60 * time.Millisecond
 	freed := false
-	l.After(longest, func() { freed = true; h.conns[0].close(closedIdle) })
+	l.After(acceptDelay, func() { freed = true; h.conns[0].close(closedIdle) })
 	nettest.Until(t, l, func() bool { return freed && len(h.conns) == 3 })
-	require.GreaterOrEqual(t, h.ages[2], longest-time.Millisecond)
+	require.GreaterOrEqual(t, h.ages[2], acceptDelay-time.Millisecond)
 }
 
 // blockedUploadHandler accepts open requests and never reads their bodies. It counts requests and disconnected clients.
