--- a/admission/quota.go
+++ b/admission/quota.go
@@ -1,6 +1,7 @@
 package admission
 
-// Quota: SQR-073's fixed windows on the shared counter.
+// Quotas. Rule SQR-073 counts units in fixed windows on the shared counter. Each gateway keeps a local
+// token bucket per customer, which the totals it reads from the counter correct.
 
 import (
 	"math"
@@ -9,322 +10,389 @@
 )
 
 const (
-	surelyOver  = 0.7                   // of a request's units: with less than this in store, don't ask
-	askFloor    = 0.75                  // calls per request kept up whatever is known (design: a call each)
-	patience    = 25 * time.Millisecond // for a call: small beside any aim, many times a call's usual time
-	askAtFirst  = 30.0                  // over the number of gateways: the part that asks at a start
-	askLeast    = 0.1                   // of requests ask, however crowded the counter is
-	thinBelow   = 0.5                   // of what is asked fits: of more demand than that, a part asks
-	gaugeAbove  = 0.5                   // of the asking left: below it a cap is held by demand alone
-	capLoad     = 0.25                  // of a cap: what demand is cut to; a lot is blind, sends beyond cost
-	gaugeSpan   = 4 * time.Second       // window of counts for a cap on attempts out: leaks end with it
-	pressMemory = 10.0                  // seconds for which what all doors asked of a customer is remembered
-	priorUnits  = 4.0                   // for which its plan's mean counts beside it
-	pressFirst  = 1.5                   // taken for granted of a plan before any total is read
-	capFirst    = 2.5                   // the same of a cap, where what is out is not known either
-	takeMemory  = 2.0                   // seconds over which what other doors take is averaged,
-	foretellAt  = 0.5                   // and where less than this of the requests could ask for long,
-	urgentLeast = 0.5                   // weight in asking of who has spent nothing since the last total,
-	urgentX     = 8.0                   // and what the part spent of the mirror adds
-	askedGain   = 0.001                 // EWMA weight of a request in that, it is foretold
-	keepWindows = 2.5                   // windows for which a name is kept: the next one still reads it
-	forgetAfter = 90 * time.Second      // a customer unseen this long is forgotten: its store is full again
-	sweepEvery  = 5 * time.Second       // how often the forgetting is done
-	outGain     = 0.05                  // EWMA weight of a request in how long one is out
-	callGain    = 0.02                  // EWMA weight of a request in the calls per request
+	// A request is refused without a counter query when the local bucket holds less than this share of its
+	// units.
+	minTokensFactor = 0.7
+	// Counter calls per request, scaled by the query share, that are kept up even where the decision is
+	// already certain. The design asks for one call per request.
+	minCallsPerRequest = 0.75
+	// Longest wait of a request for the counter: short against any latency target, and many times what a
+	// call usually takes.
+	counterWait = 25 * time.Millisecond
+	// Sum of the query shares of all gateways at their start; each begins with an equal part.
+	initialFleetQueryShare = 30.0
+	// Smallest query share (requests that query the counter, over all) of a gateway, however crowded the
+	// counter is. The share of a single plan may fall to half of it.
+	minQueryShare = 0.1
+	// Share of the demand that fits the quota, below which a sparse gateway (see isSparse) lets only a sample
+	// of the requests query the counter.
+	sampledFitThreshold = 0.5
+	// Query share below which the in-flight cap may be enforced by the demand counter alone.
+	inFlightCounterThreshold = 0.5
+	// Share of the in-flight cap that demand is cut to under the demand counter: random sampling does not
+	// see what is in flight, and sends beyond the cap cost.
+	capDemandShare = 0.25
+	// Window length of the in-flight and demand counters. In-flight counts that are never returned end with
+	// their window.
+	inFlightWindow = 4 * time.Second
+	// Time constant in seconds with which observed demand is forgotten.
+	demandMemory = 10.0
+	// Units of demand that the mean of the plan counts for beside a customer's own observations.
+	demandPriorUnits = 4.0
+	// Demand assumed of a plan with a rate before any total is read, as a multiple of what fits the quota.
+	initialQuotaDemand = 1.5
+	// Demand assumed of a plan with an in-flight cap before any total is read, as a multiple of what fits:
+	// the number in flight is unknown as well.
+	initialCapDemand = 2.5
+	// Time constant in seconds of the average rate that a customer uses through other gateways.
+	othersRateMemory = 2.0
+	// Average query share below which the use through other gateways is predicted between totals.
+	predictionThreshold = 0.5
+	// Weight of a customer's queries, while few requests may query, if it has used nothing since the last
+	// total.
+	minUrgency = 0.5
+	// Weight of a customer's queries that is added in proportion to the share of its local tokens that was
+	// used since the last total.
+	urgencyFactor = 8.0
+	// EWMA weight of a request in the average query share.
+	queryShareWeight = 0.001
+	// Windows for which the shared counter keeps the name of a window: the next window still reads it.
+	counterTTLWindows = 2.5
+	// A customer that sends nothing for this time is dropped: by then its buckets are full again.
+	customerTTL = 90 * time.Second
+	// Interval between searches for customers to drop.
+	expiryInterval = 5 * time.Second
+	// EWMA weight of a request in the mean time in flight.
+	timeInFlightWeight = 0.05
+	// EWMA weight of a request in the counter calls per request.
+	callsPerRequestWeight = 0.02
 )
 
-func (g *Gateway) customer(id uint64, index, doors, first int) *customer {
-	c, plan := g.customers[id], &g.s.Plans[index]
+// ensureCustomer returns the customer with this id on the plan with this index, and creates it with full
+// local tokens if it is unknown or was on another plan. Its requests come through the given number of
+// gateways, from the index firstGateway on.
+func (g *Gateway) ensureCustomer(id uint64, planIndex, gateways, firstGateway int) *customer {
+	c, plan := g.customers[id], &g.settings.Plans[planIndex]
 	if c == nil || c.plan != plan {
-		c = &customer{id: id, plan: plan, index: index, fit: 1, level: plan.Burst,
-			levelAt: g.now, hardAt: g.began}
-		key, phase := c.key(), spread(id)
+		c = &customer{id: id, plan: plan, planIndex: planIndex, underCapShare: 1, quotaTokens: plan.Burst,
+			quotaTokensAt: g.now, ceilingTokensAt: g.ceilingStart}
+		key, phase := c.counterKey(), hashFraction(id)
 		if plan.Rate > 0 {
-			c.rate = newLedger("q"+key+".", plan.window(), phase)
+			c.quotaCounter = newWindowCounter("q"+key+".", plan.windowLength(), phase)
 		}
-		c.gauge = newLedger("o"+key+".", gaugeSpan, phase)
-		c.demand = newLedger("d"+key+".", gaugeSpan, phase)
+		c.inFlightCounter = newWindowCounter("o"+key+".", inFlightWindow, phase)
+		c.demandCounter = newWindowCounter("d"+key+".", inFlightWindow, phase)
 		g.customers[id] = c
 	}
-	if !c.dealt {
-		c.doors = g.fleet.doors(doors, first, g.s.Gateways)
-		g.deal(c, first)
+	if !c.isCeilingSplit {
+		c.gateways = g.membership.countFrom(gateways, firstGateway, g.settings.Gateways)
+		g.splitCeiling(c, firstGateway)
 	}
-	c.used = g.now
+	c.lastSeen = g.now
 	return c
 }
 
-// foretells tells whether a customer's mirror takes off what other doors take, by what they took of late.
-func (g *Gateway) foretells(c *customer) bool {
-	return g.s.HasCounter && g.asked < foretellAt && (!g.open || c.take > 0)
+// predictsOthers reports whether a customer's local tokens are reduced by the use that is predicted for
+// other gateways from the recent totals.
+func (g *Gateway) predictsOthers(c *customer) bool {
+	return g.settings.HasCounter && g.queryShareAverage < predictionThreshold &&
+		(!g.isBreakerOpen || c.othersRate > 0)
 }
 
-// refill brings the mirror of the store up to now. What the other doors take is taken off as totals last
-// showed: a door that seldom asks would see none of it. It keeps its even part of the rate, else it might
-// never ask again. Harms when others stop.
-func (g *Gateway) refill(c *customer) {
-	span := (g.now - c.levelAt).Seconds()
-	taken := 0.0
-	// While all ask, totals are fresh; without a counter what is sent from here stands for all doors.
-	if g.foretells(c) {
-		taken = span * math.Min(c.take, c.plan.Rate*(1-1/c.doors))
-	}
-	c.level = math.Min(c.plan.Burst, c.level+c.plan.Rate*span-taken)
-	c.taken += taken
-	c.levelAt = g.now
+// refillQuota brings the local tokens up to the present and deducts the use predicted for other gateways:
+// a gateway that seldom queries the counter would not see it otherwise. The gateway keeps at least its
+// equal share of the rate, or it might never query again. Too much is deducted when the others stop.
+func (g *Gateway) refillQuota(c *customer) {
+	elapsed := (g.now - c.quotaTokensAt).Seconds()
+	predicted := 0.0
+	// While all requests query, totals are fresh. Without a counter the gateway's own requests are charged
+	// for all gateways instead.
+	if g.predictsOthers(c) {
+		predicted = elapsed * math.Min(c.othersRate, c.plan.Rate*(1-1/c.gateways))
+	}
+	c.quotaTokens = math.Min(c.plan.Burst, c.quotaTokens+c.plan.Rate*elapsed-predicted)
+	c.predictedUsage += predicted
+	c.quotaTokensAt = g.now
 }
 
-// sparse tells whether a door's own share of the quota is less than a request of so many units. Such a
-// door's mirror is stale, and what it owes the counter finds no call to ride on in time.
-func (c *customer) sparse(units float64) bool { return c.plan.Burst < c.doors*units }
+// isSparse reports whether one gateway's equal share of the customer's quota is less than a request of these
+// units. The local tokens of such a gateway are stale, and its pending units find no call in time.
+func (c *customer) isSparse(units float64) bool { return c.plan.Burst < c.gateways*units }
 
-// rides tells whether what is not on the counter yet rides on the next call. At a sparse door an asked
-// request counts for those that did not ask, too.
-func (c *customer) rides(units float64) bool { return c.plan.CeilingRate > 0 || !c.sparse(units) }
+// canDefer reports whether units that are not counted yet may be added with the next counter call. At a
+// sparse gateway a request that queries is counted for those that do not, too.
+func (c *customer) canDefer(units float64) bool { return c.plan.CeilingRate > 0 || !c.isSparse(units) }
 
-// turn moves a ledger to the window of now. A gauge takes along what is out of ours; leaks stay behind.
-func (g *Gateway) turn(c *customer, l *ledger) {
-	if w := l.index(g.now); w != l.window {
-		if l == &c.rate { // what was foretold for the last window can't be put right any more
-			c.taken = math.Min(c.taken, c.take*l.into(g.now).Seconds())
+// rollWindow moves a counter to the present window. An in-flight counter carries over what this gateway has
+// in flight; what was never returned stays behind.
+func (g *Gateway) rollWindow(c *customer, counter *windowCounter) {
+	if window := counter.windowAt(g.now); window != counter.window {
+		if counter == &c.quotaCounter { // predictions for the previous window can't be corrected any more
+			c.predictedUsage = math.Min(c.predictedUsage, c.othersRate*counter.elapsed(g.now).Seconds())
 		}
-		l.window, l.seen, l.fold, l.seenAt = w, 0, 0, g.now-l.into(g.now)
-		if l == &c.gauge {
-			l.fold = c.reg
+		counter.window, counter.lastTotal, counter.pending, counter.lastTotalAt =
+			window, 0, 0, g.now-counter.elapsed(g.now)
+		if counter == &c.inFlightCounter {
+			counter.pending = c.inFlightCounted
 		}
 	}
 }
 
-func (g *Gateway) count(k *call, name string) {
-	g.calls[name] = append(g.calls[name], k)
-	g.callRate += callGain
-	keep := time.Duration(keepWindows * float64(k.l.span))
-	g.do(CounterAdd{Name: name, Delta: k.by, TTL: min(keep, time.Minute)})
+// callCounter orders a call to the shared counter and keeps it until its answer arrives.
+func (g *Gateway) callCounter(call *counterCall, name string) {
+	g.counterCalls[name] = append(g.counterCalls[name], call)
+	g.callsPerRequest += callsPerRequestWeight
+	ttl := time.Duration(counterTTLWindows * float64(call.counter.length))
+	g.emit(CounterAdd{Name: name, Delta: call.delta, TTL: min(ttl, time.Minute)})
 }
 
-// ask makes the ordinary path's call for a request on one ledger.
-func (g *Gateway) ask(r *request, l *ledger, units float64) {
-	g.turn(r.cust, l)
-	k := &call{r: r, c: r.cust, l: l, window: l.window, by: units + l.fold, own: units}
-	l.fold = 0
-	r.calls = append(r.calls, k)
-	r.enter(l, units)
-	g.count(k, l.name(l.window))
+// queryCounter adds the units of a request, and all that is pending, to one of the customer's counters. The
+// request waits for the total.
+func (g *Gateway) queryCounter(r *request, counter *windowCounter, units float64) {
+	g.rollWindow(r.customer, counter)
+	call := &counterCall{request: r, customer: r.customer, counter: counter, window: counter.window,
+		delta: units + counter.pending, requestDelta: units}
+	counter.pending = 0
+	r.pendingCalls = append(r.pendingCalls, call)
+	r.addCounted(counter, units)
+	g.callCounter(call, counter.name(counter.window))
 }
 
-// leave takes off the counter what a request that was not sent had added to its window, with the next
-// call, and what it had on the gauge, at once: others decide by it.
-func (g *Gateway) leave(r *request) {
-	c := r.cust
+// returnUnits takes back what a finished request had added to the counters. Quota units of a request that
+// was not sent go with the next call. The in-flight count goes at once, as other gateways decide by it.
+func (g *Gateway) returnUnits(r *request) {
+	c := r.customer
 	if c == nil {
 		return
 	}
-	if !r.sent && c.plan.Rate > 0 {
-		c.level += r.drawn
-		if g.turn(c, &c.rate); c.rate.window == r.rateWindow {
-			c.rate.fold -= r.inRate
+	if !r.wasSent && c.plan.Rate > 0 {
+		c.quotaTokens += r.tokensTaken
+		if g.rollWindow(c, &c.quotaCounter); c.quotaCounter.window == r.quotaWindow {
+			c.quotaCounter.pending -= r.quotaCounted
 		}
 	}
-	if r.inGauge > 0 {
-		g.turn(c, &c.gauge)
-		c.gauge.fold -= r.inGauge
-		c.reg -= r.inGauge
-		r.inGauge = 0
-		g.flush(c)
+	if r.inFlightCounted > 0 {
+		g.rollWindow(c, &c.inFlightCounter)
+		c.inFlightCounter.pending -= r.inFlightCounted
+		c.inFlightCounted -= r.inFlightCounted
+		r.inFlightCounted = 0
+		g.flushInFlight(c)
 	}
 }
 
-func (g *Gateway) arrive(ev RequestArrived) {
-	if ev.Class < 0 || ev.Class >= len(g.s.Classes) || g.requests[ev.ID] != nil {
+// onArrival decides on a new request: load shedding first, then the ceiling, then the quota and the
+// in-flight cap. It decides locally, or lets the request query the counter and wait for the total. A
+// request without a plan is only routed; one of an unknown class or a known id is ignored.
+func (g *Gateway) onArrival(ev RequestArrived) {
+	if ev.Class < 0 || ev.Class >= len(g.settings.Classes) || g.requests[ev.ID] != nil {
 		return
 	}
-	r := g.enroll(ev)
-	g.budget = math.Min(budgetMost, g.budget+budgetGain)
-	if ev.Plan < 0 || ev.Plan >= len(g.s.Plans) {
+	r := g.addRequest(ev)
+	g.retryBudget = math.Min(maxRetryBudget, g.retryBudget+retryBudgetGain)
+	if ev.Plan < 0 || ev.Plan >= len(g.settings.Plans) {
 		g.route(r)
 		return
 	}
-	c := g.customer(ev.Customer, ev.Plan, ev.Gateways, ev.FirstGateway)
-	r.cust = c
-	if g.rng.Float64() >= math.Pow(g.mix.Level(g.shed, g.admit), g.shed[r.ci]) {
+	c := g.ensureCustomer(ev.Customer, ev.Plan, ev.Gateways, ev.FirstGateway)
+	r.customer = c
+	if g.rng.Float64() >=
+		math.Pow(g.classMix.Level(g.admitExponents, g.admitShare), g.admitExponents[r.classIndex]) {
 		g.giveUp(r, ReasonLoadShed)
 		return
 	}
 	p := c.plan
-	needy := p.CeilingRate > 0 && !c.underCeiling(g.now, r.units)
-	if needy && c.shows == 0 {
+	needsTotal := p.CeilingRate > 0 && !c.hasCeilingTokens(g.now, r.units)
+	if needsTotal && c.ceilingTotalLimit == 0 {
 		g.decide(r, true, 1)
 		return
 	}
-	if p.Rate <= 0 && p.MaxInFlight <= 0 || !g.s.HasCounter {
-		g.decideAlone(r)
+	if p.Rate <= 0 && p.MaxInFlight <= 0 || !g.settings.HasCounter {
+		g.decideLocally(r)
 		return
 	}
-	g.refill(c)
-	g.callRate *= 1 - callGain
-	if !g.open {
-		g.asked += askedGain * (g.askShare - g.asked)
+	g.refillQuota(c)
+	g.callsPerRequest *= 1 - callsPerRequestWeight
+	if !g.isBreakerOpen {
+		g.queryShareAverage += queryShareWeight * (g.queryShare - g.queryShareAverage)
 	}
-	known := p.Rate > 0 && c.level < surelyOver*r.units || p.MaxInFlight > 0 && c.out >= p.MaxInFlight ||
-		c.sparse(r.units) && g.rng.Float64() >= g.fits(c)/thinBelow
-	if known && g.callRate > askFloor*g.askShare && !g.open {
+	isKnownOver := p.Rate > 0 && c.quotaTokens < minTokensFactor*r.units ||
+		p.MaxInFlight > 0 && c.inFlight >= p.MaxInFlight ||
+		c.isSparse(r.units) && g.rng.Float64() >= g.fitShare(c)/sampledFitThreshold
+	if isKnownOver && g.callsPerRequest > minCallsPerRequest*g.queryShare && !g.isBreakerOpen {
 		g.decide(r, true, 1)
 		return
 	}
-	probing := g.open && g.now >= g.nextProbe
-	share := g.asking(c.index)
-	if g.asked < foretellAt && c.rides(r.units) {
+	isProbe := g.isBreakerOpen && g.now >= g.nextCounterProbe
+	share := g.planQueryShare(c.planIndex)
+	if g.queryShareAverage < predictionThreshold && c.canDefer(r.units) {
 		share = math.Pow(share, 1/c.urgency())
 	}
-	if needy { // it is turned away unless a total shows that it fits
-		share = math.Pow(share, needyAsks)
+	if needsTotal { // it is refused unless a total shows that it fits
+		share = math.Pow(share, totalsQueryExponent)
 	}
-	if g.open && !probing || !probing && g.rng.Float64() >= share {
-		g.decideAlone(r)
+	if g.isBreakerOpen && !isProbe || !isProbe && g.rng.Float64() >= share {
+		g.decideLocally(r)
 		return
 	}
-	if p.Rate > 0 && c.rides(r.units) {
-		g.ask(r, &c.rate, r.units)
+	if p.Rate > 0 && c.canDefer(r.units) {
+		g.queryCounter(r, &c.quotaCounter, r.units)
 	} else if p.Rate > 0 {
-		g.ask(r, &c.rate, r.units/share)
+		g.queryCounter(r, &c.quotaCounter, r.units/share)
 	}
 	if p.MaxInFlight > 0 {
-		g.ask(r, g.capLedger(c), 1/share)
+		g.queryCounter(r, g.capCounter(c), 1/share)
 	}
-	if probing {
-		g.nextProbe = g.probeNext()
-		g.decideAlone(r)
+	if isProbe {
+		g.nextCounterProbe = g.nextProbeTime()
+		g.decideLocally(r)
 		return
 	}
-	g.timer(timerPatience, r.id, min(g.now+max(patience, 4*g.s.Tick), max(g.now, r.deadline-2*g.s.Tick)))
+	g.setTimer(timerCounterWait, r.id,
+		min(g.now+max(counterWait, 4*g.settings.Tick), max(g.now, r.deadline-2*g.settings.Tick)))
 }
 
-// asking is the part of a plan's requests that ask.
-func (g *Gateway) asking(plan int) float64 {
-	return math.Max(askLeast/2, math.Pow(g.askShare, g.thin[plan]))
+// planQueryShare returns the share of a plan's requests that query the counter.
+func (g *Gateway) planQueryShare(plan int) float64 {
+	return math.Max(minQueryShare/2, math.Pow(g.queryShare, g.queryExponents[plan]))
 }
 
-// urgency weighs a customer's asking where few can ask, by how much of its mirror was spent here, or
-// foretold, since that was last put right. One far from its quota can wait; what it spends is added later.
+// urgency returns the weight of a customer's queries while few requests may query. It grows with the share
+// of the local tokens that was spent here, or predicted, since the last total. A customer far from its
+// quota can wait: its units are added later.
 func (c *customer) urgency() float64 {
-	return urgentLeast + urgentX*math.Min(0.5, (c.rate.fold+c.taken)/math.Max(1, c.level))
+	return minUrgency +
+		urgencyFactor*math.Min(0.5, (c.quotaCounter.pending+c.predictedUsage)/math.Max(1, c.quotaTokens))
 }
 
-// window is how long one of the counter's windows lasts: in it the rate fills the store once.
-func (p Plan) window() time.Duration { return seconds(p.Burst / p.Rate) }
+// windowLength returns the length of the plan's counter windows: in it the rate fills the store once.
+func (p Plan) windowLength() time.Duration { return seconds(p.Burst / p.Rate) }
 
-// stake is what a wrong answer costs on a plan, over the worth of a request.
-func (p Plan) stake() float64 { return p.WorthFactor * (1 + p.OverQuotaCost - p.OverQuotaWorth) }
+// wrongDecisionCost returns the cost of a wrong quota decision on this plan, relative to the worth of a
+// request.
+func (p Plan) wrongDecisionCost() float64 {
+	return p.WorthFactor * (1 + p.OverQuotaCost - p.OverQuotaWorth)
+}
 
-// answered takes the answer of a counter call; for one name they come in the order of calls.
-func (g *Gateway) answered(ev CounterAnswered) {
-	q := g.calls[ev.Name]
-	if len(q) == 0 {
+// onCounterAnswer handles the answer to the oldest open call of its counter name: answers of one name
+// arrive in the order of the calls. Answers to unknown names are ignored.
+func (g *Gateway) onCounterAnswer(ev CounterAnswered) {
+	queue := g.counterCalls[ev.Name]
+	if len(queue) == 0 {
 		return
 	}
-	k := q[0]
-	if g.calls[ev.Name] = q[1:]; len(q) == 1 {
-		delete(g.calls, ev.Name)
+	call := queue[0]
+	if g.counterCalls[ev.Name] = queue[1:]; len(queue) == 1 {
+		delete(g.counterCalls, ev.Name)
 	}
 	if ev.Outcome == OK {
-		g.counterWorks(ev.Took)
-		g.total(k, ev.Total)
+		g.counterSucceeded(ev.Took)
+		g.applyTotal(call, ev.Total)
 		return
 	}
 	g.counterFailed(ev.Outcome)
-	if k.window == k.l.window && ev.Outcome != TimedOut { // a call out of time may have been added
-		k.l.fold += k.by // else it is still due, but for the part of a request that still asks
-		if k.r != nil {
-			k.l.fold -= k.own
-			k.r.enter(k.l, -k.own)
+	// A call that timed out may have been added. Any other failed call is still to be added, except for the
+	// part of a request that is decided now.
+	if call.window == call.counter.window && ev.Outcome != TimedOut {
+		call.counter.pending += call.delta
+		if call.request != nil {
+			call.counter.pending -= call.requestDelta
+			call.request.addCounted(call.counter, -call.requestDelta)
 		}
 	}
-	if k.r != nil {
-		g.decideAlone(k.r)
+	if call.request != nil {
+		g.decideLocally(call.request)
 	}
 }
 
-// total applies a total read to the mirror and lets the ordinary path decide.
-func (g *Gateway) total(k *call, total float64) {
-	c, l := k.c, k.l
-	if k.window == l.window {
-		span := (g.now - l.seenAt).Seconds()
-		if l != &c.gauge {
-			g.weigh(c, l, k, total)
+// applyTotal corrects the customer's local tokens by a total read from the counter, and decides the request
+// that waits for it once all its calls are answered.
+func (g *Gateway) applyTotal(call *counterCall, total float64) {
+	c, counter := call.customer, call.counter
+	if call.window == counter.window {
+		elapsed := (g.now - counter.lastTotalAt).Seconds()
+		if counter != &c.inFlightCounter {
+			g.learnDemand(c, counter, call, total)
 		}
-		others := total - l.seen - k.by
-		if l.seen >= 1 && total-k.by < 1 { // the counter has lost its memory: our mirror stands
+		others := total - counter.lastTotal - call.delta
+		if counter.lastTotal >= 1 && total-call.delta < 1 { // the counter lost its data: keep the tokens
 			others = 0
 		}
-		l.seen = total
-		if l == &c.rate {
-			g.refill(c)
-			c.level = math.Max(c.level+c.taken-others-k.own, -c.plan.Burst)
-			c.taken = 0
-			if span > 0 {
-				c.take += (1 - math.Exp(-span/takeMemory)) * (math.Max(0, others/span) - c.take)
+		counter.lastTotal = total
+		if counter == &c.quotaCounter {
+			g.refillQuota(c)
+			c.quotaTokens = math.Max(c.quotaTokens+c.predictedUsage-others-call.requestDelta, -c.plan.Burst)
+			c.predictedUsage = 0
+			if elapsed > 0 {
+				c.othersRate += (1 - math.Exp(-elapsed/othersRateMemory)) *
+					(math.Max(0, others/elapsed) - c.othersRate)
 			}
 		}
 	}
-	r := k.r
+	r := call.request
 	if r == nil {
 		return
 	}
-	r.calls = slices.DeleteFunc(r.calls, func(o *call) bool { return o == k })
-	if l == &c.rate && k.window == l.window {
-		r.drawn = k.own
-		// Own stands for others at a sparse door. At a joint ceiling totals hold what was refused, too.
-		r.over = r.over || c.level+k.own < r.units && (c.shows == 0 || total > c.plan.Burst)
-		r.shown = total <= c.shows && total >= k.own && // less, and the counter has lost its memory
-			g.now >= g.settled[c.index]
-	} else if l == &c.gauge {
-		over := total-k.own+1 > float64(c.plan.MaxInFlight)
-		r.over = r.over || over
-		if c.fit -= fitGain * c.fit; !over {
-			c.fit += fitGain
+	r.pendingCalls = slices.DeleteFunc(r.pendingCalls, func(o *counterCall) bool { return o == call })
+	if counter == &c.quotaCounter && call.window == counter.window {
+		r.tokensTaken = call.requestDelta
+		// At a sparse gateway the call's own units stand for those of other requests. Totals of a customer
+		// whose ceiling is shared through them include what was refused.
+		r.isOverQuota = r.isOverQuota ||
+			c.quotaTokens+call.requestDelta < r.units && (c.ceilingTotalLimit == 0 || total > c.plan.Burst)
+		// A total below the call's own units means that the counter lost its data.
+		r.isShownUnderCeiling = total <= c.ceilingTotalLimit && total >= call.requestDelta &&
+			g.now >= g.totalsValidFrom[c.planIndex]
+	} else if counter == &c.inFlightCounter {
+		isOver := total-call.requestDelta+1 > float64(c.plan.MaxInFlight)
+		r.isOverQuota = r.isOverQuota || isOver
+		if c.underCapShare -= underCapWeight * c.underCapShare; !isOver {
+			c.underCapShare += underCapWeight
 		}
-	} else if l == &c.demand {
-		r.over = r.over || !g.lot(c)
+	} else if counter == &c.demandCounter {
+		r.isOverQuota = r.isOverQuota || !g.sampleAdmits(c)
 	}
-	if k.r, k.own = nil, 0; len(r.calls) == 0 {
-		g.decide(r, r.over, 1)
+	if call.request, call.requestDelta = nil, 0; len(r.pendingCalls) == 0 {
+		g.decide(r, r.isOverQuota, 1)
 	}
 }
 
-// decide lets a request in or refuses it, with the design's advice: until the window's end.
-func (g *Gateway) decide(r *request, over bool, heft float64) {
-	c := r.cust
-	if r.detach(); over {
-		g.refuse(r, g.untilWindow(c), ReasonOverQuota)
+// decide admits a request, charged with its units times the weight, or refuses it until the end of the quota
+// window, as the design says.
+func (g *Gateway) decide(r *request, isOver bool, weight float64) {
+	c := r.customer
+	if r.detachCalls(); isOver {
+		g.refuse(r, g.quotaRetryAfter(c), ReasonOverQuota)
 		return
 	}
-	g.charge(r, heft)
+	g.chargeQuota(r, weight)
 	g.route(r)
 }
 
-// charge takes a request that is let in off the mirror; what is not on the counter rides on the next call.
-func (g *Gateway) charge(r *request, heft float64) {
-	if c := r.cust; c.plan.Rate > 0 && c.rides(r.units) {
-		g.turn(c, &c.rate)
-		c.level -= r.units*heft - r.drawn
-		c.rate.fold += r.units - r.inRate
-		r.drawn, r.inRate, r.rateWindow = r.units*heft, r.units, c.rate.window
+// chargeQuota takes the units of an admitted request, times the weight, off the local tokens. Units that are
+// not counted yet are added with the next counter call.
+func (g *Gateway) chargeQuota(r *request, weight float64) {
+	if c := r.customer; c.plan.Rate > 0 && c.canDefer(r.units) {
+		g.rollWindow(c, &c.quotaCounter)
+		c.quotaTokens -= r.units*weight - r.tokensTaken
+		c.quotaCounter.pending += r.units - r.quotaCounted
+		r.tokensTaken, r.quotaCounted, r.quotaWindow = r.units*weight, r.units, c.quotaCounter.window
 	}
 }
 
-// flush sends a gauge's pending changes at once.
-func (g *Gateway) flush(c *customer) {
-	if l := &c.gauge; l.fold != 0 && g.s.HasCounter && !g.open {
-		k := &call{c: c, l: l, window: l.window, by: l.fold}
-		l.fold = 0
-		g.count(k, l.name(l.window))
+// flushInFlight sends the pending change of the in-flight count at once.
+func (g *Gateway) flushInFlight(c *customer) {
+	if counter := &c.inFlightCounter; counter.pending != 0 && g.settings.HasCounter && !g.isBreakerOpen {
+		call := &counterCall{customer: c, counter: counter, window: counter.window, delta: counter.pending}
+		counter.pending = 0
+		g.callCounter(call, counter.name(counter.window))
 	}
 }
 
-func (g *Gateway) untilWindow(c *customer) time.Duration {
-	if c.rate.span == 0 { // a cap on attempts out has no window: room comes with the next answer
-		return seconds(g.outFor)
+// quotaRetryAfter returns the time until the customer's quota window ends. An in-flight cap has no window:
+// there it is the mean time until a request ends and frees a slot.
+func (g *Gateway) quotaRetryAfter(c *customer) time.Duration {
+	if c.quotaCounter.length == 0 {
+		return seconds(g.meanTimeInFlight)
 	}
-	return c.rate.span - c.rate.into(g.now)
+	return c.quotaCounter.length - c.quotaCounter.elapsed(g.now)
 }
--- a/admission/successor.go
+++ b/admission/successor.go
@@ -5,130 +5,135 @@
 	"time"
 )
 
-// What two gateways of one ingress keep to while the one takes over from the other. The old one still owns
-// the requests that it has taken; the successor carries each of them as its predecessor's until its end is
-// told. Nothing here decides: it books what was decided on the other side.
+// The handover from one process of an ingress to its successor. The predecessor still owns the requests that
+// it has taken; the successor keeps each of them as the predecessor's until it is told of its end. Nothing
+// here decides: it records what was decided on the other side.
 //
-// The sum of both stays within what one would have let in:
+// Together both processes let through no more than one would have:
 //
-//   - Quota: what a predecessor's request draws is drawn here too, when it is told to have been sent.
-//   - Ceiling: units of a predecessor's request that is not sent yet are set aside here at once, and given
-//     back when it ends unsent.
-//   - Servers: its attempts count among a server's until they end; a cold one stays as cold as it is.
-//   - Retries: the predecessor keeps one for each request that it still has; the rest goes along.
+//   - Quota: what a predecessor's request uses is charged here, too, when the predecessor reports it sent.
+//   - Ceiling: units of a predecessor's request that is not sent yet are set aside here at once, and returned
+//     when it ends unsent.
+//   - Servers: its attempts count at their servers until they end; a cold server stays as cold as it is.
+//   - Retries: the predecessor keeps one for each request that it still has; the successor has the rest.
 
-// Adopt makes of a resumed gateway its predecessor's successor. What is out on the counter is answered over
-// there: as with a call out of time, it may have been added, and the next total tells. The actions arm what
-// a start arms.
+// Adopt turns a gateway with a restored state into the successor of the gateway that the state is from. Open
+// counter calls are answered at the predecessor: like calls that timed out, they may have been added, and the
+// next total shows it. The actions start the timers and the subscription that a new gateway starts.
 func (g *Gateway) Adopt(now time.Duration) []Action {
-	g.out = g.out[:0]
+	g.actions = g.actions[:0]
 	g.now = max(now, g.now)
-	clear(g.calls)
-	g.held, g.holdAt = nil, 0
+	clear(g.counterCalls)
+	g.held, g.recheckAt = nil, 0
 	for _, r := range g.requests {
-		r.calls = nil
-		r.theirs = true
-		if c := r.cust; c != nil && !r.sent && !r.done && c.plan.CeilingRate > 0 {
-			c.hard -= r.units
-			r.aside = true
+		r.pendingCalls = nil
+		r.isOwnedByPredecessor = true
+		if c := r.customer; c != nil && !r.wasSent && !r.isDone && c.plan.CeilingRate > 0 {
+			c.ceilingTokens -= r.units
+			r.hasReservedTokens = true
 		}
 	}
-	g.budget = max(0, g.budget-float64(len(g.requests)))
-	g.started = true
-	g.timer(timerSweep, 0, g.now+sweepEvery)
-	if g.s.MustSubscribe {
-		g.do(Subscribe{On: true})
+	g.retryBudget = max(0, g.retryBudget-float64(len(g.requests)))
+	g.isStarted = true
+	g.setTimer(timerExpiry, 0, g.now+expiryInterval)
+	if g.settings.MustSubscribe {
+		g.emit(Subscribe{On: true})
 	}
-	return g.out
+	return g.actions
 }
 
-// Retire leaves a gateway whose successor has adopted its state with a retry for each request it still has.
-func (g *Gateway) Retire() { g.budget = min(g.budget, float64(len(g.requests))) }
+// Retire limits a gateway whose successor has adopted its state to one retry for each request it still has.
+func (g *Gateway) Retire() { g.retryBudget = min(g.retryBudget, float64(len(g.requests))) }
 
-// Reclaim puts a retired gateway back in place of a successor that has died. What that one sent since is not
-// known here: as after a start, the parts of the ceilings begin empty. Quotas are put right by the next total.
+// Reclaim lets a retired gateway decide again after its successor has died. What the successor sent is
+// unknown here, so the parts of the ceilings start empty, as at a start. Quotas are corrected by the next
+// total.
 func (g *Gateway) Reclaim(now time.Duration) {
 	g.now = max(now, g.now)
-	g.began = g.now
-	clear(g.calls) // what was ordered since was not made, so answers could be taken for others'
+	g.ceilingStart = g.now
+	clear(g.counterCalls) // calls ordered since were not made: answers would be matched to the wrong ones
 	for _, c := range g.customers {
 		if c.plan.CeilingRate > 0 {
-			c.hard, c.hardAt = min(c.hard, 0), g.now
+			c.ceilingTokens, c.ceilingTokensAt = min(c.ceilingTokens, 0), g.now
 		}
 	}
 }
 
-// PredecessorSent: the predecessor has sent a request of its own on.
-func (g *Gateway) PredecessorSent(now time.Duration, id uint64, name string) {
+// PredecessorSent records that the predecessor has sent a request of its own to a server. Other requests are
+// ignored.
+func (g *Gateway) PredecessorSent(now time.Duration, id uint64, server string) {
 	g.now = max(now, g.now)
 	r := g.requests[id]
-	if r == nil || !r.theirs {
+	if r == nil || !r.isOwnedByPredecessor {
 		return
 	}
-	if c := r.cust; !r.sent && c != nil {
-		if c.plan.Rate > 0 && c.rides(r.units) {
-			g.refill(c)
+	if c := r.customer; !r.wasSent && c != nil {
+		if c.plan.Rate > 0 && c.canDefer(r.units) {
+			g.refillQuota(c)
 		}
-		g.charge(r, 1)
-		c.out++
+		g.chargeQuota(r, 1)
+		c.inFlight++
 	}
-	r.aside = false
-	g.begin(r, g.server(name))
+	r.hasReservedTokens = false
+	g.startAttempt(r, g.serverOrStub(server))
 }
 
-// PredecessorAttemptEnded: an attempt of the predecessor's has ended. It tells of its server as one of ours does.
+// PredecessorAttemptEnded records the end of an attempt of the predecessor and learns from it as from one of
+// this gateway.
 func (g *Gateway) PredecessorAttemptEnded(now time.Duration, ev AttemptEnded) {
 	g.now = max(now, g.now)
-	if r := g.requests[ev.ID]; r != nil && r.theirs {
-		g.over(r, ev)
+	if r := g.requests[ev.ID]; r != nil && r.isOwnedByPredecessor {
+		g.endAttempt(r, ev)
 	}
 }
 
-// PredecessorDone: a request of the predecessor's is over. What it had set aside or drawn and did not use is
-// given back. The actions put the shared counter right.
+// PredecessorDone records that a request of the predecessor is over. What was set aside or charged for it and
+// not used is returned. The actions correct the shared counter.
 func (g *Gateway) PredecessorDone(now time.Duration, id uint64) []Action {
-	g.out = g.out[:0]
+	g.actions = g.actions[:0]
 	g.now = max(now, g.now)
-	if r := g.requests[id]; r != nil && r.theirs {
-		g.close(r)
+	if r := g.requests[id]; r != nil && r.isOwnedByPredecessor {
+		g.closeRequest(r)
 	}
-	return g.out
+	return g.actions
 }
 
-// PredecessorGone: no more will be told. What it had sent may have run, so nothing of that is given back.
+// PredecessorGone ends all requests of the predecessor: it will report no more. What it had sent may have run,
+// so nothing of that is returned. The actions correct the shared counter.
 func (g *Gateway) PredecessorGone(now time.Duration) []Action {
-	g.out = g.out[:0]
+	g.actions = g.actions[:0]
 	g.now = max(now, g.now)
 	ids := make([]uint64, 0, len(g.requests))
 	for id, r := range g.requests {
-		if r.theirs {
+		if r.isOwnedByPredecessor {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		g.close(g.requests[id])
+		g.closeRequest(g.requests[id])
 	}
-	return g.out
+	return g.actions
 }
 
-// PredecessorRequests tells how many requests of the predecessor's are not over.
+// PredecessorRequests returns how many requests of the predecessor are not over.
 func (g *Gateway) PredecessorRequests() (n int) {
 	for _, r := range g.requests {
-		if r.theirs {
+		if r.isOwnedByPredecessor {
 			n++
 		}
 	}
 	return n
 }
 
-func (g *Gateway) close(r *request) {
-	for i := range r.tries {
-		g.over(r, AttemptEnded{Attempt: i, Outcome: Cancelled})
+// closeRequest ends a request of the predecessor and its open attempts, and returns what was set aside for it.
+func (g *Gateway) closeRequest(r *request) {
+	for i := range r.attempts {
+		g.endAttempt(r, AttemptEnded{Attempt: i, Outcome: Cancelled})
 	}
-	if r.aside && r.cust != nil {
-		r.cust.hard += r.units
-		r.aside = false
+	if r.hasReservedTokens && r.customer != nil {
+		r.customer.ceilingTokens += r.units
+		r.hasReservedTokens = false
 	}
 	g.finish(r)
 }
--- a/internal/net/downstream/downstream.go
+++ b/internal/net/downstream/downstream.go
@@ -187,7 +187,7 @@
 		return
 	}
 	switch {
-	case events&loop.HangupOrError != 0: // unread input is useless, since no response can be sent
+	case events&loop.FullHangup != 0: // unread input is useless, since no response can be sent
 		c.disconnect(closedReset)
 	case events&loop.ReadHangup != 0 && c.isUploadBlocked():
 		c.closeBlockedUpload()
