--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -36,7 +36,7 @@
 	Connections int    `json:"connections"` // open client connections
 	Upstreams   int    `json:"upstreams"`   // open upstream connections
 	Customers   int    `json:"customers"`   // customers with state in the decision module
-	// ControlGroup is null without a control group.
+	// ControlGroup is nil and left out without a control group.
 	ControlGroup *ControlGroupStatus `json:"control_group,omitempty"`
 	// Error is set, and the rest empty, if the loop did not answer in time.
 	Error string `json:"error,omitempty"`
@@ -53,11 +53,11 @@
 	IsSettled        bool           `json:"settled"`     // this ingress uses its share of joint budgets
 	AbsentMembers    []int          `json:"counted_out"` // numbers of ingresses that left permanently; the others have their shares
 	MessagesSent     uint64         `json:"sent"`
-	MessagesReceived uint64         `json:"received"`
-	MessagesDropped  uint64         `json:"dropped"`
+	MessagesReceived uint64         `json:"received"` // and handled
+	MessagesDropped  uint64         `json:"dropped"`  // received and not handled, or not sent: see peers.Counts
 
 	BytesSent     uint64 `json:"sent_bytes"`
-	BytesReceived uint64 `json:"received_bytes"`
+	BytesReceived uint64 `json:"received_bytes"` // of dropped messages, too
 
 	ActiveVersions   []uint64 `json:"settings_acting"`   // versions of the settings that it applies together, oldest first
 	StaleMembers     []string `json:"settings_stale"`    // members not known to apply the newest version
