--- a/cmd/ferryfront/upgrade.go
+++ b/cmd/ferryfront/upgrade.go
@@ -21,16 +21,16 @@
 	wait := c.Flags().Duration("wait", time.Minute, "how long to wait for the end")
 	return func(send func(ctx context.Context, socket string) error) error {
 		var o daemon.Options
-		o.Control = socket
+		o.ControlSocket = socket
 		if _, err := p.readSettings(file, &o, "", ""); err != nil {
 			return err
 		}
-		if o.Control == "" {
+		if o.ControlSocket == "" {
 			return errors.New("no control socket: set --control, or control in the settings file")
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), *wait)
 		defer cancel()
-		return send(ctx, o.Control)
+		return send(ctx, o.ControlSocket)
 	}
 }
 
@@ -49,7 +49,7 @@
 				fmt.Fprintln(p.out, progress.Text)
 			}
 		})
-		if *asJSON && end.Done {
+		if *asJSON && end.IsDone {
 			if err := json.NewEncoder(p.out).Encode(end); err != nil {
 				return err
 			}
@@ -59,7 +59,7 @@
 		}
 		if !*asJSON {
 			fmt.Fprintf(p.out, "done: process %d serves; nobody read for %v; %d customers, %d client and %d upstream connections\n",
-				end.Pid, time.Duration(end.FreezeUS)*time.Microsecond, end.Customers, end.Clients, end.Upstreams)
+				end.Pid, time.Duration(end.FreezeMicroseconds)*time.Microsecond, end.Customers, end.ClientConnections, end.UpstreamConnections)
 		}
 		return nil
 	}
@@ -88,12 +88,12 @@
 	withSocket := p.controlFlags(c)
 	member := c.Flags().String("member", "", "`number` of another ingress, which is dead for good")
 	run := func(ctx context.Context, socket string) error {
-		return daemon.Ask(ctx, socket, daemon.Command{Do: "leave", Member: *member}, func(line []byte) error {
+		return daemon.SendCommand(ctx, socket, daemon.Command{Name: "leave", Member: *member}, func(line []byte) error {
 			var end daemon.Progress
 			if err := json.Unmarshal(line, &end); err != nil {
 				return fmt.Errorf("leave: %w", err)
 			}
-			if !end.OK {
+			if !end.Succeeded {
 				return fmt.Errorf("leave: %s", end.Text)
 			}
 			text := fmt.Sprintf("process %d ends and leaves", end.Pid)
@@ -113,7 +113,7 @@
 	c := &cobra.Command{Use: name, Short: short, Args: cobra.NoArgs}
 	withSocket := p.controlFlags(c)
 	run := func(ctx context.Context, socket string) error {
-		return daemon.Ask(ctx, socket, daemon.Command{Do: name}, func(line []byte) error {
+		return daemon.SendCommand(ctx, socket, daemon.Command{Name: name}, func(line []byte) error {
 			_, err := fmt.Fprintf(p.out, "%s\n", line)
 			return err
 		})
--- a/internal/controlserver/documents.go
+++ b/internal/controlserver/documents.go
@@ -11,7 +11,7 @@
 // Names of the documents that the group holds.
 const (
 	DocumentSettings = "settings" // the shared part of an ingress's settings, as settings.Shared returns it
-	DocumentDrained  = "drained"  // the list of hosts that the operators drain, as config.Config.DrainedText returns it
+	DocumentDrained  = "drained"  // the list of hosts that the operators drain, as config.Config.EncodeDrainedHosts returns it
 )
 
 // validate checks a proposed version in full, as an ingress checks a file. Its errors name the field.
