--- a/cmd/ferryfront/main.go
+++ b/cmd/ferryfront/main.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-// version is the release of the program.
+// version is the release of the program. It is raised with each release.
 const version = "1.1.0"
 
 func main() { os.Exit(run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
--- a/internal/handover/phase/new.go
+++ b/internal/handover/phase/new.go
@@ -10,7 +10,7 @@
 	Building                         // reading the configuration, building the parts, reaching discovery
 	AwaitingSnapshot                 // receiving customers, then the snapshot
 	AwaitingCommit                   // the snapshot is restored
-	OnProbation                      // serving; the old process takes over again should this one die
+	OnProbation                      // serving; the old process hasn't reported the upgrade as done yet
 	PastProbation                    // serving; the old process, if it still runs, only finishes what it has
 	Independent                      // serving; the old process is gone
 	Ended                            // exiting without having served
--- a/internal/handover/phase/phase.go
+++ b/internal/handover/phase/phase.go
@@ -14,8 +14,8 @@
 // messages needs no new version.
 const Protocol = 1
 
-// Message is a kind of message from the other process. Messages that change no state, such as those with customers or
-// connections, have no kind.
+// Message is a kind of message from the other process. Other messages either change no state, such as those with customers
+// or connections, or arrive as events of their own, such as Terminate and Reload.
 type Message int
 
 const (
