--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -10,13 +10,13 @@
 type attempt struct {
 	AttemptRecord
 	isPending bool // started and not ended
-	// timeout limits an attempt that was started before its request was complete, from the time when it is complete.
-	// 0: until the deadline.
+	// timeout limits an attempt of a request that was partial when the attempt started. It runs from the completion of
+	// the request. 0: only the stream's deadline limits the attempt.
 	timeout time.Duration
 }
 
-// startAttempt carries out a send of the module. The attempt ends at once with NotSent if its stream is closed or past its
-// deadline, or if its payload can't be sent again.
+// startAttempt carries out a Send of the module. The attempt ends at once with NotSent if its stream is closed or past
+// its deadline, or if a part of its payload is consumed.
 func (c *Core) startAttempt(action admission.Send) {
 	s := c.streams[action.ID]
 	if s == nil {
@@ -49,8 +49,8 @@
 	c.upstreams.Start(ref, action.Server, s.payload, timeout)
 }
 
-// UpstreamEnded reports the outcome of an upstream request. The first good answer is the stream's. A request that is no
-// longer pending is ignored, and its answer discarded.
+// UpstreamEnded reports the outcome of an upstream request. The first with the outcome OK answers the stream. The outcome
+// of a request that is no longer pending is ignored. Answers that are not used are discarded.
 func (c *Core) UpstreamEnded(now time.Duration, ref Ref, outcome admission.Outcome, answer Answer) {
 	c.AdvanceClock(now)
 	s := c.streams[ref.Stream]
@@ -80,9 +80,9 @@
 	c.removeIfFinished(s)
 }
 
-// cancelAttempt ends a pending upstream request with the given outcome. Its connection is closed before the module learns
-// of the end, so that a further attempt is never a second copy. A request that was not fully written can't have run and
-// ends with Unreachable instead of TimedOut, or else with NotSent.
+// cancelAttempt ends a pending upstream request with the given outcome. Its connection is closed before the module
+// learns of the end, so that a further attempt never runs beside it as a second copy. A request that was not fully
+// written can't have run: it ends with Unreachable instead of TimedOut, and with NotSent instead of any other outcome.
 func (c *Core) cancelAttempt(ref Ref, outcome admission.Outcome) {
 	s := c.streams[ref.Stream]
 	if s == nil || ref.Attempt < 0 || ref.Attempt >= len(s.attempts) || !s.attempts[ref.Attempt].isPending {
@@ -96,8 +96,9 @@
 	c.UpstreamEnded(c.now, ref, outcome, Answer{})
 }
 
-// withdraw ends a pending upstream request that is not fully written, and so can't have run. It leaves others pending.
-func (c *Core) withdraw(ref Ref) {
+// withdrawAttempt ends a pending upstream request if it is not fully written, and so can't have run. One that is fully
+// written stays pending.
+func (c *Core) withdrawAttempt(ref Ref) {
 	if s := c.streams[ref.Stream]; s != nil && s.attempts[ref.Attempt].isPending && c.upstreams.Withdraw(ref) {
 		c.UpstreamEnded(c.now, ref, admission.NotSent, Answer{})
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -31,29 +31,29 @@
 	log            *slog.Logger
 	deadlineMargin time.Duration
 
-	now                   time.Duration
-	lastID                uint64 // last id given to a stream or probe
-	streams               map[uint64]*stream
-	requestIDs            map[string]struct{} // of the tracked streams and the predecessor's
-	probes                map[uint64]probe
-	openStreams           int // streams that have not ended
-	partialStreams        int // open streams whose request has not fully arrived
-	timers                timerq.Queue[timer]
-	events                []admission.Event // for the module's next turn
-	spareEvents           []admission.Event // the previous turn's slice, reused
-	actions               []admission.Action
-	unreportedDisconnects []*stream // see stream.isDisconnectUnreported
-	idempotencyKeys       keyTable
-
-	isDebugEnabled     bool
-	endReason          admission.Reason // of the end that the module has just ordered, for the debug log
-	isExecuting        bool             // actions are being carried out
-	isHeld             bool             // the module is given no events yet
-	handoverObserver   HandoverObserver // nil unless a handover is in progress
-	parksCounterCalls  bool             // counter calls wait in parkedCounterCalls
-	dropsCounterCalls  bool             // counter calls are left to the successor
-	parkedCounterCalls []admission.CounterAdd
-	predecessorStreams map[uint64]StreamState // the predecessor's streams that have not finished
+	now              time.Duration
+	lastID           uint64 // last id given to a stream or probe
+	streams          map[uint64]*stream
+	requestIDs       map[string]struct{} // of the tracked streams and the predecessor's
+	probes           map[uint64]probe
+	openStreams      int // streams that have not ended
+	partialStreams   int // open streams whose request has not fully arrived
+	timers           timerq.Queue[timer]
+	events           []admission.Event // for the module's next turn
+	spareEvents      []admission.Event // the previous turn's slice, reused
+	actions          []admission.Action
+	abandonedStreams []*stream // abandoned since the last turn; see stream.isClientLeftPending
+	idempotencyKeys  keyTable
+
+	isDebugEnabled       bool
+	endReason            admission.Reason // of the end that the module has just ordered, for the debug log
+	isExecuting          bool             // actions are being carried out
+	isHeld               bool             // turns are stopped until Restore
+	handoverObserver     HandoverObserver // nil unless a handover is in progress
+	defersCounterCalls   bool             // counter calls are collected in deferredCounterCalls
+	dropsCounterCalls    bool             // counter calls are left to the successor
+	deferredCounterCalls []admission.CounterAdd
+	predecessorStreams   map[uint64]StreamState // the predecessor's streams that have not finished
 }
 
 // Config holds the dependencies and settings of a Core.
@@ -67,7 +67,8 @@
 	Log       *slog.Logger
 	// DeadlineMargin is how long before the client's own deadline a stream must be answered.
 	DeadlineMargin time.Duration
-	// RepeatWindows holds for each class how long a repeat of an idempotency key is recognised. 0: the class has no keys.
+	// RepeatWindows holds for each class how long upstream hosts drop a repeat of an idempotency key. 0: the class has no
+	// keys.
 	RepeatWindows []time.Duration
 }
 
@@ -105,18 +106,19 @@
 // SetCounter replaces the counter for all further calls.
 func (c *Core) SetCounter(counter Counter) { c.counter = counter }
 
-// UpdateSettings applies new settings from the next event on. Streams that are open keep the settings they started with.
+// UpdateSettings passes new settings to the module and takes their repeat windows for new streams. Streams that are open
+// keep the window they started with.
 func (c *Core) UpdateSettings(now time.Duration, settings admission.Settings) {
 	c.AdvanceClock(now)
 	c.idempotencyKeys.repeatWindows = RepeatWindows(settings.Classes)
 	c.events = append(c.events, admission.SettingsChanged{Settings: settings})
 }
 
-// Enqueue adds an event that belongs to no stream after the module's pending events.
+// Enqueue adds an event that belongs to no stream behind the pending events.
 func (c *Core) Enqueue(ev admission.Event) { c.events = append(c.events, ev) }
 
-// EnqueueFirst adds an event before all pending ones, including those left over from the last turn. It serves events that
-// withdraw something, such as a share of a budget, which none of the pending events may use any more.
+// EnqueueFirst adds an event in front of all pending ones, including those left over from the last turn. It serves events
+// that withdraw something, such as a share of a budget, which the module must not use any more for the pending events.
 func (c *Core) EnqueueFirst(ev admission.Event) { c.events = slices.Insert(c.events, 0, ev) }
 
 // ProbeEnded reports the outcome of a probe. It ignores probes that have ended before.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -274,26 +274,26 @@
 func TestIdempotencyKeysAreRememberedForTheirWindow(t *testing.T) {
 	table := keyTable{repeatWindows: []time.Duration{time.Second}, entries: map[string]*keyEntry{},
 		hostLocations: map[string]location{"h": {"a", 3}}}
-	table.openStream("k", 1)
-	require.True(t, table.hasOpenStream("k"))
-	require.Nil(t, table.earlierAttempt("k", 0))
+	table.acquire("k", 1)
+	require.True(t, table.isInUse("k"))
+	require.Nil(t, table.priorAttempt("k", 0))
 	table.recordAttempt("k", "h", 10, time.Second)
 	table.clearAttempt("k", "h", 10)
-	require.Nil(t, table.earlierAttempt("k", 20), "a rejected request has not run")
+	require.Nil(t, table.priorAttempt("k", 20), "a rejected request has not run")
 	table.recordAttempt("k", "h", 30, time.Second)
 	table.recordAttempt("k", "other", 40, time.Second)
 	require.Equal(t, &admission.PriorAttempt{Server: "h", Zone: "a", Cell: 3, SentAt: 30},
-		table.earlierAttempt("k", 50), "the first attempt counts")
-	table.closeStream("k", 2)
-	require.True(t, table.hasOpenStream("k"), "another stream has ended")
-	table.closeStream("k", 1)
-	require.False(t, table.hasOpenStream("k"))
-	require.NotNil(t, table.earlierAttempt("k", time.Second))
+		table.priorAttempt("k", 50), "the first attempt counts")
+	table.release("k", 2)
+	require.True(t, table.isInUse("k"), "another stream has ended")
+	table.release("k", 1)
+	require.False(t, table.isInUse("k"))
+	require.NotNil(t, table.priorAttempt("k", time.Second))
 	table.removeExpired(30 + time.Second)
 	require.Empty(t, table.entries)
 	require.Empty(t, table.expirations)
-	table.openStream("k", 3)
-	table.closeStream("k", 3)
+	table.acquire("k", 3)
+	table.release("k", 3)
 	require.Empty(t, table.entries, "a key that was never sent is forgotten at once")
 }
 
--- a/internal/core/debug_log.go
+++ b/internal/core/debug_log.go
@@ -8,13 +8,13 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// The debug log of requests. Every line of a stream carries its id, by which all lines of one request are found, and the
-// client's Request-Id. No argument is computed while the log has a higher level.
-
-// DebugEnabled reports whether a logger writes debug lines. It is called once at start, as a process's level does not
-// change.
+// DebugEnabled reports whether a logger writes debug lines. Callers ask once at start, as the level does not change while
+// the process runs.
 func DebugEnabled(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
 
+// The methods below write the debug log of requests. Every line of a stream has the stream's id, by which all its lines
+// are found, and the client's Request-Id. They compute no argument if debug lines are not written.
+
 func (c *Core) logRequestStarted(s *stream, timeout time.Duration) {
 	if c.isDebugEnabled {
 		c.log.Debug("request taken", "stream", s.id, "request", s.requestID, "order", s.idempotencyKey,
--- a/internal/core/event_order_test.go
+++ b/internal/core/event_order_test.go
@@ -9,8 +9,8 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// A client leaves while its upstream request waits for a connection. The request is withdrawn, whatever the module does with
-// pending attempts. A request that is already written stays pending.
+// A client leaves while its upstream request waits for a connection. The request is withdrawn, whatever the module does
+// with pending attempts. A request that is already written stays pending.
 func TestUnwrittenRequestIsWithdrawnWhenItsClientLeaves(t *testing.T) {
 	for _, unwritten := range []bool{true, false} {
 		c, module, env, _ := newTestCore(sendToHost)
@@ -93,11 +93,11 @@
 	}
 }
 
-// A client leaves and sends the same idempotency key again within one turn. The attempts of the first stream are cancelled
-// before the module gets the second request, which is sent to the host where the first may have run. While the client of
-// the first stream still waits, the second request is rejected.
+// A client leaves and sends the same idempotency key again within one turn. The attempts of the first stream are
+// cancelled before the module gets the second request, which is sent to the host where the first may have run. While
+// the client of the first stream still waits, the second request is rejected.
 func TestKeyIsReusedInTheTurnInWhichItsClientLeaves(t *testing.T) {
-	for _, left := range []bool{true, false} {
+	for _, clientLeft := range []bool{true, false} {
 		c, module, env, _ := newTestCore(func(ev admission.Event) []admission.Action {
 			if ev, ok := ev.(admission.ClientLeft); ok {
 				return []admission.Action{admission.Cancel{ID: ev.ID}}
@@ -110,12 +110,12 @@
 		id := c.StartStream(0, r)
 		c.Turn(0)
 		c.Turn(0)
-		if left {
+		if clientLeft {
 			c.ClientDisconnected(5*ms, id)
 		}
-		require.Equal(t, left, c.StartStream(5*ms, r) != 0)
+		require.Equal(t, clientLeft, c.StartStream(5*ms, r) != 0)
 		c.Turn(5 * ms)
-		if left {
+		if clientLeft {
 			require.Equal(t, []string{"start h", "cancel", "start h"}, env.calls)
 			again, ok := module.events[len(module.events)-1].(admission.RequestArrived)
 			require.True(t, ok)
@@ -134,14 +134,14 @@
 	retryID   uint64
 }
 
-func (a *reconnectingOwner) End(e End) {
-	a.fakeEnvironment.End(e)
-	a.core.ClientDisconnected(a.core.now, a.leavingID)
-	a.retryID = a.core.StartStream(a.core.now, a.retry)
+func (o *reconnectingOwner) End(e End) {
+	o.fakeEnvironment.End(e)
+	o.core.ClientDisconnected(o.core.now, o.leavingID)
+	o.retryID = o.core.StartStream(o.core.now, o.retry)
 }
 
-// A client leaves and sends its key again while actions are being executed. No turn may run then, as it would lose the
-// remaining actions. So the key still counts as open and the new request is rejected.
+// A client leaves and sends its idempotency key again while actions are being executed. No turn may run then, as it would
+// lose the remaining actions. So the key is still in use and the new request is rejected.
 func TestKeyIsReusedWhileActionsAreExecuted(t *testing.T) {
 	c, _, env, _ := newTestCore(func(ev admission.Event) []admission.Action {
 		switch ev := ev.(type) {
@@ -171,10 +171,10 @@
 	require.Equal(t, []string{"start h", "add a", "add b", "cancel", "add after"}, env.calls)
 }
 
-// Nothing is started for a stream whose client has left, whatever the module orders: neither on a timer while an attempt is
-// pending, nor when that attempt ends, nor by an action from before the module learned of the leaving.
+// Nothing is started for a stream whose client has left, whatever the module orders: neither on a timer while an attempt
+// is pending, nor when that attempt ends, nor by an action from before the module was told that the client has left.
 func TestNothingIsStartedAfterTheClientLeft(t *testing.T) {
-	for _, left := range []bool{false, true} {
+	for _, clientLeft := range []bool{false, true} {
 		c, _, env, _ := newTestCore(func(ev admission.Event) []admission.Action {
 			switch ev := ev.(type) {
 			case admission.RequestArrived:
@@ -190,7 +190,7 @@
 		})
 		id := c.StartStream(0, env.request(100*ms))
 		c.Turn(0)
-		if left {
+		if clientLeft {
 			c.ClientDisconnected(5*ms, id)
 		}
 		c.Turn(5 * ms)
@@ -198,7 +198,7 @@
 		c.UpstreamEnded(30*ms, Ref{id, 0}, admission.Errored, Answer{})
 		c.Turn(30 * ms)
 		c.Turn(30 * ms)
-		if want := []string{"start first", "start second", "start third"}; left {
+		if want := []string{"start first", "start second", "start third"}; clientLeft {
 			require.Equal(t, want[:1], env.calls)
 			require.Empty(t, c.streams)
 		} else {
@@ -207,12 +207,12 @@
 	}
 }
 
-// A client leaves in the turn in which the module sends its request because of an earlier event. The request is not sent,
-// and the module still gets the end of the attempt, as for every send.
+// A client leaves in the same turn in which the module sends its request because of an earlier event. The request is not
+// sent, but the module still gets AttemptEnded, as for every Send.
 func TestSendInTheTurnInWhichTheClientLeaves(t *testing.T) {
 	c, module, env, _ := newTestCore(func(ev admission.Event) []admission.Action {
-		if k, ok := ev.(admission.CounterAnswered); ok {
-			return []admission.Action{admission.Send{ID: 1, Server: k.Name}}
+		if answered, ok := ev.(admission.CounterAnswered); ok {
+			return []admission.Action{admission.Send{ID: 1, Server: answered.Name}}
 		}
 		return nil
 	})
@@ -241,14 +241,14 @@
 	c.idempotencyKeys.repeatWindows = []time.Duration{time.Second}
 	r := env.request(100 * ms)
 	r.IdempotencyKey = "k"
-	left := c.StartStream(0, r)
+	leavingID := c.StartStream(0, r)
 	next := env.request(100 * ms)
 	next.Owner = ownerFunc(func() { c.StartStream(0, r) })
-	other := c.StartStream(0, next)
+	otherID := c.StartStream(0, next)
 	c.Turn(0)
 	seen := len(module.events)
-	c.ClientDisconnected(0, left)
-	c.Execute([]admission.Action{admission.Refuse{ID: other}, admission.CounterAdd{Name: "a"}})
+	c.ClientDisconnected(0, leavingID)
+	c.Execute([]admission.Action{admission.Refuse{ID: otherID}, admission.CounterAdd{Name: "a"}})
 	require.Len(t, module.events, seen, "the module got an event while its actions were executed")
 }
 
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -8,7 +8,8 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// reservedPredecessorIDs is the number of ids that the predecessor may still assign, to streams and to probes.
+// reservedPredecessorIDs is the number of ids reserved for the predecessor, which may still assign some to its streams
+// and probes.
 const reservedPredecessorIDs = 1 << 20
 
 // HandoverObserver is informed of a core's streams while a successor process shares its upstream hosts and quotas.
@@ -25,24 +26,24 @@
 	Keys    []KeyState
 }
 
-// StreamState is a stream that owes an answer or has pending upstream requests.
+// StreamState is a stream that is owed an answer or has pending upstream requests.
 type StreamState struct {
 	ID                        uint64
 	RequestID, IdempotencyKey string
 }
 
-// KeyState is what is remembered of an idempotency key.
+// KeyState is the state of an idempotency key.
 type KeyState struct {
-	Key, Host, Zone      string // Host may have run a request with the key, if ExpiresAt is not 0
+	Key, Host, Zone      string // the host that may have run a request with the key; empty if ExpiresAt is 0
 	Cell                 int
 	StartedAt, ExpiresAt time.Duration // the repeat window; 0 if no request with the key may have run
-	StreamID             uint64        // the open stream with the key, 0 if there is none
+	StreamID             uint64        // the stream with the key that has not finished, 0 if there is none
 }
 
 // StartHandover returns a snapshot and reports the further progress of the streams to the observer. Counter calls that
-// the module orders are parked until CommitHandover leaves them to the successor or CancelHandover makes them.
+// the module orders from now on are deferred until CommitHandover drops them or CancelHandover makes them.
 func (c *Core) StartHandover(observer HandoverObserver) Snapshot {
-	c.handoverObserver, c.parksCounterCalls = observer, true
+	c.handoverObserver, c.defersCounterCalls = observer, true
 	snapshot := Snapshot{LastID: c.lastID}
 	for _, s := range c.streams {
 		snapshot.Streams = append(snapshot.Streams, StreamState{s.id, s.requestID, s.idempotencyKey})
@@ -62,21 +63,23 @@
 	return snapshot
 }
 
-// CommitHandover drops the parked counter calls and all that the module still orders: the successor has the state that
-// ordered them and makes them.
-func (c *Core) CommitHandover() { c.parkedCounterCalls, c.dropsCounterCalls = nil, true }
+// CommitHandover drops the deferred counter calls and all further ones that the module orders. The successor makes them,
+// since it has the state of the module that ordered them.
+func (c *Core) CommitHandover() { c.deferredCounterCalls, c.dropsCounterCalls = nil, true }
 
-// CancelHandover ends a handover without a successor. It makes the parked counter calls.
+// CancelHandover ends a handover whose successor has failed, before or after CommitHandover. It makes the deferred
+// counter calls, of which there are none after CommitHandover.
 func (c *Core) CancelHandover() {
-	c.handoverObserver, c.parksCounterCalls, c.dropsCounterCalls = nil, false, false
-	parked := c.parkedCounterCalls
-	c.parkedCounterCalls = nil
-	for _, call := range parked {
+	c.handoverObserver, c.defersCounterCalls, c.dropsCounterCalls = nil, false, false
+	deferred := c.deferredCounterCalls
+	c.deferredCounterCalls = nil
+	for _, call := range deferred {
 		c.counter.Add(call.Name, call.Delta, call.TTL)
 	}
 }
 
-// HoldEvents stops turns until Restore, so that the module gets no events before it has its predecessor's state.
+// HoldEvents stops turns until Restore, so that the module gets no events before it has its predecessor's state. Restore
+// drops the events that are added until then.
 func (c *Core) HoldEvents() { c.isHeld = true }
 
 // Restore starts from a predecessor's snapshot and carries out the given actions of the module. New ids follow all those
@@ -118,8 +121,8 @@
 	}
 }
 
-// PredecessorStreamDone reports that a stream of the predecessor has finished. Its request id and idempotency key are free
-// again.
+// PredecessorStreamDone reports that a stream of the predecessor has finished. Its request id and idempotency key are
+// free again.
 func (c *Core) PredecessorStreamDone(id uint64) {
 	s, ok := c.predecessorStreams[id]
 	if !ok {
@@ -127,7 +130,7 @@
 	}
 	delete(c.predecessorStreams, id)
 	delete(c.requestIDs, s.RequestID)
-	c.idempotencyKeys.closeStream(s.IdempotencyKey, id)
+	c.idempotencyKeys.release(s.IdempotencyKey, id)
 }
 
 // PredecessorExited reports that the predecessor's process has exited, and with it all its streams.
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -8,18 +8,18 @@
 
 // keyTable remembers for each idempotency key where a request with it may have run. The upstream hosts of a cell drop
 // a repeat of a key within the repeat window of its class. During that window a request with the key is sent only
-// there, and never while another request with the key is open. After the window the key counts as new: the client has
-// been told that the earlier request may have taken effect.
+// to that cell, and never while another stream with the key has not finished. After the window the key counts as new:
+// the client has been told that the earlier request may have taken effect.
 type keyTable struct {
 	repeatWindows []time.Duration // by class; 0: the class has no keys
 	entries       map[string]*keyEntry
 	hostLocations map[string]location // by host name
-	expirations   []keyExpiry         // keys without an open stream, in the order in which their streams ended
+	expirations   []keyExpiry         // keys whose stream has finished, in the order of the finish
 }
 
 // keyEntry is the state of an idempotency key.
 type keyEntry struct {
-	streamID   uint64 // the open stream with the key, 0 if there is none
+	streamID   uint64 // the stream with the key that has not finished, 0 if there is none
 	mayHaveRun bool   // a request with the key may have run; the fields below say where and when
 	host       string
 	location   location
@@ -40,7 +40,8 @@
 	cell int
 }
 
-// RepeatWindows returns for each class how long a repeat of an idempotency key is recognised, 0 where it has no keys.
+// RepeatWindows returns for each class how long upstream hosts drop a repeat of an idempotency key, 0 where the class
+// has no keys.
 func RepeatWindows(classes []admission.Class) (windows []time.Duration) {
 	for _, class := range classes {
 		window := time.Duration(0)
@@ -69,7 +70,7 @@
 	return longest
 }
 
-// updateLocations records the locations of the listed hosts.
+// updateLocations records the locations of the listed hosts and removes those of hosts that are gone.
 func (t *keyTable) updateLocations(list admission.ServerList) {
 	for _, server := range list.Servers {
 		if server.State == admission.Gone {
@@ -80,8 +81,9 @@
 	}
 }
 
-// earlierAttempt returns where a request with the key may have run, or nil if none has within the repeat window.
-func (t *keyTable) earlierAttempt(key string, now time.Duration) *admission.PriorAttempt {
+// priorAttempt returns where and when a request with the key may have run, or nil if none may have within the repeat
+// window.
+func (t *keyTable) priorAttempt(key string, now time.Duration) *admission.PriorAttempt {
 	if entry := t.entries[key]; entry != nil && entry.mayHaveRun && now < entry.expiresAt {
 		return &admission.PriorAttempt{Server: entry.host, Zone: entry.location.zone, Cell: entry.location.cell,
 			SentAt: entry.startedAt}
@@ -89,14 +91,14 @@
 	return nil
 }
 
-// hasOpenStream reports whether a stream with the key is open or has pending attempts.
-func (t *keyTable) hasOpenStream(key string) bool {
+// isInUse reports whether a stream with the key is open or has pending upstream requests.
+func (t *keyTable) isInUse(key string) bool {
 	entry := t.entries[key]
 	return entry != nil && entry.streamID != 0
 }
 
-// openStream records that a stream with the key has started.
-func (t *keyTable) openStream(key string, streamID uint64) {
+// acquire records that a stream with the key has started. The key is in use until release.
+func (t *keyTable) acquire(key string, streamID uint64) {
 	if t.entries[key] == nil {
 		t.entries[key] = &keyEntry{}
 	}
@@ -104,8 +106,8 @@
 }
 
 // recordAttempt records that a request with the key is sent to a host. Only the first host that may have run it within
-// the window is kept, as later ones are of the same cell. For a repeat it returns the end of the window, by which the
-// request must have reached the host, as it may still wait for its connection; otherwise it returns 0.
+// the window is kept, as later ones are of the same cell. For a repeat it returns the end of the window: the request may
+// still wait for its connection, and after that time it must not be sent any more. Otherwise it returns 0.
 func (t *keyTable) recordAttempt(key, host string, now, window time.Duration) (windowEnd time.Duration) {
 	entry := t.entries[key]
 	switch {
@@ -119,9 +121,9 @@
 	return 0
 }
 
-// updateStart restarts the window of the attempt that was recorded at the time startedAt. A partial request can't run
-// before all of it has arrived.
-func (t *keyTable) updateStart(key, host string, startedAt, now, window time.Duration) {
+// restartWindow restarts the window of the attempt that was recorded at the time startedAt. It is used when the rest of a
+// partial request has arrived, as the request can't have run before.
+func (t *keyTable) restartWindow(key, host string, startedAt, now, window time.Duration) {
 	if entry := t.entries[key]; entry != nil && entry.mayHaveRun && entry.host == host && entry.startedAt == startedAt {
 		entry.startedAt, entry.expiresAt = now, now+window
 	}
@@ -134,9 +136,9 @@
 	}
 }
 
-// closeStream records that a stream with the key has finished. The key is remembered to the end of its window if a request
+// release records that the stream with the key has finished. The key is remembered to the end of its window if a request
 // with it may have run, and forgotten at once if not.
-func (t *keyTable) closeStream(key string, streamID uint64) {
+func (t *keyTable) release(key string, streamID uint64) {
 	entry := t.entries[key]
 	if entry == nil || entry.streamID != streamID {
 		return
--- a/internal/core/methods_test.go
+++ b/internal/core/methods_test.go
@@ -14,8 +14,9 @@
 	"ferryfront.example/ferryfront/internal/net/upstream"
 )
 
-// The core finds the methods of a payload and of an answer's remaining body by interfaces without a name. A method that is
-// renamed in its own package still compiles, but the core no longer finds it. So these tests use the real types.
+// The core finds the methods Gone of a payload and CloseRead of an answer's remaining body by type assertions. If such a
+// method is renamed in its own package, everything still compiles, but the core no longer finds it. So these tests use
+// the real types.
 
 // sendingModule sends every request once and records the ends of attempts.
 type sendingModule struct{ ended []admission.AttemptEnded }
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -6,12 +6,12 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// maxPartialDuration bounds the life of a stream whose request never arrives fully. The reader of the request gives
-// up long before.
+// maxPartialDuration bounds the life of a stream whose request never arrives fully. The client connection aborts such a
+// request long before.
 const maxPartialDuration = time.Hour
 
-// stream is a client's request that is owed one answer. It is tracked until it is closed and none of its attempts is
-// pending.
+// stream is a client's request that is owed one answer. It is open until it is answered or abandoned, and then closed. It
+// has finished, and is no longer tracked, when it is closed and none of its attempts is pending.
 type stream struct {
 	id                        uint64
 	requestID, idempotencyKey string
@@ -21,12 +21,12 @@
 	class, plan               int
 	customer                  uint64
 	isRetry                   bool
-	repeatWindow              time.Duration // how long a repeat of its key is recognised, by the settings at its start
+	repeatWindow              time.Duration // of its idempotency key, by the settings at its start; see keyTable
 	trace                     Trace
-	timeout                   time.Duration // of a partial request, from the time when it is complete
+	timeout                   time.Duration // of a partial request: its deadline is this long after its completion
 	isPartial                 bool          // a part of the request is still to arrive
 	isClosed                  bool
-	isDisconnectUnreported    bool // the client has left and the module has not been told
+	isClientLeftPending       bool // abandoned, and the module has not been told by a ClientLeft event
 	isReleased                bool // the request id and the idempotency key are free again
 	hasTimedOut               bool // the last upstream request to end timed out
 	attempts                  []attempt
@@ -43,8 +43,8 @@
 		r.IdempotencyKey = ""
 	}
 	c.idempotencyKeys.removeExpired(c.now)
-	c.cancelDisconnectedStream(r.IdempotencyKey)
-	if r.IdempotencyKey != "" && c.idempotencyKeys.hasOpenStream(r.IdempotencyKey) {
+	c.cancelLeftoverAttempts(r.IdempotencyKey)
+	if r.IdempotencyKey != "" && c.idempotencyKeys.isInUse(r.IdempotencyKey) {
 		c.logRequestRejected(r, "a request with this idempotency key is open")
 		c.countEnd(r.Class, Failed) // the front answers with an error
 		return 0
@@ -62,8 +62,8 @@
 	ev.ID = c.lastID
 	ev.ExpiresIn = max(0, ev.ExpiresIn-c.deadlineMargin)
 	if r.IdempotencyKey != "" {
-		ev.PriorAttempt = c.idempotencyKeys.earlierAttempt(r.IdempotencyKey, c.now)
-		c.idempotencyKeys.openStream(r.IdempotencyKey, ev.ID)
+		ev.PriorAttempt = c.idempotencyKeys.priorAttempt(r.IdempotencyKey, c.now)
+		c.idempotencyKeys.acquire(r.IdempotencyKey, ev.ID)
 	}
 	s := &stream{id: ev.ID, requestID: r.RequestID, idempotencyKey: r.IdempotencyKey, payload: r.Payload,
 		owner: r.Owner, startedAt: c.now, deadline: c.now + ev.ExpiresIn, class: ev.Class, plan: ev.Plan,
@@ -81,10 +81,11 @@
 	return s.id
 }
 
-// cancelDisconnectedStream runs a turn at once if the stream with the given idempotency key is closed and the module has
-// not seen all events, such as that its client has left. Otherwise that stream's attempts would be cancelled only at the
-// end of the turn, and the new request with the key would be rejected because of them.
-func (c *Core) cancelDisconnectedStream(idempotencyKey string) {
+// cancelLeftoverAttempts runs a turn at once if the stream with the given idempotency key is closed and the module has
+// pending events, such as that the stream's client has left. It gives the module the chance to cancel the stream's
+// attempts. Otherwise they would be cancelled only at the end of this turn, and the new request with the key would be
+// rejected because of them. While actions are being executed no turn may run; see Execute.
+func (c *Core) cancelLeftoverAttempts(idempotencyKey string) {
 	if entry := c.idempotencyKeys.entries[idempotencyKey]; entry != nil && c.HasPendingEvents() && !c.isExecuting {
 		if s := c.streams[entry.streamID]; s != nil && s.isClosed {
 			c.Turn(c.now)
@@ -98,8 +99,8 @@
 	c.timers.Push(s.deadline+c.deadlineMargin/2, timer{kind: overdueTimer, ref: Ref{Stream: s.id}})
 }
 
-// RequestCompleted reports that the rest of a partial request has arrived. Its time, and that of its attempts, runs
-// from now.
+// RequestCompleted reports that the rest of a partial request has arrived. The stream's deadline, and the timeouts of its
+// pending attempts, are counted from now.
 func (c *Core) RequestCompleted(now time.Duration, id uint64) {
 	c.AdvanceClock(now)
 	s := c.streams[id]
@@ -115,7 +116,7 @@
 			continue
 		}
 		if s.idempotencyKey != "" {
-			c.idempotencyKeys.updateStart(s.idempotencyKey, a.Host, a.Began, c.now, s.repeatWindow)
+			c.idempotencyKeys.restartWindow(s.idempotencyKey, a.Host, a.Began, c.now, s.repeatWindow)
 		}
 		a.Began = c.now
 		if a.timeout > 0 && a.timeout < s.timeout {
@@ -125,7 +126,7 @@
 	c.events = append(c.events, admission.RequestComplete{ID: id})
 }
 
-// ClientDisconnected reports that a stream's client has left.
+// ClientDisconnected reports that a stream's client has left. The stream is then owed no answer.
 func (c *Core) ClientDisconnected(now time.Duration, id uint64) {
 	c.AdvanceClock(now)
 	if s := c.streams[id]; s != nil && !s.isClosed {
@@ -144,15 +145,16 @@
 	}
 }
 
-// abandonStream ends a stream whose answer nobody waits for any more. Upstream requests that still wait for their
-// connection are withdrawn, whatever the module does with those that are written.
+// abandonStream ends a stream without the module: its client has left or its time is up. In both cases the module gets
+// ClientLeft. Upstream requests that still wait for their connection are withdrawn, whatever the module does with those
+// that are written.
 func (c *Core) abandonStream(s *stream, kind EndKind) {
-	s.isDisconnectUnreported = true
-	c.unreportedDisconnects = append(c.unreportedDisconnects, s)
+	s.isClientLeftPending = true
+	c.abandonedStreams = append(c.abandonedStreams, s)
 	c.closeStream(s, End{Kind: kind})
 	c.events = append(c.events, admission.ClientLeft{ID: s.id})
 	for i := range s.attempts {
-		c.withdraw(Ref{s.id, i})
+		c.withdrawAttempt(Ref{s.id, i})
 	}
 }
 
@@ -187,23 +189,24 @@
 	c.removeIfFinished(s)
 }
 
-// removeIfFinished stops tracking a stream that is closed and has no pending attempts. One whose disconnect is
-// unreported stays until removeReportedDisconnects.
+// removeIfFinished stops tracking a stream that is closed and has no pending attempts. An abandoned stream of which the
+// module has not been told stays until removeAbandoned.
 func (c *Core) removeIfFinished(s *stream) {
 	if !s.isClosed || s.pendingAttempts > 0 {
 		return
 	}
 	c.releaseKeys(s)
-	if !s.isDisconnectUnreported {
+	if !s.isClientLeftPending {
 		delete(c.streams, s.id)
 	}
 }
 
-// removeReportedDisconnects removes finished streams after a turn that told the module that their clients have left. Earlier
-// in that turn the module may still send such a request because of a previous event, and each send must be answered.
-func (c *Core) removeReportedDisconnects(streams []*stream) {
+// removeAbandoned removes those of the given streams that have finished, after a turn in which the module got their
+// ClientLeft. Before that event the module may order a Send for such a stream because of another event. Each Send must be
+// answered with AttemptEnded, for which the stream must still be known.
+func (c *Core) removeAbandoned(streams []*stream) {
 	for _, s := range streams {
-		s.isDisconnectUnreported = false
+		s.isClientLeftPending = false
 		c.removeIfFinished(s)
 	}
 }
@@ -216,7 +219,7 @@
 	s.isReleased, s.payload = true, nil
 	delete(c.requestIDs, s.requestID)
 	if s.idempotencyKey != "" {
-		c.idempotencyKeys.closeStream(s.idempotencyKey, s.id)
+		c.idempotencyKeys.release(s.idempotencyKey, s.id)
 	}
 	if c.handoverObserver != nil {
 		c.handoverObserver.StreamDone(s.id, c.now)
--- a/internal/core/turn.go
+++ b/internal/core/turn.go
@@ -7,7 +7,7 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// probeTimeout bounds a probe. It may be long, as no request waits for a probe.
+// probeTimeout bounds a health probe. It may be long, as no request waits for a probe.
 const probeTimeout = time.Second
 
 type timerKind int
@@ -15,22 +15,21 @@
 const (
 	moduleTimer       timerKind = iota // set by the module
 	attemptTimer                       // an upstream request times out
-	deadlineTimer                      // a stream's upstream requests time out
+	deadlineTimer                      // all pending upstream requests of a stream time out
 	overdueTimer                       // a stream that is still open is answered without the module
-	probeTimer                         // a probe times out
+	probeTimer                         // a health probe times out
 	repeatWindowTimer                  // a repeat of an idempotency key that is not fully written is withdrawn
 )
 
 // timer says what a due time in Core.timers is for.
 type timer struct {
 	kind  timerKind
-	ref   Ref    // of all kinds but moduleTimer; without an attempt for a stream's or probe's timer
+	ref   Ref    // of all kinds but moduleTimer; Attempt is not used by timers of a stream or probe
 	token uint64 // of moduleTimer
 }
 
-// Turn fires the timers that are due, passes the pending events to the module, all before any action is carried out,
-// and carries out the actions. It returns the time at which the next turn is due, 0 for none. While events are held it
-// does nothing and returns 0.
+// Turn fires the timers that are due, passes all pending events to the module and then carries out the actions. It
+// returns the time at which the next turn is due, 0 for none. While events are held it does nothing and returns 0.
 func (c *Core) Turn(now time.Duration) time.Duration {
 	c.AdvanceClock(now)
 	if c.isHeld {
@@ -45,15 +44,15 @@
 	}
 	events := c.events
 	c.events, c.spareEvents = c.spareEvents[:0], events
-	disconnected := c.unreportedDisconnects
-	c.unreportedDisconnects = nil
+	abandoned := c.abandonedStreams
+	c.abandonedStreams = nil
 	c.actions = c.actions[:0]
 	for _, ev := range events {
 		c.handleEvent(ev)
 	}
 	clear(events)
 	c.Execute(c.actions)
-	c.removeReportedDisconnects(disconnected)
+	c.removeAbandoned(abandoned)
 	if len(c.events) > 0 { // the actions have caused new events
 		return c.now
 	}
@@ -78,8 +77,8 @@
 	return true
 }
 
-// handleEvent passes one event to the module. A panic there is logged and must not affect other streams; the stream that
-// caused it is still answered at its deadline.
+// handleEvent passes one event to the module. A panic there is logged and must not affect other streams. The event's
+// stream is still answered, by overdueTimer at the latest.
 func (c *Core) handleEvent(ev admission.Event) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -101,7 +100,7 @@
 	case attemptTimer:
 		c.cancelAttempt(t.ref, admission.TimedOut)
 	case repeatWindowTimer:
-		c.withdraw(t.ref)
+		c.withdrawAttempt(t.ref)
 	case deadlineTimer:
 		if s := c.streams[t.ref.Stream]; s != nil {
 			for i := range s.attempts {
@@ -153,8 +152,8 @@
 	case admission.CounterAdd:
 		switch {
 		case c.dropsCounterCalls:
-		case c.parksCounterCalls:
-			c.parkedCounterCalls = append(c.parkedCounterCalls, action)
+		case c.defersCounterCalls:
+			c.deferredCounterCalls = append(c.deferredCounterCalls, action)
 		default:
 			c.counter.Add(action.Name, action.Delta, action.TTL)
 		}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -19,8 +19,9 @@
 	Attempt int
 }
 
-// Payload is the request that a stream sends to its upstream host. The core does not read it. A payload of which a part
-// may be consumed by sending it has a method Gone() bool, which reports whether that has happened.
+// Payload is the request that a stream sends to its upstream host. The core does not read it. If sending it may consume a
+// part of it, as with a body that is relayed and not kept, it has a method Gone() bool that reports whether that has
+// happened. Such a payload can't be sent again.
 type Payload any
 
 // isPayloadConsumed reports whether a part of p has been consumed, so that p can't be sent again.
@@ -45,11 +46,12 @@
 
 // Counter makes calls to the shared quota counter. Each call of Add ends with one call of [Core.CounterCallEnded].
 type Counter interface {
-	// Add adds an amount to the number called name, which the counter deletes after the time keep.
-	Add(name string, amount float64, keep time.Duration)
+	// Add adds delta to the number with the given name and requests its total. The counter deletes the number when the
+	// time ttl has passed since its creation.
+	Add(name string, delta float64, ttl time.Duration)
 }
 
-// Cluster requests the complete host list from discovery.
+// Cluster is the source of the host list. Refetch requests the complete list from discovery.
 type Cluster interface{ Refetch() }
 
 // Answer is the answer of an upstream host.
@@ -59,7 +61,8 @@
 	// Rest is the part of the body that is still arriving after Body, or nil. The core does not read it. If it has a
 	// method CloseRead, that is called when nobody takes the answer.
 	Rest any
-	// Billed is the number of units that the host charged, where units are settled after the request. 0: not reported.
+	// Billed is the number of quota units that the host charged for the request, where quotas are settled by it after the
+	// request. 0: not reported.
 	Billed int
 }
 
@@ -70,7 +73,7 @@
 	Served     EndKind = iota // with an upstream host's answer
 	Refused                   // by the module; the client may safely retry
 	Failed                    // by the module; the request may or may not have taken effect
-	Expired                   // by the module after an upstream request timed out, or because nobody answered in time
+	Expired                   // by the module after an upstream request timed out, or without the module at the deadline
 	ClientLeft                // the client went away
 )
 
@@ -102,7 +105,7 @@
 	OnRelayed func(isComplete bool)
 }
 
-// Owner is the front's side of a stream. End is called once, unless the client has left.
+// Owner is the front's side of a stream. End is called once, and not at all if the client leaves first.
 type Owner interface{ End(e End) }
 
 // Trace is a stream's position in a distributed trace. It is zero if there is no observer.
@@ -113,13 +116,13 @@
 
 // Request is a client's request as a front passes it to [Core.StartStream].
 type Request struct {
-	admission.RequestArrived        // without the ID, which the core assigns
+	admission.RequestArrived        // the ID is ignored: the core assigns one
 	RequestID                string // identifies the request to upstream hosts; unique among tracked streams; may be empty
 	IdempotencyKey           string // where the request's class uses idempotency keys
 	Trace                    Trace
 	Payload                  Payload
 	Owner                    Owner
-	IsPartial                bool // a part is still to arrive; its time starts with [Core.RequestCompleted]
+	IsPartial                bool // a part is still to arrive; ExpiresIn is counted from [Core.RequestCompleted]
 }
 
 // StreamRecord describes an ended stream to the observer.
@@ -129,7 +132,7 @@
 	IsRetry     bool // the client marked the request as a retry
 	Trace       Trace
 	Kind        EndKind
-	Began       time.Duration
+	Began       time.Duration // by the loop's clock, as in AttemptRecord
 	Took        time.Duration
 	Attempts    []AttemptRecord
 }
@@ -138,7 +141,7 @@
 type AttemptRecord struct {
 	Host    string
 	Began   time.Duration
-	Took    time.Duration // 0 while the request is pending
+	Took    time.Duration // 0 while the request is pending, or if it ended at once
 	Outcome admission.Outcome
 }
 
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -1,4 +1,4 @@
-// Package figures counts what an ingress reports of itself to operators and writes it in the Prometheus text format.
+// Package figures holds the metrics that an ingress reports to operators and writes them in the Prometheus text format.
 // The values are plain integers without locks: they are owned by the goroutine of the event loop, and each is counted
 // once, where the event happens. The package does no input or output.
 package figures
@@ -59,7 +59,7 @@
 
 // SettingsVersions describes which versions of the settings the fleet's members act on.
 type SettingsVersions struct {
-	NewestVersion, OldestVersion uint64 // of the versions in use; 0: the settings have no version
+	NewestVersion, OldestVersion uint64 // among the versions in use; 0: the settings have no version
 	ActiveVersions               int    // number of versions in use; 1 when all members agree
 	StaleMembers                 int    // other members not known to act on the newest version
 	RejectedVersions             int    // versions that were rejected
@@ -89,8 +89,8 @@
 type Membership struct {
 	ViewVersion                                     uint64
 	States                                          []StateCount
-	AbsentMembers                                   int  // members that have no share of joint budgets
-	IsSettled                                       bool // the ingress takes its share of ceilings
+	AbsentMembers                                   int  // members that are given no share of joint budgets
+	IsSettled                                       bool // the ingress takes its share of joint budgets and ceilings
 	MessagesSent, MessagesReceived, MessagesDropped uint64
 }
 
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -28,7 +28,7 @@
 `, string(m.AppendText(nil, Gauges{InFlight: 14, ListedHosts: 12, AvoidedHosts: 2})))
 }
 
-func TestAppendFleet(t *testing.T) {
+func TestAppendMembership(t *testing.T) {
 	require.Equal(t, `app_view_version 7
 app_members{state="alive"} 4
 app_members{state="dead"} 1
@@ -41,7 +41,7 @@
 		IsSettled: true, MessagesSent: 30, MessagesReceived: 20, MessagesDropped: 10})))
 }
 
-func TestAppendRules(t *testing.T) {
+func TestAppendSettingsVersions(t *testing.T) {
 	require.Empty(t, AppendSettingsVersions(nil, SettingsVersions{}))
 	require.Equal(t, `app_drained_version 5
 app_drained_stale_members 2
@@ -55,7 +55,7 @@
 		RejectedVersions: 4, IsCutOff: true, DrainedVersion: 5, DrainedStaleMembers: 2})))
 }
 
-func TestAppendControl(t *testing.T) {
+func TestAppendControlGroup(t *testing.T) {
 	require.Equal(t, `app_control_connected 1
 app_control_lease 1
 app_control_share 0
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -44,7 +44,7 @@
 	// RelayStartDelay is how long a response of unknown length is buffered, as it may be short, before it is relayed.
 	RelayStartDelay time.Duration
 	// EvictionGrace is how long a client connection must be silent before it may be closed to make room for another.
-	// Accepting pauses for as long if none may be closed.
+	// If none may be closed, accepting pauses for the same time.
 	EvictionGrace time.Duration
 	// LingerTimeout is how long bytes of a closed connection are still read and discarded.
 	LingerTimeout time.Duration
@@ -93,21 +93,21 @@
 	// ClusterDialTimeout bounds the time to establish a watch's connection.
 	ClusterDialTimeout time.Duration
 	// ClusterResponseTimeout bounds the time until a watch's response begins. It doubles with each watch in a row that
-	// exceeds it.
+	// exceeds it, up to ClusterSilenceTimeout.
 	ClusterResponseTimeout time.Duration
 	// ClusterSilenceTimeout reopens a watch that receives nothing for this long. Discovery sends a heartbeat every 2 s.
 	ClusterSilenceTimeout time.Duration
-	// ClusterJitter is the period over which a fleet's first watches are spread, each at a random instant.
+	// ClusterJitter is the period over which a fleet's first watches are spread, each opened at a random time in it.
 	ClusterJitter time.Duration
-	// ClusterInitialBackoff is the delay before a new watch after one failure. It doubles with each further failure and
-	// is jittered.
+	// ClusterInitialBackoff is the longest delay before a new watch after one failure. It doubles with each further
+	// failure. The delay used is a random part of it.
 	ClusterInitialBackoff time.Duration
 	// ClusterMaxBackoff bounds the delay before a new watch after failures.
 	ClusterMaxBackoff time.Duration
-	// ClusterMaxWatchGap bounds the time from a watch's last sign of life, or its opening, to the next watch, whatever
-	// the backoff.
+	// ClusterMaxWatchGap bounds the time from the last data of a watch, or from its opening, to the next watch, whatever
+	// the backoff. The delay of the next watch is not cut below InitialBackoff for it.
 	ClusterMaxWatchGap time.Duration
-	// DiscoveryReadyTimeout is how long after its start the daemon becomes ready although discovery is silent.
+	// DiscoveryReadyTimeout is how long after its start the daemon becomes ready even if discovery is silent.
 	DiscoveryReadyTimeout time.Duration
 
 	// DeadlineMargin is how long before the client's deadline an answer is sent, to arrive in time.
@@ -121,7 +121,7 @@
 
 	// Limits of an upgrade, by phase; see package phase.
 
-	// HelloTimeout bounds the start of the new process.
+	// HelloTimeout bounds the time until the new process has started and sends its first message.
 	HelloTimeout time.Duration
 	// PrepareTimeout bounds the time in which the new process reads its configuration and reaches discovery.
 	PrepareTimeout time.Duration
@@ -129,7 +129,7 @@
 	CopyTimeout time.Duration
 	// FreezeTimeout bounds the time from the old process's last read to the commit. An upgrade that exceeds it fails.
 	FreezeTimeout time.Duration
-	// ProbationPeriod is how long the old process takes back what its successor drops.
+	// ProbationPeriod is how long after the commit the old process takes over again if its successor fails.
 	ProbationPeriod time.Duration
 	// MaxHandoverMessageBytes bounds one handover message.
 	MaxHandoverMessageBytes int
@@ -157,7 +157,7 @@
 
 	// Limits of the client of the control group, where there is one.
 
-	// ControlReadyTimeout is how long after its start a process becomes ready although it holds no lease.
+	// ControlReadyTimeout is how long after its start a process becomes ready even if it holds no lease.
 	ControlReadyTimeout time.Duration
 	// ControlDialTimeout bounds the time to connect to a replica.
 	ControlDialTimeout time.Duration
@@ -169,7 +169,7 @@
 	ControlProposalTimeout time.Duration
 	// ControlReleaseTimeout bounds the time, at exit, in which a replica learns that the process has released its leases.
 	ControlReleaseTimeout time.Duration
-	// MaxControlQueueBytes bounds the bytes of requests that a replica leaves unread.
+	// MaxControlQueueBytes bounds the bytes of requests that wait because a replica does not read them.
 	MaxControlQueueBytes int
 
 	// TelemetryQueueLength bounds the records, and also the spans, that wait for export.
@@ -182,7 +182,8 @@
 // operators, the telemetry exporters and the Go runtime.
 const reservedDescriptors = 56
 
-// downstreamPercent is the share of all descriptors that clients may use; see For.
+// downstreamPercent is the share of all descriptors that clients may use. It is below the third that the platform allows;
+// see For.
 const downstreamPercent = 29
 
 // The relayed bodies of each direction share a fixed part of the memory; see RelayWindow.
@@ -222,31 +223,32 @@
 }
 
 // The spacing per ingress of watch requests to discovery, so that the whole fleet stays within what discovery can serve.
-// Discovery is one service of fixed capacity: requests queue, fail when they have waited too long, and a failed one has
-// cost discovery as much as a successful one.
+// For multiplies it by the number of ingresses; an ingress alone uses no more than one of each. Discovery is one service
+// of fixed capacity: requests queue and fail when they have waited too long, and a failed one costs discovery as much as
+// a successful one.
 const (
 	jitterPerIngress         = 3 * time.Millisecond   // between first watches
 	initialBackoffPerIngress = 60 * time.Millisecond  // between watches after one failure each
-	maxBackoffPerIngress     = 100 * time.Millisecond // between watches after repeated failures of all
+	maxBackoffPerIngress     = 100 * time.Millisecond // between watches when all have failed repeatedly
 )
 
-// maxWatchGap leaves half a second of the 6 s after which an ingress that can reach discovery counts as informed of all
-// that discovery has.
+// maxWatchGap is half a second less than 6 s. An ingress that can reach discovery is held to know, within 6 s, all that
+// discovery has published.
 const maxWatchGap = 5500 * time.Millisecond
 
 // agentMaxBackoff bounds the delay between watches of a local agent that refuses them.
 const agentMaxBackoff = 250 * time.Millisecond
 
 // Counter connections of one ingress. In a small fleet each ingress makes a large part of the counter's calls, and has
-// many connections so that a slow part of the counter delays few calls to the others. In a large fleet it makes a few
-// calls per second: spread over many connections, nearly every call would wait for its connection to be established.
+// many connections so that a slow part of the counter delays few calls to the other parts. In a large fleet it makes a
+// few calls per second: spread over many connections, nearly every call would wait for its connection to be established.
 const (
 	fleetCounterConns = 96 // of all ingresses together
 	maxCounterConns   = 24
 	minCounterConns   = 2
 )
 
-// For returns the limits of a process at the given site. It fails when site.Sockets leaves too few descriptors for
+// For returns the limits of a process at the given site. It fails when site.Sockets leaves fewer than 32 descriptors for
 // client and upstream connections.
 func For(site Site) (Limits, error) {
 	l := Limits{
@@ -316,8 +318,8 @@
 		ControlReadyTimeout:        5 * time.Second,
 		ControlDialTimeout:         300 * time.Millisecond,
 		ControlFirstMessageTimeout: 500 * time.Millisecond,
-		// Leaves half a second of a settings lease of 1.5 s to reach the next replica, and is longer
-		// than an election, during which no replica has anything to send.
+		// A settings lease lasts 1.5 s: half a second is left to reach the next replica. It is longer than an election,
+		// during which no replica has anything to send.
 		ControlSilenceTimeout:  time.Second,
 		ControlProposalTimeout: 5 * time.Second,
 		ControlReleaseTimeout:  100 * time.Millisecond,
@@ -328,17 +330,17 @@
 		MaxDatagramsPerTurn:     64,
 		MaxDatagramsPerSecond:   400,
 	}
-	// Clients may connect before a process that replaces a dead one is up, and the process counts as informed of what
-	// discovery would have told it at once. Were its first watch later than the drain grace, it would send requests to
-	// hosts that finished draining long ago.
+	// A process that replaces a dead one may have clients waiting as soon as it is up. It is held to know what discovery
+	// would have reported to a watch opened at once. If its first watch came later than the drain grace, it would send
+	// requests to hosts that finished draining long ago.
 	if site.DrainGrace > 0 {
 		l.ClusterJitter = min(l.ClusterJitter, site.DrainGrace/2)
 	}
 	l.ClusterInitialBackoff = max(l.InitialBackoff, initialBackoffPerIngress*time.Duration(site.Ingresses))
 	l.ClusterMaxBackoff = max(l.MaxBackoff, maxBackoffPerIngress*time.Duration(site.Ingresses))
-	// An ingress counts as informed of what its local agent has, whether a watch is open or not, and the agent answers at
-	// once and at no cost. So a watch that is lost, refused or silent is replaced within the drain grace, or as soon as
-	// its silence is detected.
+	// An ingress is held to know what its local agent has, whether a watch is open or not, and the agent answers at once
+	// and at no cost. So a watch that is lost, refused or silent is replaced within the drain grace, or as soon as its
+	// silence is detected.
 	if site.HasLocalAgent {
 		l.ClusterJitter, l.ClusterInitialBackoff, l.ClusterMaxBackoff = 0, l.InitialBackoff, agentMaxBackoff
 		if site.DrainGrace > 0 {
@@ -360,8 +362,8 @@
 		return Limits{}, fmt.Errorf("limits.sockets is %d, need at least %d", l.Sockets, reservedDescriptors+l.CounterConns+32)
 	}
 	// The platform lets all clients together hold at most a third of the descriptors, permanently idle connections
-	// included. If they reached that third before the bound set here, nobody could connect and the ingress would close
-	// nothing.
+	// included. If that third were below MaxDownstreamConns, it would be reached first: nobody could connect, and the
+	// ingress would close no idle connection to make room.
 	l.MaxDownstreamConns = min(free/2, l.Sockets*downstreamPercent/100)
 	l.MaxUpstreamConns = free - l.MaxDownstreamConns
 	l.MaxRelayBufferBytes = l.MemoryMB << 20 / relayMemoryDivisor
--- a/internal/timerq/timerq.go
+++ b/internal/timerq/timerq.go
@@ -1,5 +1,5 @@
-// Package timerq provides a priority queue of values ordered by due time. A queue is not safe for concurrent use;
-// it has no clock and starts no timers.
+// Package timerq provides a priority queue of values ordered by due time. A queue is not safe for concurrent use. It has
+// no clock and starts no timers.
 package timerq
 
 import "time"
@@ -11,8 +11,8 @@
 }
 
 // Queue is a binary heap of values by due time. Values with equal due times leave it in the order in which they were
-// pushed. Values can't be removed early: the caller checks when a value is due, or in DiscardInactive, whether it is
-// still needed. The zero Queue is empty and ready to use.
+// pushed. A value can't be removed from the middle of the queue: the caller ignores a value that is no longer needed when
+// Pop returns it, or discards it by DiscardInactive when it is at the front. The zero Queue is empty and ready to use.
 type Queue[T any] struct {
 	heap         []item[T]
 	lastSequence uint64
