--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -24,7 +24,7 @@
 		return
 	}
 	ref := Ref{s.id, len(s.attempts)}
-	s.attempts = append(s.attempts, attempt{AttemptRecord: AttemptRecord{Host: action.Server, Began: c.now}, isPending: true})
+	s.attempts = append(s.attempts, attempt{AttemptRecord: AttemptRecord{Host: action.Server, StartedAt: c.now}, isPending: true})
 	s.pendingAttempts++
 	if c.handoverObserver != nil {
 		c.handoverObserver.AttemptStarted(s.id, action.Server, c.now)
@@ -59,7 +59,7 @@
 		return
 	}
 	a := &s.attempts[ref.Attempt]
-	a.isPending, a.Outcome, a.Took = false, outcome, c.now-a.Began
+	a.isPending, a.Outcome, a.Took = false, outcome, c.now-a.StartedAt
 	c.logAttemptEnded(s, ref, a.Host, outcome, a.Took)
 	s.pendingAttempts--
 	s.hasTimedOut = outcome == admission.TimedOut
@@ -69,7 +69,7 @@
 		discardAnswer(answer)
 	}
 	if s.idempotencyKey != "" && neverRan(outcome) {
-		c.idempotencyKeys.clearAttempt(s.idempotencyKey, a.Host, a.Began)
+		c.idempotencyKeys.clearAttempt(s.idempotencyKey, a.Host, a.StartedAt)
 	}
 	ev := admission.AttemptEnded{ID: s.id, Attempt: ref.Attempt, Server: a.Host, Outcome: outcome, Took: a.Took,
 		Done: s.isClosed, Billed: answer.Billed, NotReplayable: isPayloadConsumed(s.payload)}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -107,8 +107,8 @@
 // PredecessorStreams returns the number of the predecessor's streams that have not finished.
 func (c *Core) PredecessorStreams() int { return len(c.predecessorStreams) }
 
-// PredecessorSent reports that the predecessor has started an attempt of one of its streams.
-func (c *Core) PredecessorSent(id uint64, host string, at time.Duration) {
+// PredecessorAttemptStarted reports that the predecessor has started an attempt of one of its streams.
+func (c *Core) PredecessorAttemptStarted(id uint64, host string, at time.Duration) {
 	if s, ok := c.predecessorStreams[id]; ok && s.IdempotencyKey != "" {
 		c.idempotencyKeys.recordAttempt(s.IdempotencyKey, host, at, c.idempotencyKeys.longestRepeatWindow())
 	}
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -116,9 +116,9 @@
 			continue
 		}
 		if s.idempotencyKey != "" {
-			c.idempotencyKeys.restartWindow(s.idempotencyKey, a.Host, a.Began, c.now, s.repeatWindow)
+			c.idempotencyKeys.restartWindow(s.idempotencyKey, a.Host, a.StartedAt, c.now, s.repeatWindow)
 		}
-		a.Began = c.now
+		a.StartedAt = c.now
 		if a.timeout > 0 && a.timeout < s.timeout {
 			c.timers.Push(c.now+a.timeout, timer{kind: attemptTimer, ref: Ref{s.id, i}})
 		}
@@ -180,7 +180,7 @@
 	}
 	if c.observer != nil {
 		record := StreamRecord{Class: s.class, Plan: s.plan, Customer: s.customer, IsRetry: s.isRetry,
-			Trace: s.trace, Kind: e.Kind, Began: s.startedAt, Took: c.now - s.startedAt}
+			Trace: s.trace, Kind: e.Kind, StartedAt: s.startedAt, Took: c.now - s.startedAt}
 		for _, a := range s.attempts {
 			record.Attempts = append(record.Attempts, a.AttemptRecord)
 		}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -132,17 +132,17 @@
 	IsRetry     bool // the client marked the request as a retry
 	Trace       Trace
 	Kind        EndKind
-	Began       time.Duration // by the loop's clock, as in AttemptRecord
+	StartedAt   time.Duration // by the loop's clock, as in AttemptRecord
 	Took        time.Duration
 	Attempts    []AttemptRecord
 }
 
 // AttemptRecord describes an upstream request of a stream.
 type AttemptRecord struct {
-	Host    string
-	Began   time.Duration
-	Took    time.Duration // 0 while the request is pending, or if it ended at once
-	Outcome admission.Outcome
+	Host      string
+	StartedAt time.Duration // if its client's request was partial then, the time when that was complete
+	Took      time.Duration // 0 while the request is pending, or if it ended at once
+	Outcome   admission.Outcome
 }
 
 // Observer receives ended streams and counter calls, for telemetry. Its methods must not block.
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -178,7 +178,7 @@
 		if restored {
 			at := time.Duration(m.Sent.GetAt())
 			d.module.PredecessorSent(now, m.Sent.GetStream(), m.Sent.GetHost())
-			d.core.PredecessorSent(m.Sent.GetStream(), m.Sent.GetHost(), at)
+			d.core.PredecessorAttemptStarted(m.Sent.GetStream(), m.Sent.GetHost(), at)
 		}
 	case *pb.Envelope_Attempt:
 		if restored {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -104,8 +104,8 @@
 	ClusterInitialBackoff time.Duration
 	// ClusterMaxBackoff bounds the delay before a new watch after failures.
 	ClusterMaxBackoff time.Duration
-	// ClusterMaxWatchGap bounds the time from the last data of a watch, or from its opening, to the next watch, whatever
-	// the backoff. The delay of the next watch is not cut below InitialBackoff for it.
+	// ClusterMaxWatchGap bounds the time from the last bytes received on a watch, or from its opening, to the next watch,
+	// whatever the backoff. The delay of the next watch is not cut below InitialBackoff for it.
 	ClusterMaxWatchGap time.Duration
 	// DiscoveryReadyTimeout is how long after its start the daemon becomes ready even if discovery is silent.
 	DiscoveryReadyTimeout time.Duration
@@ -318,8 +318,8 @@
 		ControlReadyTimeout:        5 * time.Second,
 		ControlDialTimeout:         300 * time.Millisecond,
 		ControlFirstMessageTimeout: 500 * time.Millisecond,
-		// A settings lease lasts 1.5 s: half a second is left to reach the next replica. It is longer than an election,
-		// during which no replica has anything to send.
+		// A settings lease lasts 1.5 s: half a second is left to reach the next replica. The timeout is longer than an
+		// election, during which no replica has anything to send.
 		ControlSilenceTimeout:  time.Second,
 		ControlProposalTimeout: 5 * time.Second,
 		ControlReleaseTimeout:  100 * time.Millisecond,
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -205,7 +205,7 @@
 		}
 		ctx = context.WithValue(ctx, idsKey{}, ids)
 	}
-	ctx, span := e.tracer.Start(ctx, "stream", trace.WithTimestamp(wall(r.Began)),
+	ctx, span := e.tracer.Start(ctx, "stream", trace.WithTimestamp(wall(r.StartedAt)),
 		trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(class, plan, end,
 			attribute.String("dealer", fmt.Sprintf("%016x", r.Customer)), attribute.Bool("retry", r.IsRetry),
 			attribute.Bool("in_time", e.inTime(r))))
@@ -217,11 +217,11 @@
 			ctx = context.WithValue(ctx, idsKey{}, spanIDs{ids.trace, trace.SpanID(r.Trace.Span.Try(i))})
 		}
 		outcome := "abandoned"
-		ended := r.Began + r.Took
+		ended := r.StartedAt + r.Took
 		if t.Took > 0 {
-			outcome, ended = t.Outcome.String(), t.Began+t.Took
+			outcome, ended = t.Outcome.String(), t.StartedAt+t.Took
 		}
-		_, child := e.tracer.Start(ctx, "upstream request", trace.WithTimestamp(wall(t.Began)),
+		_, child := e.tracer.Start(ctx, "upstream request", trace.WithTimestamp(wall(t.StartedAt)),
 			trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(
 				attribute.String("upstream_host", t.Host), attribute.String("outcome", outcome)))
 		if outcome != admission.OK.String() {
@@ -229,7 +229,7 @@
 		}
 		child.End(trace.WithTimestamp(wall(ended)))
 	}
-	span.End(trace.WithTimestamp(wall(r.Began + r.Took)))
+	span.End(trace.WithTimestamp(wall(r.StartedAt + r.Took)))
 }
 
 // inTime tells whether a stream was served while its answer was of use.
