--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -121,7 +121,7 @@
 // that withdraw something, such as a share of a budget, which the module must not use any more for the pending events.
 func (c *Core) EnqueueFirst(ev admission.Event) { c.events = slices.Insert(c.events, 0, ev) }
 
-// ProbeEnded reports the outcome of a probe. It ignores probes that have ended before.
+// ProbeEnded reports the outcome of a health probe. It ignores a probe that has already ended.
 func (c *Core) ProbeEnded(now time.Duration, ref Ref, outcome admission.Outcome) {
 	c.AdvanceClock(now)
 	if p, ok := c.probes[ref.Stream]; ok {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -12,8 +12,8 @@
 	Handle(now time.Duration, ev admission.Event) []admission.Action
 }
 
-// Ref identifies an upstream request by its stream and its index among the stream's attempts, from 0.
-// A probe has a stream id of its own.
+// Ref identifies an upstream request by its stream and its index among the stream's attempts, from 0. A health probe has
+// an id of its own in Stream, which no stream has, and the Attempt 0.
 type Ref struct {
 	Stream  uint64
 	Attempt int
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -11,7 +11,7 @@
 	Success, Busy, Failure uint64 // requests that were served, refused and failed
 }
 
-// Metrics holds the counters of the process, which start at 0.
+// Metrics holds the counts of the process since its start.
 type Metrics struct {
 	Classes          []ClassCounts // by the class's index in the settings
 	UpstreamRequests uint64        // upstream requests that were fully written
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -135,7 +135,8 @@
 	MaxHandoverMessageBytes int
 	// MaxHandoverQueueBytes is the size of the queue of unsent messages above which no more customers are copied.
 	MaxHandoverQueueBytes int
-	// UpgradeCounterConns is the number of counter connections of the new process while the old one may have its own.
+	// UpgradeCounterConns is the number of counter connections of the new process while the old one may still have its
+	// own.
 	UpgradeCounterConns int
 
 	// Limits of the membership, where it is enabled.
@@ -172,7 +173,7 @@
 	// MaxControlQueueBytes bounds the bytes of requests that wait because a replica does not read them.
 	MaxControlQueueBytes int
 
-	// TelemetryQueueLength bounds the records, and also the spans, that wait for export.
+	// TelemetryQueueLength bounds the records that wait for export, and separately the spans that do.
 	TelemetryQueueLength int
 	// TelemetryInterval is the time between exports.
 	TelemetryInterval time.Duration
