--- a/admission/gateway.go
+++ b/admission/gateway.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// New returns a gateway with these settings, or an error that names the setting that it can't work with. The
-// seed determines all its random draws.
+// New returns a gateway with these settings, or an error if it can't work with them. The seed determines all
+// its random draws.
 func New(s Settings, seed uint64) (*Gateway, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
