--- a/admission/answers.go
+++ b/admission/answers.go
@@ -5,8 +5,8 @@
 import "time"
 
 const (
-	// Log lines that a gateway writes in its life: a part that fails and recovers over and over must not
-	// flood the log.
+	// Most log lines that a gateway writes in its life: a server or counter that fails and recovers over and
+	// over must not flood the log.
 	maxLogLines = 300
 	// Retry-after of requests that are refused for overload, not for their quota.
 	overloadRetryAfter = 100 * time.Millisecond
@@ -23,8 +23,8 @@
 	}
 }
 
-// giveUp ends a request that will not be served: it refuses it, or fails it where a refusal would promise
-// that trying again does no harm.
+// giveUp ends a request that will not be served: it refuses it, or fails it if a retry of the client could do
+// harm, as a refusal promises that it does none.
 func (g *Gateway) giveUp(r *request, reason Reason) {
 	if g.canRefuse(r) {
 		after := overloadRetryAfter
--- a/admission/api.go
+++ b/admission/api.go
@@ -2,31 +2,34 @@
 // server gets them, how long to wait for the answer and whether to try again. A [Gateway] does no input or
 // output and reads no clock.
 //
-// The host owns the Gateway, the sockets and the clock. It builds one Gateway with [New], passes every [Event]
-// to [Gateway.Handle] and carries out the returned actions.
+// The host is the program that embeds a Gateway; upstream hosts are called servers here. The host owns the
+// Gateway, the sockets and the clock. It builds one Gateway with [New], passes every [Event] to
+// [Gateway.Handle] and carries out the returned actions.
 //
 // Host contract:
 //
 //   - One caller at a time. A Gateway has no locks and starts no goroutines.
-//   - now is a monotonic reading common to all gateways (windows of the shared counter are cut from it) and
-//     never decreases from call to call.
-//   - Events are passed in the order in which they happened; actions are carried out in the order returned, at
-//     the time of the call.
-//   - The returned slice is reused by the next call to Handle: finish with it, or copy it, before then. Events
-//     are not retained, nor are their slices.
+//   - now is the time on a monotonic clock that is common to all gateways, as it determines the windows of
+//     the shared counter. It never decreases from call to call.
+//   - Events are passed in the order in which they happened; actions are carried out in the order returned,
+//     at the time of the call.
+//   - The returned slice is reused by the next call to Handle: finish with it, or copy it, before then.
+//     Events are not retained, nor are their slices.
 //   - Every [Send] is answered by one [AttemptEnded], every [CounterAdd] by one [CounterAnswered], every
 //     [Probe] by one [ProbeEnded], every [SetTimer] by one [TimerFired] at or after its time. Answers of one
 //     counter name keep the order of the calls.
 //   - An attempt that is still open at the request's deadline is ended by the host then.
 //   - Equal settings, seed and events give equal actions.
 //
-// Times are durations on the host's monotonic clock. Quotas and ceilings are in units; the units of a request
-// are set by the host. Worth is in an arbitrary unit that is common to all classes.
+// Times are durations on the host's monotonic clock. Quotas and ceilings are in units; the host sets the
+// units of each request. Worth is in an arbitrary unit that is common to all classes.
+//
+// Fields marked "not used here" are part of the interface, but no decision of this package depends on them.
 package admission
 
 import "time"
 
-// Effect is how often a request may run, which limits its repeats once an attempt may have run.
+// Effect is how often a request may run. It limits repeats once an attempt may have run.
 type Effect int
 
 // The effects.
@@ -64,18 +67,19 @@
 type Plan struct {
 	Name           string
 	Rate           float64 // quota, units a second
-	Burst          float64 // units that the quota's store holds
+	Burst          float64 // size of the quota's token bucket, units
 	MaxInFlight    int     // requests in flight at one time
 	WorthFactor    float64 // factor on the worth of this plan's requests
-	OverQuotaWorth float64 // share of the worth that a request beyond the quota still earns
+	OverQuotaWorth float64 // share of the worth that an answer beyond the quota still earns
 	OverQuotaCost  float64 // share of the worth that is lost by sending a request beyond the quota
 	CeilingRate    float64 // hard ceiling, units a second
-	CeilingBurst   float64 // units that the ceiling's store holds
-	CeilingSlack   float64 // units by which the ceiling's store may be overdrawn
+	CeilingBurst   float64 // size of the ceiling's token bucket, units
+	CeilingSlack   float64 // units by which the ceiling's bucket may be overdrawn
 	IsRemoved      bool    // dropped from the settings
 }
 
-// Settings are what a gateway knows at its start. [New] refuses negative numbers and others out of range.
+// Settings are what a gateway knows at its start. [New] returns an error for counts, times, rates and worths
+// that are out of range, but does not check every field.
 type Settings struct {
 	Gateways int // gateways in the fleet, at least 1
 	Index    int // index of this gateway, from 0
@@ -86,30 +90,30 @@
 
 	MustSubscribe  bool          // server lists come only after Subscribe or FetchList
 	HasCounter     bool          // there is a shared counter
-	HasBilledUnits bool          // the true units of a request come with its answer
+	HasBilledUnits bool          // the true units of a request come with its answer; not used here
 	CounterTimeout time.Duration // time limit of a counter call
 	MaxUnits       int           // units of the largest request
 
 	MaxAttempts       int           // attempts of a request; 0: no limit
-	MaxRetryAfter     time.Duration // longest retry-after advice
+	MaxRetryAfter     time.Duration // longest retry-after advice for overload; that for a quota may be longer
 	CanSendRetryAfter bool          // refusals may carry retry-after advice
 	CanCancel         bool          // the host carries out Cancel
-	CanProbe          bool          // the host carries out Probe
-	CanMessagePeers   bool          // the host carries out SendPeerMessage
-	CanHedge          bool          // a request may have several open attempts
-	DialTimeout       time.Duration // time limit of a connection to a server
+	CanProbe          bool          // the host carries out Probe; not used here
+	CanMessagePeers   bool          // the host carries out SendPeerMessage; not used here
+	CanHedge          bool          // a request may have several open attempts; not used here
+	DialTimeout       time.Duration // time limit of connecting to a server; not used here
 
 	// ReportNames are the fields of a load report, in order: inflight, queued, utilization,
-	// latency_ms (of service, without waiting), rate, errors, or any other.
+	// latency_ms (of service, without waiting), rate, errors, or any other. Not used here.
 	ReportNames        []string
-	HasAnswerReports   bool          // answers carry load reports
-	AnswerSlack        time.Duration // how late after the deadline a final answer is still allowed
-	AskWithin          time.Duration // the rule askWithin; not used here
-	DrainGrace         time.Duration // how long a draining server may still get requests
+	HasAnswerReports   bool          // answers carry load reports; not used here
+	AnswerSlack        time.Duration // how long after the deadline a final answer is allowed; not used here
+	AskWithin          time.Duration // the value askWithin of the settings' rules; not used here
+	DrainGrace         time.Duration // how long a draining server may still get requests; not used here
 	WarmUpTime         time.Duration // a started server has its full capacity after this time
 	InitialCapacity    float64       // least share of its capacity that a server has at its start, 0 to 1
-	ColdOverloadFactor float64       // multiple of its present capacity that a cold server survives for long
-	ColdOverloadTime   time.Duration // time after which a cold server fails under more than that multiple
+	ColdOverloadFactor float64       // load over present capacity at which a cold server fails; not used here
+	ColdOverloadTime   time.Duration // time until it fails under such a load; not used here
 	CrossZoneCost      float64       // cost of crossing zones, relative to worth
 }
 
@@ -126,8 +130,8 @@
 	Units        int           // less than 1 counts as 1
 	Gateways     int           // gateways through which the customer's requests come
 	FirstGateway int           // index of the first of them; the others follow, around the end
-	IsRetry      bool          // the client has sent it before
-	IsWrite      bool
+	IsRetry      bool          // the client has sent it before; not used here
+	IsWrite      bool          // not used here
 	PriorAttempt *PriorAttempt // for a keyed request: where its key may have run before; nil if unknown
 	IsPartial    bool          // its body has not wholly arrived: its times start with RequestComplete
 }
@@ -149,12 +153,12 @@
 const (
 	OK           Outcome = iota
 	Errored              // the server answered with an error; it may have run
-	Full                 // rejected unseen; it did not run
+	Full                 // rejected by a server without running it
 	TimedOut             // no answer in time; it may have run
 	Unreachable          // no connection; it did not run
 	Broken               // the connection was lost; it may have run
 	Cancelled            // cancelled by the gateway; it may have run
-	NotSent              // it never left the host
+	NotSent              // the host did not send it
 	OutcomeCount         // number of outcomes
 )
 
@@ -178,11 +182,11 @@
 	Done          bool      // the request has its final answer
 	Billed        int       // true units; 0: unknown
 	Used          int       // not used here
-	Report        []float64 // load report, in the order of Settings.ReportNames
+	Report        []float64 // load report, in the order of Settings.ReportNames; not used here
 	NotReplayable bool      // a part of the request is no longer held: it can't be sent again
 }
 
-// StreamOpened reports that the answer of a streamed request has begun.
+// StreamOpened reports that the answer of a streamed request has begun. No decision depends on it.
 type StreamOpened struct {
 	ID      uint64
 	Attempt int
@@ -200,7 +204,7 @@
 const (
 	ListChanges ListKind = iota // only the servers that changed
 	ListFull                    // all servers
-	ListCached                  // all servers, but possibly old: what was known before a restart
+	ListCached                  // all servers as known before a restart, possibly outdated
 	ListFailed                  // a request for the list failed; the old list stays
 )
 
@@ -228,7 +232,7 @@
 // ServerList reports a list, or changes of it, from discovery.
 type ServerList struct {
 	Kind    ListKind
-	Version uint64
+	Version uint64 // not used here
 	Servers []ServerEntry
 }
 
@@ -243,15 +247,15 @@
 	Outcome Outcome
 }
 
-// ProbeEnded reports the answer to one Probe.
+// ProbeEnded reports the answer to one Probe. No decision depends on it.
 type ProbeEnded struct {
 	Server  string
 	Took    time.Duration
 	Outcome Outcome
-	Report  []float64 // load report, in the order of Settings.ReportNames
+	Report  []float64 // load report, in the order of Settings.ReportNames; not used here
 }
 
-// PeerMessage reports a message of another gateway.
+// PeerMessage reports a message of another gateway. No decision depends on it.
 type PeerMessage struct {
 	From    int // index of the gateway
 	Payload []byte
@@ -291,7 +295,7 @@
 	Reason     Reason
 }
 
-// Fail is the final answer "failed": the request may or may not have run.
+// Fail is the final answer "failed": the request may have run, so a retry may be unsafe.
 type Fail struct {
 	ID     uint64
 	Reason Reason
@@ -319,21 +323,21 @@
 	At    time.Duration
 }
 
-// CounterAdd adds Delta to a number on the shared counter, and asks for its total. The counter drops the number
-// when the time TTL has passed since its creation.
+// CounterAdd adds Delta to a number on the shared counter, and asks for its total. The counter drops the
+// number when the time TTL has passed since its creation.
 type CounterAdd struct {
 	Name  string
 	Delta float64
 	TTL   time.Duration
 }
 
-// Probe asks a server whether it runs.
+// Probe asks a server whether it runs. A Gateway returns none yet.
 type Probe struct{ Server string }
 
-// CloseIdle closes idle connections to a server.
+// CloseIdle closes idle connections to a server. A Gateway returns none yet.
 type CloseIdle struct{ Server string }
 
-// SendPeerMessage sends a short message to one gateway, or to all if To is -1.
+// SendPeerMessage sends a short message to one gateway, or to all if To is -1. A Gateway returns none yet.
 type SendPeerMessage struct {
 	To      int
 	Payload []byte
@@ -342,7 +346,7 @@
 // Subscribe asks discovery for changes from now on, or to stop sending them.
 type Subscribe struct{ On bool }
 
-// FetchList asks discovery for the whole list.
+// FetchList asks discovery for the whole list. A Gateway returns none yet.
 type FetchList struct{}
 
 // Log is a line for the operator.
--- a/admission/attempts.go
+++ b/admission/attempts.go
@@ -16,32 +16,32 @@
 	initialFleetRetries = 20.0
 	// Largest retry budget of a gateway.
 	maxRetryBudget = 10.0
-	// An attempt has at least this multiple of its expected time before a retry.
+	// An attempt has at least this multiple of its expected latency before a retry.
 	attemptTimeoutFactor = 4.0
 	// An attempt has at least this share of the time left to the target before a retry.
 	attemptTimeoutShare = 0.6
-	// Multiple of the expected wait that must fit the time left, as waits vary.
+	// Multiple of the expected wait that must fit into the time left, as waits vary.
 	waitMargin = 1.3
-	// Longest wait of a request, as a share of the latency targets of classes of more worth, while those find
-	// no server in time.
+	// Longest wait of a request while classes of more worth find no server in time, as a share of the latency
+	// targets of those classes.
 	lowWorthTargetShare = 0.3
-	// Share of the requests of the class of most worth that find no server in time, from which the limit of
-	// other classes' waits applies in full.
+	// Share of the requests of the class of most worth (the top class) that find no server in time, from
+	// which the limit on the waits of other classes applies in full.
 	shortageThreshold = 0.03
-	// EWMA weight of a request in the share of the class of most worth that finds no server in time.
+	// EWMA weight of a request in the share of the top class that finds no server in time.
 	shortageWeight = 0.02
-	// Time constant in seconds with which the share of the class of most worth that finds no server in time
-	// is forgotten: a rare class seldom updates it.
+	// Time constant in seconds with which the share of the top class that finds no server in time decays. A
+	// rare class seldom updates it, so it would stay too long otherwise.
 	shortageMemory = 10.0
 	// Interval at which held requests are tried again.
 	recheckInterval = 10 * time.Millisecond
-	// Longest queue of held requests: the answers of this share of a latency target.
+	// Longest queue of held requests: as many as are answered in this share of a latency target.
 	heldTargetShare = 0.15
 	// Requests that may always be held.
 	minHeld = 4.0
 )
 
-// permitsServer reports whether one more attempt at a server keeps the request's effect to one.
+// permitsServer reports whether one more attempt may go to a server: the request must not take effect twice.
 func (r *request) permitsServer(s *server) bool {
 	if r.priorServer == nil || r.class.Effect == Safe {
 		return true
@@ -51,14 +51,14 @@
 	return r.class.Effect == Keyed && isInZone && isInCell
 }
 
-// canRepeat reports whether the request may be sent again now: it can't have run, or its repeat does no harm.
+// canRepeat reports whether the request may be sent again now: it can't have run, or a repeat does no harm.
 func (g *Gateway) canRepeat(r *request) bool {
 	return r.priorServer == nil || r.class.Effect == Safe ||
 		r.class.Effect == Keyed && g.now+2*g.settings.Tick < r.priorSentAt+r.class.RepeatWindow
 }
 
-// canRefuse reports whether the request may still be refused: if its client tries again, at any server, its
-// effect happens no more than once.
+// canRefuse reports whether the request may still be refused: if its client tries again, at any server, the
+// request must not take effect twice.
 func (g *Gateway) canRefuse(r *request) bool {
 	return r.priorServer == nil || r.class.Effect == Safe ||
 		r.class.Effect == Keyed && r.class.Scope == ScopeAll
@@ -75,7 +75,7 @@
 	}
 	left := (r.due - g.now).Seconds()
 	s, wait := g.pickServer(r)
-	if g.admitExponents[r.classIndex] == 1 && len(r.attempts) == 0 { // the class of most worth
+	if g.admitExponents[r.classIndex] == 1 && len(r.attempts) == 0 { // the top class
 		g.topClassShortage.LearnBool(g.now, shortageMemory, shortageWeight,
 			s == nil || waitMargin*wait > left)
 	}
@@ -88,7 +88,7 @@
 		}
 	case s == nil, waitMargin*wait > g.maxWait(r, s, left) &&
 		(len(r.attempts) > 0 || r.class.LateWorth == 0 || r.due == r.deadline):
-		// When even a free server seems too slow, no request of the class is sent that could show otherwise.
+		// When even an idle server seems too slow, no request of the class is sent that could show otherwise.
 		if s != nil && len(s.outstanding) == 0 {
 			g.classLatency[r.classIndex].Doubt(g.now, classDoubtMemory, waitMargin*wait,
 				r.class.usefulSeconds())
@@ -117,12 +117,12 @@
 	return ""
 }
 
-// maxWait returns how many seconds a request may wait for its answer behind other attempts, of those left to
-// its target. It is less while classes of more worth find no server in time: if each class waited by its own
-// target, patient requests would fill all servers first, and urgent ones would never fit behind them. A
-// server that holds nothing takes any request, or nothing would show that waits are short again. A request
-// that may have run and can't be refused is allowed to finish. The limit harms where requests of little worth
-// come in bursts that would have fit in between.
+// maxWait returns how many of the seconds left to its target a request may wait for its answer behind other
+// attempts. It is less while the top class finds no server in time: if each class waited by its own target,
+// requests with long targets would fill all servers first, and those with short ones would never fit behind
+// them. A server that holds nothing takes any request, or nothing would show that waits are short again. A
+// request that may have run and can't be refused is allowed to finish. The limit harms where requests of
+// little worth come in bursts that would have fit in between.
 func (g *Gateway) maxWait(r *request, s *server, left float64) float64 {
 	wait, ease := left, math.Max(0, 1-g.topClassShortage.Now(g.now, shortageMemory)/shortageThreshold)
 	for _, c := range g.settings.Classes {
@@ -134,8 +134,8 @@
 	return wait
 }
 
-// canHold reports whether a request may wait in the queue of held requests. The queue is bounded, and no
-// request stays in it that can't meet its target: else all would be late.
+// canHold reports whether a request may wait in the queue of held requests. The queue is bounded and keeps no
+// request that can't meet its target: otherwise all would be late.
 func (g *Gateway) canHold(r *request) bool {
 	left := (r.due - g.now).Seconds()
 	maxHeld := math.Max(minHeld,
@@ -172,8 +172,8 @@
 }
 
 // attemptTimeout returns how long an attempt may take before a retry. Where no retry is possible, it is the
-// time until an answer is worth nothing: then its slot under a cap and its server are free at once. 0 means
-// until the client leaves.
+// time until an answer is worth nothing, so that its slot under a cap and at its server is free at once then.
+// 0 means until the client leaves.
 func (g *Gateway) attemptTimeout(r *request, wait float64) time.Duration {
 	if r.class.Effect == Unsafe || r.class.IsStream { // its client may want the outcome, however late
 		return 0
@@ -266,7 +266,7 @@
 		s.rejectLatency += latencyWeight * (took - s.rejectLatency)
 	case TimedOut:
 		g.timeoutShare += timeoutShareWeight * (1 - g.timeoutShare)
-		// Otherwise only this answer was lost, or only this server is slow.
+		// In the other cases only the answer was lost, or only this server is slow.
 		if !g.isOutlier(s) && (g.timeoutShare > maxLossShare ||
 			g.meanLatency > slowThreshold*(r.due-r.arrivedAt).Seconds()) {
 			g.adjustAdmitShare(true)
@@ -276,7 +276,7 @@
 		}
 		s.relativeLatency = math.Max(s.relativeLatency,
 			s.relativeLatency+latencyWeight*(math.Min(maxRelativeLatency, took/expected)-s.relativeLatency))
-	case Broken: // one unreadable answer says little; two in a row mean that the server is gone
+	case Broken: // one unreadable answer proves little; two in a row mean that the server is gone
 		if s.connectionFailures++; s.connectionFailures > 1 {
 			g.eject(s)
 		}
@@ -288,8 +288,8 @@
 
 // adjustAdmitShare lowers the share of requests that are admitted while answers come late. Only a large fleet
 // does so: with many gateways, no limit of one gateway at one server shows the queue there. A prompt answer
-// counts for the requests that were not admitted, too, or few answers would show that the overload is over.
-// It harms where requests are long by nature.
+// also counts for the requests that were not admitted, or too few answers would show that the overload is
+// over. It harms where requests are long by nature.
 func (g *Gateway) adjustAdmitShare(isLate bool) {
 	if !g.isLargeFleet() {
 		return
--- a/admission/ceiling.go
+++ b/admission/ceiling.go
@@ -1,7 +1,7 @@
 package admission
 
-// Hard ceilings. Each gateway has its own part of a customer's ceiling, and at many gateways some of it is
-// admitted by totals of the counter. No failure of counter or peers lets more through.
+// Hard ceilings. Each gateway has its own part of a customer's ceiling; where these parts would be too small,
+// totals of the counter admit a share of the ceiling. No failure of counter or peers lets more through.
 
 import (
 	"math"
@@ -14,18 +14,19 @@
 	// Smallest useful part of a ceiling, in requests of the largest size: with less a gateway can't serve
 	// uneven traffic.
 	minCeilingBurst = 4.0
-	// Share of the ceiling that is admitted by totals where the parts would be smaller.
+	// Share of the ceiling that is admitted by totals where the parts would be smaller than that.
 	totalsCeilingShare = 0.3
-	// Exponent on the query share of a request for which its gateway has no ceiling tokens.
+	// Exponent on the query share for a request for which its gateway has too few ceiling tokens: it queries
+	// more often.
 	totalsQueryExponent = 0.25
 )
 
 // splitCeiling computes this gateway's part of a customer's ceiling. The parts add up to the whole and are
 // never lent, so no failure of the counter or of peers breaks the ceiling.
 //
-// At many gateways a part would be less than a few requests, or than one, which is none. Then a share of the
-// ceiling is admitted by totals of the counter, and as many gateways hold a part as there are requests in
-// the rest. Any span of time touches the counter windows that it contains and one at each edge. As one window
+// With many gateways a part would be smaller than a few requests, or than one and of no use at all. Then
+// totals of the counter admit a share of the ceiling, and the rest is split over only as many gateways as it
+// holds requests. Any span of time overlaps the counter windows inside it and one at each edge. As one window
 // admits at most half of the totals' share, all of them admit no more than that share and its refill, even
 // through gateways that know no earlier window.
 //
@@ -48,8 +49,8 @@
 	}
 }
 
-// hasCeilingTokens reports whether this gateway's part of the ceiling holds these units now. The part
-// starts empty, as a previous process may have used it up.
+// hasCeilingTokens reports whether this gateway's part of the ceiling holds these units now. The part starts
+// empty, as a previous process may have used it up.
 func (c *customer) hasCeilingTokens(now time.Duration, units float64) bool {
 	c.ceilingTokens = math.Min(c.ceilingBurst,
 		c.ceilingTokens+c.ceilingRate*(now-c.ceilingTokensAt).Seconds())
--- a/admission/counter.go
+++ b/admission/counter.go
@@ -1,6 +1,6 @@
 package admission
 
-// Failures and overload of the shared counter: fewer queries, a circuit breaker, local decisions.
+// Responses to failure and overload of the shared counter: fewer queries, a circuit breaker, local decisions.
 
 import (
 	"math"
@@ -10,25 +10,27 @@
 const (
 	// Calls lost in a row that open the circuit breaker.
 	breakerThreshold = 4
-	// Factor on the query share (requests that query the counter, over all) for a call that is refused, lost
-	// or answered late.
+	// Factor on the query share (requests that query the counter, over all requests) for each call that is
+	// refused, lost or answered late.
 	queryShareCut = 0.8
 	// Query share regained with each answer in time.
 	queryShareGain = 0.01
-	// Query share regained, with an answer in time, for each second since the previous answer. It serves
-	// gateways that seldom query.
+	// Query share regained, with an answer in time, for each second since the previous answer: gateways that
+	// seldom query would recover slowly otherwise.
 	queryShareRecovery = 0.05
 	// EWMA weight of a total in the share of totals that are under the in-flight cap.
 	underCapWeight = 0.2
-	// Share of a call's time limit after which an answer is late, the sign of a crowded counter.
+	// Share of a call's time limit after which an answer is late, the sign of an overloaded counter.
 	slowCounterThreshold = 0.25
 	// Multiple of the baseline latency before which no answer is late.
 	slowCounterFactor = 2.0
-	// EWMA weight of a slower answer in the baseline latency, the latency of a counter that is not crowded.
+	// EWMA weight of an answer slower than the baseline latency, the latency of a counter that is not
+	// overloaded. A faster answer replaces the baseline.
 	counterBaselineWeight = 0.005
-	// Interval between the calls that test, while the breaker is open, whether the counter answers again.
+	// Shortest interval between the calls that test, while the breaker is open, whether the counter answers
+	// again.
 	counterProbeInterval = 250 * time.Millisecond
-	// Shortest mean interval between the test calls of all gateways together while their breakers are open.
+	// Shortest mean interval between such calls of all gateways together.
 	fleetProbeInterval = 10 * time.Millisecond
 )
 
@@ -51,7 +53,7 @@
 }
 
 // counterSucceeded handles an answered call. An answer in time raises the query share and closes the breaker;
-// a late one lowers the share. A counter that is far away but steady is not taken for crowded.
+// a late one lowers the share. A counter that is far away but steady is not taken for overloaded.
 func (g *Gateway) counterSucceeded(took time.Duration) {
 	g.counterFailures = 0
 	if g.counterBaseline == 0 || took < g.counterBaseline {
@@ -72,10 +74,10 @@
 }
 
 // decideLocally decides a request without waiting for the counter, by the local tokens. While the breaker is
-// open, or without a counter, each unit sent from here is charged for all gateways of the customer, unless
-// their use is predicted. At a sparse gateway the tokens would refuse nearly all, so if the settings have a
-// counter, a random sample is admitted there. This covers a counter that is slow, silent, crowded or
-// refusing; it is wrong when demand changes in the meantime.
+// open, or without a counter, each unit sent from here is charged once for every gateway of the customer,
+// unless their use is predicted. At a sparse gateway the tokens would refuse nearly all, so if the settings
+// have a counter, a random sample is admitted there. This covers a counter that is slow, silent, overloaded
+// or refusing; it is wrong when demand changes in the meantime.
 func (g *Gateway) decideLocally(r *request) {
 	c := r.customer
 	p := c.plan
@@ -102,9 +104,9 @@
 	return 1 / g.demandRatio(c)
 }
 
-// sampleAdmits draws whether a request is admitted unchecked, so that the share that fits passes. Under the
-// in-flight counter that share is the chance of finding a free slot, and a send without one costs: requests
-// pass only above the chance at which a send breaks even.
+// sampleAdmits draws whether a request is admitted unchecked, so that the share of the demand that fits is
+// admitted. Under the in-flight counter that share is the chance of finding a free slot, and a send without
+// one costs: nothing is admitted below the chance at which a send breaks even.
 func (g *Gateway) sampleAdmits(c *customer) bool {
 	breakEven := c.plan.OverQuotaCost / (1 + c.plan.OverQuotaCost)
 	switch {
@@ -117,7 +119,7 @@
 }
 
 // capCounter returns the counter that enforces an in-flight cap: the in-flight counter or, with many
-// gateways at a crowded counter, the demand counter.
+// gateways at an overloaded counter, the demand counter.
 func (g *Gateway) capCounter(c *customer) *windowCounter {
 	if g.planQueryShare(c.planIndex) < inFlightCounterThreshold &&
 		c.gateways > 2*float64(c.plan.MaxInFlight) {
@@ -126,8 +128,8 @@
 	return &c.inFlightCounter
 }
 
-// demandCapacity returns how much demand on a counter fits, in units a second: the quota's rate, or a part of
-// the rate at which an in-flight cap frees its slots.
+// demandCapacity returns how much demand on a counter fits, in units a second: the quota's rate, or the share
+// capDemandShare of the rate at which a full in-flight cap frees its slots.
 func (g *Gateway) demandCapacity(c *customer, counter *windowCounter) float64 {
 	if counter == &c.demandCounter {
 		return capDemandShare * float64(c.plan.MaxInFlight) / g.meanTimeInFlight
@@ -135,9 +137,10 @@
 	return c.plan.Rate
 }
 
-// learnDemand learns from a total how much was asked through all gateways since the previous total. The
-// first total of a window covers the time from the start of the window. That is no arrival at this gateway,
-// so the call's own units are no sign of the demand in that time and are left out.
+// learnDemand learns from a total how much was asked through all gateways since the previous total, which
+// was read when a request arrived here. The first total of a window covers the time since the window began
+// instead. No request arrived here at that moment, so the call's own units are left out: with them the demand
+// in that time would be overestimated.
 func (g *Gateway) learnDemand(c *customer, counter *windowCounter, call *counterCall, total float64) {
 	elapsed, demand := (g.now - counter.lastTotalAt).Seconds(), total-counter.lastTotal
 	if counter.lastTotal == 0 {
@@ -155,15 +158,15 @@
 }
 
 // demandRatio estimates a customer's demand over all gateways as a multiple of what fits its quota. The mean
-// of its plan counts like some units of observed demand: a single total is not trusted, and a customer of
-// which no total was read, as most are at many gateways, is taken to be like the others.
+// of its plan counts like some units of observed demand: a single total is not trusted. A customer without a
+// total, as most are where there are many gateways, is taken to be like the others of its plan.
 func (g *Gateway) demandRatio(c *customer) float64 {
 	counter, initial := &c.quotaCounter, initialQuotaDemand
 	if c.plan.MaxInFlight > 0 {
 		counter, initial = &c.demandCounter, initialCapDemand
 	}
 	planMean := g.planDemand[c.planIndex].mean(initial, counter.length.Seconds())
-	if c.plan.OverQuotaCost == 0 { // admitting a customer that is not known to ask too much costs nothing
+	if c.plan.OverQuotaCost == 0 { // admitting a customer not known to be over its quota costs nothing
 		planMean = math.Min(1, planMean)
 	}
 	if !g.isBreakerOpen { // during an outage the last observations are kept
--- a/admission/gateway.go
+++ b/admission/gateway.go
@@ -1,7 +1,7 @@
 package admission
 
 // The decision module of ferryfront. Its interface (settings, events, actions and the host's contract) is in
-// api.go. All that decides, and every tuned value, is in the files that deploy/balancer.toml names under
+// api.go. All code that decides, and every tuned value, is in the files that deploy/balancer.toml names under
 // policy: this one, which dispatches events, and one for each concern.
 
 import (
@@ -28,16 +28,16 @@
 	return g, nil
 }
 
-// refusalCost returns the cost of refusing a request of the class, on a scale that only compares classes.
+// refusalCost returns the cost of refusing a request of the class. Only ratios of costs have a meaning.
 func (c Class) refusalCost() float64 { return math.Pow(c.Worth, worthExponent) }
 
 // Handle processes one event at the time now and returns the actions to carry out. The next call reuses the
-// slice. A time before that of an earlier call counts as the earlier one.
+// slice. A time before that of the previous call is taken for the previous time.
 func (g *Gateway) Handle(now time.Duration, ev Event) []Action {
 	g.actions = g.actions[:0]
 	g.now = max(now, g.now)
 	if !g.isStarted {
-		// No answer of the counter was due before the start.
+		// The time before the start must not count as time without an answer of the counter.
 		g.isStarted, g.ceilingStart, g.counterAnsweredAt = true, now, now
 		g.setTimer(timerExpiry, 0, g.now+expiryInterval)
 		if g.settings.MustSubscribe {
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -1,7 +1,8 @@
 package admission
 
 // Quotas. Rule SQR-073 counts units in fixed windows on the shared counter. Each gateway keeps a local
-// token bucket per customer, which the totals it reads from the counter correct.
+// token bucket per customer (the local tokens) and corrects it by the totals that it reads from the counter.
+// A request queries the counter when it waits for the total before it is decided.
 
 import (
 	"math"
@@ -10,18 +11,18 @@
 )
 
 const (
-	// A request is refused without a counter query when the local bucket holds less than this share of its
+	// A request is refused without a counter query when the local tokens are less than this share of its
 	// units.
 	minTokensFactor = 0.7
-	// Counter calls per request, scaled by the query share, that are kept up even where the decision is
-	// already certain. The design asks for one call per request.
+	// Counter calls per request, times the query share, that are made even where the local tokens already
+	// decide. The design asks for one call per request.
 	minCallsPerRequest = 0.75
 	// Longest wait of a request for the counter: short against any latency target, and many times what a
 	// call usually takes.
 	counterWait = 25 * time.Millisecond
 	// Sum of the query shares of all gateways at their start; each begins with an equal part.
 	initialFleetQueryShare = 30.0
-	// Smallest query share (requests that query the counter, over all) of a gateway, however crowded the
+	// Smallest query share (requests that query the counter, over all) of a gateway, however overloaded the
 	// counter is. The share of a single plan may fall to half of it.
 	minQueryShare = 0.1
 	// Share of the demand that fits the quota, below which a sparse gateway (see isSparse) lets only a sample
@@ -29,36 +30,34 @@
 	sampledFitThreshold = 0.5
 	// Query share below which the in-flight cap may be enforced by the demand counter alone.
 	inFlightCounterThreshold = 0.5
-	// Share of the in-flight cap that demand is cut to under the demand counter: random sampling does not
-	// see what is in flight, and sends beyond the cap cost.
+	// Share of the in-flight cap that is admitted under the demand counter: random sampling does not see
+	// what is in flight, and sends beyond the cap cost.
 	capDemandShare = 0.25
-	// Window length of the in-flight and demand counters. In-flight counts that are never returned end with
-	// their window.
+	// Window length of the in-flight and demand counters. In-flight counts that are never subtracted expire
+	// with their window.
 	inFlightWindow = 4 * time.Second
 	// Time constant in seconds with which observed demand is forgotten.
 	demandMemory = 10.0
-	// Units of demand that the mean of the plan counts for beside a customer's own observations.
+	// Weight of the plan's mean demand in a customer's estimate, as units of observed demand.
 	demandPriorUnits = 4.0
 	// Demand assumed of a plan with a rate before any total is read, as a multiple of what fits the quota.
 	initialQuotaDemand = 1.5
-	// Demand assumed of a plan with an in-flight cap before any total is read, as a multiple of what fits:
-	// the number in flight is unknown as well.
+	// Demand assumed of a plan with an in-flight cap before any total is read, as a multiple of what fits.
+	// It is higher, as the number in flight is unknown as well.
 	initialCapDemand = 2.5
 	// Time constant in seconds of the average rate that a customer uses through other gateways.
 	othersRateMemory = 2.0
 	// Average query share below which the use through other gateways is predicted between totals.
 	predictionThreshold = 0.5
-	// Weight of a customer's queries, while few requests may query, if it has used nothing since the last
-	// total.
+	// Least urgency of a customer (see customer.urgency): it has used nothing since the last total.
 	minUrgency = 0.5
-	// Weight of a customer's queries that is added in proportion to the share of its local tokens that was
-	// used since the last total.
+	// Urgency added by use since the last total, times the share of the local tokens that was used.
 	urgencyFactor = 8.0
 	// EWMA weight of a request in the average query share.
 	queryShareWeight = 0.001
 	// Windows for which the shared counter keeps the name of a window: the next window still reads it.
 	counterTTLWindows = 2.5
-	// A customer that sends nothing for this time is dropped: by then its buckets are full again.
+	// A customer that sends nothing for this time is dropped: by then its token buckets are full again.
 	customerTTL = 90 * time.Second
 	// Interval between searches for customers to drop.
 	expiryInterval = 5 * time.Second
@@ -116,15 +115,17 @@
 }
 
 // isSparse reports whether one gateway's equal share of the customer's quota is less than a request of these
-// units. The local tokens of such a gateway are stale, and its pending units find no call in time.
+// units. The local tokens of such a sparse gateway are stale, and its pending units would not be added in
+// time, as it calls the counter too seldom.
 func (c *customer) isSparse(units float64) bool { return c.plan.Burst < c.gateways*units }
 
-// canDefer reports whether units that are not counted yet may be added with the next counter call. At a
-// sparse gateway a request that queries is counted for those that do not, too.
+// canDefer reports whether units that are not counted yet may be added with the next counter call. A sparse
+// gateway defers none, unless there is a ceiling: a request that queries there adds an estimate for those
+// that do not, too.
 func (c *customer) canDefer(units float64) bool { return c.plan.CeilingRate > 0 || !c.isSparse(units) }
 
 // rollWindow moves a counter to the present window. An in-flight counter carries over what this gateway has
-// in flight; what was never returned stays behind.
+// in flight; counts that other gateways never subtracted stay in the old window.
 func (g *Gateway) rollWindow(c *customer, counter *windowCounter) {
 	if window := counter.windowAt(g.now); window != counter.window {
 		if counter == &c.quotaCounter { // predictions for the previous window can't be corrected any more
@@ -138,7 +139,7 @@
 	}
 }
 
-// callCounter orders a call to the shared counter and keeps it until its answer arrives.
+// callCounter emits a call to the shared counter and records it until its answer arrives.
 func (g *Gateway) callCounter(call *counterCall, name string) {
 	g.counterCalls[name] = append(g.counterCalls[name], call)
 	g.callsPerRequest += callsPerRequestWeight
@@ -158,8 +159,8 @@
 	g.callCounter(call, counter.name(counter.window))
 }
 
-// returnUnits takes back what a finished request had added to the counters. Quota units of a request that
-// was not sent go with the next call. The in-flight count goes at once, as other gateways decide by it.
+// returnUnits takes back what a finished request had added to the counters. Quota units of a request that was
+// not sent are subtracted with the next call, the in-flight count at once, as other gateways decide by it.
 func (g *Gateway) returnUnits(r *request) {
 	c := r.customer
 	if c == nil {
@@ -227,7 +228,7 @@
 	if g.queryShareAverage < predictionThreshold && c.canDefer(r.units) {
 		share = math.Pow(share, 1/c.urgency())
 	}
-	if needsTotal { // it is refused unless a total shows that it fits
+	if needsTotal { // refused unless a total shows that it fits
 		share = math.Pow(share, totalsQueryExponent)
 	}
 	if g.isBreakerOpen && !isProbe || !isProbe && g.rng.Float64() >= share {
@@ -335,8 +336,9 @@
 	r.pendingCalls = slices.DeleteFunc(r.pendingCalls, func(o *counterCall) bool { return o == call })
 	if counter == &c.quotaCounter && call.window == counter.window {
 		r.tokensTaken = call.requestDelta
-		// At a sparse gateway the call's own units stand for those of other requests. Totals of a customer
-		// whose ceiling is shared through them include what was refused.
+		// At a sparse gateway the call's own units include an estimate for other requests: only the units of
+		// this one must fit. Where totals admit under the ceiling, they include refused requests, too: then
+		// only a total above the burst refuses.
 		r.isOverQuota = r.isOverQuota ||
 			c.quotaTokens+call.requestDelta < r.units && (c.ceilingTotalLimit == 0 || total > c.plan.Burst)
 		// A total below the call's own units means that the counter lost its data.
@@ -356,8 +358,8 @@
 	}
 }
 
-// decide admits a request, charged with its units times the weight, or refuses it until the end of the quota
-// window, as the design says.
+// decide admits a request, charged with its units times the weight, or refuses it with the advice to retry
+// after the end of the quota window, as the design says.
 func (g *Gateway) decide(r *request, isOver bool, weight float64) {
 	c := r.customer
 	if r.detachCalls(); isOver {
@@ -388,8 +390,8 @@
 	}
 }
 
-// quotaRetryAfter returns the time until the customer's quota window ends. An in-flight cap has no window:
-// there it is the mean time until a request ends and frees a slot.
+// quotaRetryAfter returns the time until the customer's quota window ends. Without a quota there is no such
+// window: for an in-flight cap it is the mean time in flight, after which a slot is free.
 func (g *Gateway) quotaRetryAfter(c *customer) time.Duration {
 	if c.quotaCounter.length == 0 {
 		return seconds(g.meanTimeInFlight)
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -30,7 +30,7 @@
 	IsBreakerOpen     bool // the circuit breaker of the counter
 	NextCounterProbe  time.Duration
 	CounterAnsweredAt time.Duration // time of the counter's last answer
-	CounterBaseline   time.Duration // latency of a counter that is not crowded
+	CounterBaseline   time.Duration // latency of the counter while not overloaded
 	CallsPerRequest   float64       // counter calls per request, EWMA
 	QueryShare        float64       // share of requests that query the counter
 	QueryShareAverage float64       // long-term EWMA of QueryShare
