--- a/admission/attempts.go
+++ b/admission/attempts.go
@@ -124,11 +124,11 @@
 // request that may have run and can't be refused is allowed to finish. The limit harms where requests of
 // little worth come in bursts that would have fit in between.
 func (g *Gateway) maxWait(r *request, s *server, left float64) float64 {
-	wait, ease := left, math.Max(0, 1-g.topClassShortage.Now(g.now, shortageMemory)/shortageThreshold)
+	wait, relaxation := left, math.Max(0, 1-g.topClassShortage.Now(g.now, shortageMemory)/shortageThreshold)
 	for _, c := range g.settings.Classes {
 		if c.refusalCost() > r.class.refusalCost() && !c.IsRemoved && len(s.outstanding) > 0 &&
 			g.canRefuse(r) {
-			wait = min(wait, lowWorthTargetShare*c.LatencyTarget.Seconds()+ease*left)
+			wait = min(wait, lowWorthTargetShare*c.LatencyTarget.Seconds()+relaxation*left)
 		}
 	}
 	return wait
@@ -256,7 +256,7 @@
 		g.meanLatency += classLatencyWeight * (took - g.meanLatency)
 	case Errored: // by latency alone, a server that fails at once would look like the fastest of all
 		s.lastResponseAt = g.now
-		if s.errors++; s.errors >= maxConsecutiveErrors {
+		if s.errors++; s.errors >= errorThreshold {
 			s.rejectShare.Learn(g.now, rejectMemory, rejectWeight, 1)
 			g.eject(s)
 		}
--- a/admission/averages.go
+++ b/admission/averages.go
@@ -24,10 +24,10 @@
 	return e.count * estimate.Decay(now-e.at, memory) / memory
 }
 
-// demandEstimate sums up how much was asked and for how long that was observed. Both decay with time.
+// demandEstimate sums up how much was asked and for how long that was observed. Both sums decay with time.
 type demandEstimate struct {
-	demand   float64       // in seconds: the units asked over the units that fit in a second
-	observed float64       // in seconds
+	demand   float64       // seconds in which the units asked would have fit: units over capacity
+	observed float64       // seconds of observation
 	at       time.Duration // when both were computed
 }
 
--- a/admission/ceiling.go
+++ b/admission/ceiling.go
@@ -40,10 +40,10 @@
 		return
 	}
 	c.ceilingTotalLimit = totalsCeilingShare * whole / 2
-	held, position := factor*(whole-2*c.ceilingTotalLimit),
+	parts, position := factor*(whole-2*c.ceilingTotalLimit),
 		g.membership.position(g.settings.Index, firstGateway, gateways)
-	holders := math.Floor(math.Min(c.gateways, held/maxUnits))
-	c.ceilingBurst, c.ceilingRate = held/holders, (p.CeilingRate-c.ceilingTotalLimit*p.Rate/p.Burst)/holders
+	holders := math.Floor(math.Min(c.gateways, parts/maxUnits))
+	c.ceilingBurst, c.ceilingRate = parts/holders, (p.CeilingRate-c.ceilingTotalLimit*p.Rate/p.Burst)/holders
 	if float64((position+int(hashFraction(c.id)*c.gateways))%int(c.gateways)) >= holders {
 		c.ceilingBurst, c.ceilingRate = 0, 0
 	}
--- a/admission/estimate/estimate.go
+++ b/admission/estimate/estimate.go
@@ -14,8 +14,8 @@
 	return math.Exp(-max(0, elapsed).Seconds() / timeConstant)
 }
 
-// FadingAverage is an exponentially weighted average that decays to 0, the assumption without observations,
-// while nothing is observed.
+// FadingAverage is an exponentially weighted average that decays to 0 while nothing is observed: 0 is what its
+// owner assumes without observations.
 type FadingAverage struct {
 	Value float64
 	At    time.Duration // when Value was the average
@@ -26,7 +26,7 @@
 	return f.Value * Decay(now-f.At, timeConstant)
 }
 
-// LearnBool adds an observation, 1 for true and 0 for false, with its weight.
+// LearnBool adds an observation, 1 for true and 0 for false, with its weight, 0 to 1.
 func (f *FadingAverage) LearnBool(now time.Duration, timeConstant, weight float64, isTrue bool) {
 	observed := 0.0
 	if isTrue {
@@ -41,18 +41,20 @@
 	f.Value, f.At = value+weight*(observed-value), now
 }
 
-// LatencyModel is the mean latency and size of one kind of request. Its zero value has no observations.
+// LatencyModel is the mean latency and size of one kind of request, as exponentially weighted averages. Its zero
+// value has no observations.
 type LatencyModel struct {
 	Latency   float64       // seconds; 0: none observed
-	Units     float64       // units of the requests observed
-	DoubtedAt time.Duration // when the latency was last doubted; 0: never
+	Units     float64       // mean units of the requests observed
+	DoubtedAt time.Duration // time of the last decay by Doubt; 0: never
 }
 
-// maxDoubtTime bounds the time that one doubt accounts for: before it, no request of the kind may have come.
+// maxDoubtTime bounds the time for which one call of Doubt decays the latency. Before the call there may have
+// been no request of the kind for long, and time without requests is no ground for doubt.
 const maxDoubtTime = time.Second
 
 // Doubt lets the latency decay if the expected latency is above the largest useful one, all in seconds. A kind
-// of request that is kept out for its latency brings no answer that could show it has improved.
+// of request that is not sent because of its latency brings no answer that could show an improvement.
 func (m *LatencyModel) Doubt(now time.Duration, timeConstant, expected, maxUseful float64) {
 	if expected > maxUseful {
 		m.Latency *= Decay(min(now-m.DoubtedAt, maxDoubtTime), timeConstant)
@@ -60,7 +62,8 @@
 	}
 }
 
-// Learn adds the latency in seconds and the units of one answer, with its weight. The first counts in full.
+// Learn adds the latency in seconds and the units of one answer, with its weight, 0 to 1. The first answer counts
+// in full.
 func (m *LatencyModel) Learn(latency, units, weight float64) {
 	if m.Latency == 0 {
 		m.Latency, m.Units = latency, units
@@ -69,8 +72,8 @@
 	m.Units += weight * (units - m.Units)
 }
 
-// Expect returns the expected latency in seconds of a request with these units. The given share of the latency
-// is proportional to the units. Without observations it returns initial.
+// Expect returns the expected latency in seconds of a request with these units. The share unitsShare of the
+// mean latency is taken to be proportional to the units. Without observations it returns initial.
 func (m LatencyModel) Expect(units, unitsShare, initial float64) float64 {
 	if m.Latency == 0 {
 		return initial
@@ -88,11 +91,12 @@
 	return initial + (1-initial)*max(0, (now-boot).Seconds())/warmUp.Seconds()
 }
 
-// maxExponent is the largest exponent that Exponents returns.
+// maxExponent is the largest exponent that [Exponents] returns.
 const maxExponent = 16
 
 // Exponents returns an exponent for each item, to be applied to a share between 0 and 1: 1 for the items of the
-// highest cost, which keep the whole share, and more for the others, in inverse proportion to their costs.
+// highest cost, which keep the whole share, and up to maxExponent for the others, in inverse proportion to
+// their costs. If no cost is above 0, all are 1.
 func Exponents[T any](items []T, cost func(T) float64) []float64 {
 	maxCost, exponents := 0.0, make([]float64, len(items))
 	for _, item := range items {
@@ -109,7 +113,7 @@
 // Mix is how often each kind of request has come recently, as decaying counts.
 type Mix []float64
 
-// Learn counts one more request of a kind. All counts decay by the weight.
+// Learn counts one more request of a kind, after all counts have decayed by the weight, 0 to 1.
 func (m Mix) Learn(kind int, weight float64) {
 	for i := range m {
 		m[i] -= weight * m[i]
@@ -120,8 +124,8 @@
 // bisectionSteps is how often Level halves the interval that it searches.
 const bisectionSteps = 24
 
-// Level returns the level in 0 to 1 at which a given share of all requests is admitted, where each kind is
-// admitted with the level to the power of its exponent. A share of 1 or more gives 1.
+// Level returns the level, 0 to 1, at which the given share of all requests is admitted if of each kind the
+// share level to the power of the kind's exponent is admitted. A share of 1 or more gives 1.
 func (m Mix) Level(exponents []float64, share float64) float64 {
 	if share >= 1 {
 		return 1
--- a/admission/membership.go
+++ b/admission/membership.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Which gateways of the fleet are present, as the host's membership reports it. Nothing here decides. A host
-// without membership reports nothing: then all gateways of the settings count as present.
+// Which gateways of the fleet are present, as the host reports it. Nothing here decides. A host that does not
+// track membership reports nothing: then all gateways of the settings count as present.
 
 // FleetChanged reports which gateways, by index, are absent: they no longer use their parts of shared quotas
 // and ceilings, and every gateway agrees on that. While IsUncertain, the others may count this gateway as
@@ -23,7 +23,7 @@
 
 // onFleetChanged takes over a new membership. Customers get their new parts with their next request.
 func (g *Gateway) onFleetChanged(ev FleetChanged) {
-	// Until now the others may have used the parts that are this gateway's from now on.
+	// Until now the other gateways may have used the parts that this gateway gets back now.
 	if g.membership.isUncertain && !ev.IsUncertain {
 		g.ceilingStart = max(g.ceilingStart, g.now)
 	}
@@ -36,8 +36,8 @@
 // circularOffset returns the position of a gateway among all of them, counted from first and around the end.
 func circularOffset(gateway, first, all int) int { return (gateway - first%all + all) % all }
 
-// countFrom returns how many of the n gateways from index first on, around the end of all, are present. It
-// is at least 1.
+// countFrom returns how many of the n gateways from index first on, counted around the end of all, are present,
+// but at least 1.
 func (m membership) countFrom(n, first, all int) float64 {
 	n = max(1, min(n, all))
 	present := n
@@ -49,7 +49,8 @@
 	return float64(max(1, present))
 }
 
-// position returns the position of a gateway among the present ones, counted from index first.
+// position returns the position of a gateway among the present ones, counted from index first and around the
+// end.
 func (m membership) position(gateway, first, all int) int {
 	offset := circularOffset(gateway, first, all)
 	position := offset
--- a/admission/rendezvous/rendezvous.go
+++ b/admission/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous orders the hosts of a cluster for each gateway of a fleet, so that every host is preferred
-// by about as many gateways, without communication between them. It holds no state, does no input or output
-// and decides nothing: which hosts, and how many, a gateway uses is up to the decision module.
+// Package rendezvous orders the upstream hosts of a cluster for each gateway of a fleet, so that every host is
+// preferred by about as many gateways, without communication between them. It holds no state, does no input or
+// output and decides nothing: which hosts, and how many, a gateway uses is up to the decision module.
 package rendezvous
 
 import (
@@ -17,28 +17,28 @@
 	return x ^ x>>31
 }
 
-// Key returns the hash of a host's name by which it is ordered.
+// Key returns the hash of a host's name, from which its weights are computed.
 func Key(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
 	return mix64(h.Sum64())
 }
 
-// weight returns how much a gateway prefers a host: the highest random weight of rendezvous hashing.
+// weight returns how much a gateway prefers a host, as in rendezvous hashing (highest random weight).
 func weight(key uint64, gateway int) uint64 {
 	return mix64(key + uint64(gateway+1)*0x9e3779b97f4a7c15)
 }
 
-// maxWeights bounds the weights that one order computes. Beyond it the load of a host is not bounded: by then a
-// host has so many gateways, or a gateway so many hosts, that chance evens it out.
+// maxWeights bounds the number of weights that [Order] computes. Beyond it the number of subsets that a host is
+// in is not bounded: by then a host has so many gateways, or a gateway so many hosts, that chance evens it out.
 const maxWeights = 1 << 20
 
-// shareMargin is the factor on the mean number of subsets of a host: with a margin the last gateways to choose
-// still find hosts that they have not chosen yet.
+// shareMargin is the factor on the mean number of subsets that a host is in. It is above 1 so that the last
+// gateways to choose still find hosts that they have not chosen yet.
 const shareMargin = 1.1
 
 // MaxSubsets returns the largest number of subsets that a host is in, if every gateway finds subsetSize hosts
-// that are not full.
+// that are in fewer.
 func MaxSubsets(hosts, gateways, subsetSize int) int {
 	return int(math.Ceil(shareMargin * float64(min(subsetSize, hosts)*gateways) / float64(max(1, hosts))))
 }
--- a/admission/servers.go
+++ b/admission/servers.go
@@ -24,7 +24,7 @@
 	maxRelativeLatency = 10.0
 	// Errors since the last good answer that eject a server. From then on each error also counts as a
 	// rejection.
-	maxConsecutiveErrors = 3
+	errorThreshold = 3
 	// EWMA weight of an answer in the share of requests that a server rejects.
 	rejectWeight = 0.15
 	// Time constant in seconds with which the reject share of a server that gets nothing is forgotten.
--- a/admission/settings_change.go
+++ b/admission/settings_change.go
@@ -2,9 +2,9 @@
 
 import "ferryfront.example/ferryfront/admission/estimate"
 
-// Events that change what a gateway works with: new settings, a request that has wholly arrived. Nothing here
-// decides. Classes and plans keep their indices (see SettingsChanged), a request keeps the class that it came
-// with, and what is known of customers, servers and the counter is kept under the new settings.
+// Events that need no decision: new settings, a new fleet, a request that has wholly arrived. Classes and plans
+// keep their indices (see SettingsChanged), a request keeps the class that it came with, and what is known of
+// customers, servers and the counter is kept under the new settings.
 
 // SettingsChanged replaces the settings of a running gateway. Classes and plans keep their indices: those
 // that were dropped are marked IsRemoved, new ones are appended. Settings that New would refuse, or with
@@ -44,7 +44,7 @@
 }
 
 // onSettingsChanged applies new settings. Customers whose plan has changed, or all if the fleet has, get new
-// parts of their ceiling with the next request; their local tokens are cut to the plan, never filled up.
+// parts of their ceiling with the next request. Their local tokens are cut to the plan's burst, never filled up.
 func (g *Gateway) onSettingsChanged(s Settings) {
 	if s.validate() != nil || len(s.Classes) < len(g.settings.Classes) || len(s.Plans) < len(g.settings.Plans) {
 		return
@@ -61,7 +61,7 @@
 		c.gateways = min(c.gateways, float64(s.Gateways))
 		c.isCeilingSplit = false
 		c.quotaTokens = min(c.quotaTokens, c.plan.Burst)
-		if previousCounter := c.quotaCounter; c.plan.Rate > 0 { // windows of another length start empty
+		if previousCounter := c.quotaCounter; c.plan.Rate > 0 { // a window of another length starts empty
 			c.quotaCounter = newWindowCounter("q"+c.counterKey()+".", c.plan.windowLength(), hashFraction(c.id))
 			c.quotaCounter.restore(previousCounter.state())
 		}
@@ -71,16 +71,16 @@
 	}
 }
 
-// suspendTotals stops admitting requests under a ceiling by totals of plans whose counter windows have another
-// length now, until the longer of the former and the new windows are over. Windows of the former length go on
-// beside the new ones, so settings that change often would admit what a window may show once for each change.
+// suspendTotals keeps totals from admitting requests under a ceiling for a while, for plans whose counter windows
+// have another length now: for the longer of the former and the new length. Windows of the former length go on
+// beside the new ones, so settings that change often would admit the limit of one window again with each change.
 func (g *Gateway) suspendTotals(previous []Plan) {
 	for i, before := range previous {
-		now := &g.settings.Plans[i]
-		if now.Rate <= 0 || before.Rate == now.Rate && before.Burst == now.Burst {
+		current := &g.settings.Plans[i]
+		if current.Rate <= 0 || before.Rate == current.Rate && before.Burst == current.Burst {
 			continue
 		}
-		longest := now.windowLength()
+		longest := current.windowLength()
 		if before.Rate > 0 {
 			longest = max(longest, before.windowLength())
 		}
@@ -89,7 +89,7 @@
 }
 
 // applySettings replaces the settings and makes room for what is learned of each class and plan. Removed
-// classes count as worthless, so that the most of the others is the most.
+// classes count as worthless, so that one of the others is the class of most worth.
 func (g *Gateway) applySettings(s Settings) {
 	g.settings = s
 	for len(g.classLatency) < len(s.Classes) {
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -15,8 +15,8 @@
 // returns the same actions for the same events as the original, see snapshot_test.go.
 //
 // The state has two parts. There may be a hundred thousand customers, and one hardly changes while it sends
-// nothing: each is a value of its own that can be copied ahead. The rest is small and copied last. Classes and
-// plans are identified by name, as the successor may have other settings.
+// nothing: each has a CustomerState of its own, which can be copied in advance. The rest (State) is small and
+// copied last. Classes and plans are identified by name, as the successor may have other settings.
 
 // State is all that a gateway knows beyond its customers. Times are on the gateway's clock.
 type State struct {
@@ -39,8 +39,8 @@
 	RetryBudget        float64       // retries that may be made
 	Answers            DecayingCount // good answers of all servers
 	TimeoutShare       float64       // share of attempts that time out, EWMA
-	MeanLatency        float64       // of good answers in seconds, EWMA
-	MeanTimeInFlight   float64       // from a request's first attempt to its end in seconds, EWMA
+	MeanLatency        float64       // latency of good answers in seconds, EWMA
+	MeanTimeInFlight   float64       // seconds from a request's first attempt to its end, EWMA
 	AdmitShare         float64       // share of requests that is admitted
 	Classes            []ClassState
 	Plans              []PlanState
@@ -49,7 +49,7 @@
 	Held               []uint64       // request ids, the oldest first
 	Calls              []CallState    // in order of name, those of one name the oldest first
 	LiveAttempts       float64        // open attempts
-	TopClassShortage   float64        // share of requests of the class of most worth without a server in time
+	TopClassShortage   float64        // share of the requests of the class of most worth without a server in time
 	TopClassShortageAt time.Duration  // when TopClassShortage was computed
 }
 
@@ -61,8 +61,8 @@
 
 // DemandState is how much was asked and for how long that was observed; both decay.
 type DemandState struct {
-	Demand   float64       // in seconds: the units asked over the units that fit in a second
-	Observed float64       // in seconds
+	Demand   float64       // seconds in which the units asked would have fit: units over capacity
+	Observed float64       // seconds of observation
 	At       time.Duration // when both were computed
 }
 
@@ -101,7 +101,7 @@
 // WindowCounterState is one quantity of a customer on the shared counter.
 type WindowCounterState struct {
 	Length      time.Duration
-	Phase       time.Duration // by how much its windows start early
+	Phase       time.Duration // by how much its windows start before multiples of Length
 	Window      int64         // number of the present window
 	LastTotal   float64       // last total read in this window
 	LastTotalAt time.Duration // when it was read, or the start of the window
@@ -118,7 +118,7 @@
 	InFlightCounter WindowCounterState
 	DemandCounter   WindowCounterState
 	ObservedDemand  DemandState // through all gateways, relative to what fits
-	QuotaTokens     float64     // units left in the mirror of the quota; may be negative
+	QuotaTokens     float64     // the local tokens: units left of the quota; may be negative
 	CeilingTokens   float64     // units left in the gateway's part of the ceiling
 	OthersRate      float64     // units a second used through other gateways
 	PredictedUsage  float64     // units predicted for other gateways since the last total
@@ -126,7 +126,7 @@
 	QuotaTokensAt   time.Duration // when QuotaTokens was computed
 	CeilingTokensAt time.Duration // when CeilingTokens was computed
 	InFlight        int           // requests sent from the gateway that have not ended
-	InFlightCounted float64       // the gateway's part of the in-flight counter, or on the way there
+	InFlightCounted float64       // the gateway's part of the in-flight counter, including open calls
 	UnderCapShare   float64       // share of recent totals that were under the in-flight cap, EWMA
 }
 
@@ -148,11 +148,11 @@
 	ArrivedAt       time.Duration
 	Deadline        time.Duration
 	Due             time.Duration // an answer after it is late
-	QuotaCounted    float64       // units on the quota counter, or on the way there
-	InFlightCounted float64       // count on the in-flight counter, or on the way there
+	QuotaCounted    float64       // its units on the quota counter, including open calls
+	InFlightCounted float64       // its count on the in-flight counter, including open calls
 	TokensTaken     float64       // local tokens taken for it
-	QuotaWindow     int64         // window of QuotaCounted
-	SlowStartSample float64       // in [0,1): selects the one server that may take its next attempt while cold
+	QuotaWindow     int64         // the quota window of QuotaCounted
+	SlowStartSample float64       // in [0,1): selects the one cold server that may take its next attempt
 	IsOverQuota     bool          // a total showed it to be over its quota or in-flight cap
 	WasSent         bool          // it has had an attempt
 	IsDone          bool          // its final answer is given
@@ -166,10 +166,10 @@
 
 // CallState is a counter call that is not answered.
 type CallState struct {
-	Name         string // on the shared counter
+	Name         string // its name on the shared counter
 	Customer     uint64
 	Plan         string
-	Counter      int // of the customer: 0 quota, 1 in flight, 2 demand
+	Counter      int // which counter of the customer: 0 quota, 1 in-flight, 2 demand
 	Request      uint64
 	HasRequest   bool // a request waits for the answer
 	Window       int64
@@ -187,8 +187,8 @@
 	return WindowCounterState{c.length, c.phase, c.window, c.lastTotal, c.lastTotalAt, c.pending}
 }
 
-// restore takes over a state. Windows of another length share no count with this counter, which then starts
-// empty.
+// restore takes over a state, unless its windows have another length: then the counts can't be compared, and
+// this counter starts empty.
 func (c *windowCounter) restore(s WindowCounterState) {
 	if s.Length == c.length {
 		c.phase, c.window, c.lastTotal, c.lastTotalAt, c.pending = s.Phase, s.Window, s.LastTotal, s.LastTotalAt, s.Pending
@@ -334,16 +334,16 @@
 }
 
 // state returns the state of a call to the counter of this name.
-func (k *counterCall) state(name string) CallState {
-	s := CallState{Name: name, Customer: k.customer.id, Plan: k.customer.plan.Name, Window: k.window,
-		Delta: k.delta, RequestDelta: k.requestDelta}
-	for i, counter := range k.customer.counters() {
-		if counter == k.counter {
+func (call *counterCall) state(name string) CallState {
+	s := CallState{Name: name, Customer: call.customer.id, Plan: call.customer.plan.Name, Window: call.window,
+		Delta: call.delta, RequestDelta: call.requestDelta}
+	for i, counter := range call.customer.counters() {
+		if counter == call.counter {
 			s.Counter = i
 		}
 	}
-	if k.request != nil {
-		s.Request, s.HasRequest, s.RequestIndex = k.request.id, true, slices.Index(k.request.pendingCalls, k)
+	if call.request != nil {
+		s.Request, s.HasRequest, s.RequestIndex = call.request.id, true, slices.Index(call.request.pendingCalls, call)
 	}
 	return s
 }
@@ -369,7 +369,7 @@
 	for _, c := range st.Classes {
 		if i := g.classIndex(c.Name); i >= 0 {
 			g.classLatency[i] = estimate.LatencyModel{Latency: c.Latency, Units: c.Units, DoubtedAt: c.DoubtedAt}
-			if c.Frequency > 0 { // 0 is from a process that does not send it
+			if c.Frequency > 0 { // 0 is from a predecessor that does not send it
 				g.classMix[i] = c.Frequency
 			}
 		}
@@ -396,7 +396,7 @@
 	}
 	for _, id := range st.Held {
 		r := g.requests[id]
-		if r == nil { // it is over but still in the queue
+		if r == nil { // it has ended but is still in the queue
 			r = &request{id: id, isDone: true}
 		}
 		g.held = append(g.held, r)
@@ -415,8 +415,8 @@
 	return slices.IndexFunc(g.settings.Plans, func(p Plan) bool { return p.Name == name })
 }
 
-// serverOrStub returns a server by name. For one that is not in the list, or no longer, it returns a stub to
-// which outcomes can be credited.
+// serverOrStub returns a server by name. For one that is not in the list, or no longer, it returns a stub that
+// can take the outcomes of attempts.
 func (g *Gateway) serverOrStub(name string) *server {
 	if s := g.servers[name]; s != nil {
 		return s
@@ -452,7 +452,7 @@
 }
 
 // customerOnPlan returns a customer if it is still on this plan, else nil. A customer that has changed its plan
-// started anew with it: what is open from the former plan must not touch its present tokens.
+// has started anew: what is open from the former plan must not change its present tokens.
 func (g *Gateway) customerOnPlan(id uint64, plan string) *customer {
 	if c := g.customers[id]; c != nil && c.plan.Name == plan {
 		return c
--- a/admission/state.go
+++ b/admission/state.go
@@ -53,7 +53,7 @@
 	queryExponents   []float64               // of each plan: the exponent of queryShare that gives its share
 	admitExponents   []float64               // of each class: the exponent of the admission level; 1 for the top class
 	planDemand       []demandEstimate        // of each plan: the demand of its customers, relative to what fits
-	totalsValidFrom  []time.Duration         // of each plan: totals admit under a ceiling from then on, see suspendTotals
+	totalsValidFrom  []time.Duration         // of each plan: from when totals admit under a ceiling
 }
 
 // request is a client's request until it is answered and has no open attempt. While it can't have run,
--- a/admission/successor.go
+++ b/admission/successor.go
@@ -6,20 +6,20 @@
 )
 
 // The handover from one process of an ingress to its successor. The predecessor still owns the requests that
-// it has taken; the successor keeps each of them as the predecessor's until it is told of its end. Nothing
-// here decides: it records what was decided on the other side.
+// it has taken; the successor keeps each of them, marked as the predecessor's, until the predecessor reports
+// its end. Nothing here decides: it records what the predecessor decided.
 //
 // Together both processes let through no more than one would have:
 //
 //   - Quota: what a predecessor's request uses is charged here, too, when the predecessor reports it sent.
 //   - Ceiling: units of a predecessor's request that is not sent yet are set aside here at once, and returned
 //     when it ends unsent.
-//   - Servers: its attempts count at their servers until they end; a cold server stays as cold as it is.
+//   - Servers: the predecessor's attempts count at their servers until they end; a server's warm-up goes on.
 //   - Retries: the predecessor keeps one for each request that it still has; the successor has the rest.
 
 // Adopt turns a gateway with a restored state into the successor of the gateway that the state is from. Open
-// counter calls are answered at the predecessor: like calls that timed out, they may have been added, and the
-// next total shows it. The actions start the timers and the subscription that a new gateway starts.
+// counter calls are answered at the predecessor: like calls that timed out, they may have been added, which
+// the next total shows. The actions start the timers and the subscription that a new gateway starts.
 func (g *Gateway) Adopt(now time.Duration) []Action {
 	g.actions = g.actions[:0]
 	g.now = max(now, g.now)
@@ -51,7 +51,7 @@
 func (g *Gateway) Reclaim(now time.Duration) {
 	g.now = max(now, g.now)
 	g.ceilingStart = g.now
-	clear(g.counterCalls) // calls ordered since were not made: answers would be matched to the wrong ones
+	clear(g.counterCalls) // calls emitted since then were not made: later answers would be matched to them
 	for _, c := range g.customers {
 		if c.plan.CeilingRate > 0 {
 			c.ceilingTokens, c.ceilingTokensAt = min(c.ceilingTokens, 0), g.now
--- a/admission/util.go
+++ b/admission/util.go
@@ -1,6 +1,6 @@
 package admission
 
-// Records of requests, attempts, servers and customers, timers and actions. Nothing here decides.
+// Bookkeeping of requests, attempts, servers, customers, timers and actions. Nothing here decides.
 
 import (
 	"cmp"
@@ -56,7 +56,7 @@
 	return r
 }
 
-// addServer records a server that discovery names for the first time, in order of name.
+// addServer adds a server that discovery names for the first time, at its place in the order of names.
 func (g *Gateway) addServer(entry ServerEntry) *server {
 	s := &server{relativeLatency: 1, startedAt: entry.Boot}
 	g.servers[entry.Name] = s
@@ -79,7 +79,7 @@
 		if s == nil {
 			s = g.addServer(entry)
 		} else if entry.Boot != s.Boot && entry.Boot != 0 {
-			// It restarted and kept its name. Its start may be earlier than before: its clock may be set back.
+			// It restarted and kept its name. The new start may be before the old one if its clock was set back.
 			s.startedAt, s.relativeLatency, s.failures, s.connectionFailures, s.ejectedUntil = entry.Boot, 1, 0, 0, 0
 		}
 		s.ServerEntry = entry
@@ -108,7 +108,7 @@
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: g.now, isLive: true})
 	r.liveAttempts++
 	g.liveAttempts++
-	if !r.isPartial { // with a partial request the server has nothing to run, so its silence says nothing
+	if !r.isPartial { // with a partial request the server has nothing to run: its silence is no failure
 		s.outstanding = append(s.outstanding, g.now)
 	}
 }
@@ -133,7 +133,8 @@
 	return t
 }
 
-// usefulSeconds returns for how many seconds at most an answer of the class is of use.
+// usefulSeconds returns for how many seconds after the arrival of a request of the class an answer is of use:
+// the latency target or, if shorter, the deadline.
 func (c *Class) usefulSeconds() float64 {
 	return min(c.LatencyTarget, cmp.Or(c.Deadline, c.LatencyTarget)).Seconds()
 }
--- a/admission/window_counter.go
+++ b/admission/window_counter.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// windowCounter is one quantity of a customer on the shared counter, which has a name for each window. A
-// query adds a request's units to the present window and reads the total.
+// windowCounter is one quantity of a customer on the shared counter, which has a name for each window. A query
+// adds a request's units to the present window and returns the total of all gateways.
 type windowCounter struct {
 	prefix      string
 	length      time.Duration
-	phase       time.Duration // by how much its windows start early
+	phase       time.Duration // by how much its windows start before multiples of length
 	window      int64         // number of the present window
 	lastTotal   float64       // last total read in this window
 	lastTotalAt time.Duration // when it was read, or the start of the window
 	pending     float64       // corrections and returned units to be added with the next call
 }
 
-// newWindowCounter returns a counter whose windows start at a time that depends on the customer (phase, a
-// part of the length), so that the windows of many customers do not change at the same moment.
+// newWindowCounter returns a counter whose windows start phase (a fraction of the length, 0 to 1) before
+// multiples of the length. With a phase for each customer the windows of many do not change at one moment.
 func newWindowCounter(prefix string, length time.Duration, phase float64) windowCounter {
 	return windowCounter{prefix: prefix, length: length, phase: seconds(length.Seconds() * phase)}
 }
@@ -42,7 +42,7 @@
 	counter      *windowCounter
 	window       int64
 	delta        float64 // what the call adds
-	requestDelta float64 // the waiting request's part of delta, which the local tokens do not show yet
+	requestDelta float64 // the waiting request's part of delta, not yet deducted from the local tokens
 }
 
 // counterKey returns the customer's part of the names on the shared counter.
