--- a/admission/attempts.go
+++ b/admission/attempts.go
@@ -230,8 +230,8 @@
 	g.recheckHeld()
 }
 
-// learnFromAttempt updates what is known of a server, of its request's class and of all answers by the end of
-// an attempt.
+// learnFromAttempt updates what is known of the server, of the request's class and of all answers when an
+// attempt has ended.
 func (g *Gateway) learnFromAttempt(t *attempt, r *request, ev AttemptEnded) {
 	s, expected, took := t.server, g.expectedLatency(r), ev.Took.Seconds()
 	s.relativeLatency = s.relativeLatencyAt(g.now)
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -14,8 +14,8 @@
 	// A request is refused without a counter query when the local tokens are less than this share of its
 	// units.
 	minTokensFactor = 0.7
-	// Counter calls per request, times the query share, that are made even where the local tokens already
-	// decide. The design asks for one call per request.
+	// Counter calls per request, times the query share, that are kept up even where a refusal is already
+	// certain. The design asks for one call per request.
 	minCallsPerRequest = 0.75
 	// Longest wait of a request for the counter: short against any latency target, and many times what a
 	// call usually takes.
