--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,7 @@
-// Package daemon wires the parts of an ingress together and takes it through its life: start, reload, upgrade
-// and end.
+// Package daemon wires the parts of one ingress process together and controls its lifecycle: start, configuration
+// reload, handover to or from another process of the same ingress, drain and exit. Run owns the event loop, and all
+// state of a Daemon belongs to the loop's goroutine unless a comment says otherwise. The package decides nothing about
+// requests; package admission does.
 package daemon
 
 import (
@@ -32,49 +34,66 @@
 	"ferryfront.example/ferryfront/internal/telemetry"
 )
 
-// Options are what a daemon is started with.
+// Options configures a daemon.
 type Options struct {
-	Load      func() (config.Config, error)                  // reads the configuration for a start
-	Reload    func(was config.Config) (config.Config, error) // reads it again while running
-	ReadFront func() (openapi.File, error)                   // reads the file of a second front, nil: none
-	OTLP      string                                         // endpoint, empty: no telemetry
-	Control   string                                         // path of the control socket, empty: none
-	Version   string
-	Log       *slog.Logger
-	Command   []string // what starts the next process of an upgrade: the binary's path, its arguments
-	Members   bool     // ingresses tell each other who is there
-	// ControlReplicas are the addresses of the control group's replicas, none: there is no control group.
+	// LoadConfig reads the configuration at the start of the process.
+	LoadConfig func() (config.Config, error)
+	// ReloadConfig reads the configuration again while the daemon runs. It is called outside the loop's goroutine.
+	ReloadConfig func(previous config.Config) (config.Config, error)
+	// ReadFrontFile reads the file of the second front. Nil: there is no second front.
+	ReadFrontFile func() (openapi.File, error)
+	// OTLPEndpoint is the URL to which telemetry is exported. Empty: none is.
+	OTLPEndpoint string
+	// ControlSocket is the path of the control socket. Empty: there is none.
+	ControlSocket string
+	// Version is the program's version, as logs and the control socket show it.
+	Version string
+	Log     *slog.Logger
+	// UpgradeCommand is the path and the arguments of the binary that an upgrade starts. Empty: upgrades are refused.
+	UpgradeCommand []string
+	// HasMembership enables the membership protocol between ingresses.
+	HasMembership bool
+	// ControlReplicas are the addresses of the control group's replicas. Empty: there is no control group.
 	ControlReplicas []string
-	Limit           func(*limits.Limits)  // changes bounds as the program's own settings say, nil: none
-	Signals         <-chan os.Signal      // SIGTERM and SIGINT end, SIGHUP reloads, SIGUSR2 upgrades
-	Hangups         <-chan os.Signal      // SIGHUP alone, nil: it comes with the others, which a crowd of it may crowd out
-	Notify          func(state ...string) // tells the service manager, see sd_notify(3)
-	Getenv          func(string) string   // environment
-	Embedded        *Embedded             // where the process holds other daemons, too; nil: it has the process to itself
+	// OverrideLimits applies the program's own settings to the limits of a configuration. Nil: there are none.
+	OverrideLimits func(*limits.Limits)
+	// Signals delivers SIGTERM and SIGINT (drain and exit), SIGUSR2 (upgrade) and SIGHUP (reload).
+	Signals <-chan os.Signal
+	// Hangups delivers SIGHUP alone, so that many of them can't displace another signal from Signals. Nil: SIGHUP comes
+	// with Signals.
+	Hangups <-chan os.Signal
+	// Notify sends state to the service manager; see sd_notify(3).
+	Notify func(state ...string)
+	// Getenv reads the environment.
+	Getenv func(string) string
+	// Embedded is set where several daemons share the process. Nil: the daemon has the process to itself.
+	Embedded *Embedded
 }
 
-// Run runs a daemon until its end. A process that was started by another's upgrade takes that one's place.
+// Run runs a daemon and returns when it has ended. The process first tries to take over from a running process of the
+// same ingress: the one that started it in an upgrade, or the one that it is to replace. Run returns an error if the
+// start, the handover or the loop fails.
 func Run(o Options) error {
 	l, err := loop.New()
 	if err != nil {
 		return err
 	}
-	d := &Daemon{o: o, loop: l, log: o.Log, reload: make(chan struct{}, 1)}
-	d.pred = &predecessor{d: d}
-	fd, err := inherited(o.Getenv)
+	d := &Daemon{options: o, loop: l, log: o.Log, frontReload: make(chan struct{}, 1)}
+	d.asPredecessor = &predecessorRole{daemon: d}
+	fd, err := inheritedConnection(o.Getenv)
 	if err != nil {
 		return err
 	}
 	if fd < 0 {
-		if fd, err = d.predecessor(); err != nil {
+		if fd, err = d.connectToPredecessor(); err != nil {
 			return err
 		}
-		d.beside = fd >= 0
+		d.isReplacement = fd >= 0
 	}
 	if fd >= 0 {
-		err = d.succeed(fd)
+		err = d.startAsSuccessor(fd)
 	} else {
-		err = d.begin()
+		err = d.start()
 	}
 	if err != nil {
 		return err
@@ -85,19 +104,19 @@
 		}
 		go func() {
 			for s := range signals {
-				d.signal(s)
+				d.handleSignal(s)
 			}
 		}()
 	}
 	o.Embedded.attach(d)
-	err = errors.Join(d.loop.Run(d), d.fault)
+	err = errors.Join(d.loop.Run(d), d.runError)
 	if o.Embedded == nil {
-		d.endControlGroup(nil) // nothing is sent on any more, however it came to the end
+		d.releaseLeases(nil) // the loop has ended, so no request uses the share any more
 	}
 	o.Embedded.detach(d.loop)
-	d.control.finish()
+	d.controlServer.closeAndWait()
 	if d.telemetry != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), flushMost)
+		ctx, cancel := context.WithTimeout(context.Background(), endFlushTimeout)
 		defer cancel()
 		if err := d.telemetry.Shutdown(ctx); err != nil {
 			d.log.Warn("telemetry not flushed", "error", err)
@@ -106,125 +125,136 @@
 	return err
 }
 
-// flushMost is how long the end of the process may wait for telemetry.
-const flushMost = 150 * time.Millisecond
+// endFlushTimeout bounds each wait at the exit of the process: for answers on the control socket and for telemetry.
+const endFlushTimeout = 150 * time.Millisecond
 
-// Daemon is the program's parts, wired together. All but what is said to be otherwise belongs to the loop.
+// Daemon is one ingress process with all its parts. Its state belongs to the loop's goroutine.
 type Daemon struct {
-	o         Options
-	telemetry *telemetry.Exporter // nil unless an endpoint is set
-	reload    chan struct{}
-	loop      *loop.Loop
-	cfg       config.Config
-	told      config.Config // as last read and taken
-	reloads   int           // asked for and not done; one is read at a time
-	log       *slog.Logger
-	module    *admission.Gateway
-	core      *core.Core
-	server    *downstream.Server
-	hosts     *upstream.Pool
-	counter   *counter.Client // nil where there is none
-	watcher   *discovery.Watcher
-	fronts    []opening
-	control   *control
-	admin     *mgmt.Endpoint // nil where operators have none
-	members   *members       // nil where ingresses do not talk
-	group     *controlGroup  // nil where there is none, or while another process has this one's place
-	agreement *agreement     // nil where no versions are agreed on with others
-	agreed    *agreed        // from the last time that another process took this one's place
-	figures   figures.Metrics
-	awaits    *loop.Source // where a successor is awaited, nil: nowhere
-	beside    bool         // somebody else has started us as a successor
-	draining  bool
-	leaves    bool          // the planned end is for good
-	leaving   bool          // nothing is open any more
-	stallTold time.Duration // when it was last logged that the process stood still
-	fault     error
+	options     Options
+	telemetry   *telemetry.Exporter // nil: no endpoint is set
+	frontReload chan struct{}       // tells the second front's reloader, on a goroutine of its own, to reload
+	loop        *loop.Loop
 
-	pred *predecessor // our part in an upgrade that replaces us
-	succ *successor   // our part in the upgrade that started us, nil if none did
+	// cfg is the configuration in force: the one read at the start with the settings and the drain timeout of all
+	// active versions combined.
+	cfg config.Config
+	// loadedConfig is the configuration as last read and accepted.
+	loadedConfig config.Config
+	// pendingReloads counts the requested reloads that have not finished. They run one at a time.
+	pendingReloads int
+
+	log           *slog.Logger
+	module        *admission.Gateway // the decision module
+	core          *core.Core
+	server        *downstream.Server
+	upstreams     *upstream.Pool
+	counter       *counter.Client // client of the shared counter; nil: there is none
+	watcher       *discovery.Watcher
+	fronts        []listeningFront
+	controlServer *controlServer // nil: no control socket was opened
+	admin         *mgmt.Endpoint // nil: no admin endpoint is open
+
+	members        *members        // nil: membership is off, or was closed for a successor
+	controlGroup   *controlGroup   // nil: there is none, or this process has released its leases
+	agreement      *agreement      // nil: this ingress agrees on no versions with others
+	savedAgreement *savedAgreement // state when the last successor took over; nil: none has
+	metrics        figures.Metrics
+
+	// successorListener accepts replacements that the platform starts. Nil: it is closed.
+	successorListener *loop.Source
+	// isReplacement is set if the platform started this process next to its predecessor.
+	isReplacement       bool
+	isDraining          bool
+	isLeavingMembership bool          // after the drain the other ingresses take over this one's share
+	hasDrained          bool          // the listeners, all streams and all connections are closed
+	stallLoggedAt       time.Duration // loop time of the last log of a stall
+	runError            error         // returned by Run
+
+	asPredecessor *predecessorRole // handovers to a successor
+	asSuccessor   *successorRole   // handover from a predecessor; nil: there was none
 }
 
-// opening is a front and where it listens.
-type opening struct {
-	addr   string
-	front  downstream.Handler
-	ready  func()
-	follow func(admission.Settings)
+// listeningFront is a front and the address that it listens on.
+type listeningFront struct {
+	addr           string
+	handler        downstream.Handler
+	onServing      func() // called once the process serves
+	updateSettings func(admission.Settings)
 }
 
-// noCounter stands where a deployment has none; the module does not call it there.
+// noCounter takes the place of the shared counter in a deployment without one. The module does not call it there.
 type noCounter struct{}
 
 func (noCounter) Add(string, float64, time.Duration) {}
 
-// begin starts without a predecessor.
-func (d *Daemon) begin() error {
+// start starts the daemon without a predecessor. It fails if the configuration can't be used or an address can't be
+// opened.
+func (d *Daemon) start() error {
 	if err := d.assemble(); err != nil {
 		return err
 	}
 	for _, f := range d.fronts {
-		if err := d.server.Listen(f.addr, f.front); err != nil {
+		if err := d.server.Listen(f.addr, f.handler); err != nil {
 			return err
 		}
 	}
 	for _, f := range d.fronts {
-		f.ready()
+		f.onServing()
 	}
-	if err := errors.Join(d.openControl(), d.openAdmin(), d.openMembers()); err != nil {
+	if err := errors.Join(d.openControl(), d.openAdmin(), d.joinMembership()); err != nil {
 		return err
 	}
 	d.openControlGroup()
-	d.await()
-	d.log.Info("serving", "version", d.o.Version, "listen", d.cfg.Listen)
-	d.o.Notify("READY=1")
+	d.listenForSuccessor()
+	d.log.Info("serving", "version", d.options.Version, "listen", d.cfg.Listen)
+	d.options.Notify("READY=1")
 	return nil
 }
 
-// bound keeps the runtime within the machine: one core, and memory collected hard before the platform
-// would kill the process. The live heap is small: to collect at twice its size costs little time, and the
-// heap has its final size within seconds, so that growth that does not stop is seen for what it is.
-func bound(cfg config.Config) {
+// limitRuntime keeps the Go runtime within the configured cores and memory, so that the garbage collector works harder
+// before the platform would kill the process. The live heap is small, so collecting at twice its size costs little
+// time. The heap then reaches its final size within seconds, and a leak can be told from the growth after a start.
+func limitRuntime(cfg config.Config) {
 	runtime.GOMAXPROCS(max(1, int(cfg.Cores)))
 	debug.SetGCPercent(100)
-	shareMemory(cfg.Limits, 1)
+	setMemoryLimit(cfg.Limits, 1)
 }
 
-// shareMemory sets the heap's soft limit: alone to six tenths of what this ingress may have, and while an upgrade
-// is under way, when two processes live on that, to less than a half for each.
-func shareMemory(lim limits.Limits, processes int) {
+// setMemoryLimit sets the runtime's soft memory limit to six tenths of the ingress's memory. During a handover two
+// processes share that memory, and each gets less than half of it.
+func setMemoryLimit(bounds limits.Limits, processes int) {
 	tenths := int64(6)
 	if processes > 1 {
 		tenths = 4
 	}
-	if mb := lim.MemoryMB; mb > 0 {
+	if mb := bounds.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb) << 20 * tenths / 10)
 	}
 }
 
-// assemble reads the configuration and builds all parts; nothing listens yet.
+// assemble reads the configuration and builds all parts. Nothing listens yet.
 func (d *Daemon) assemble() error {
-	cfg, err := d.o.Load()
+	cfg, err := d.options.LoadConfig()
 	if err != nil {
 		return err
 	}
-	if d.o.Limit != nil {
-		d.o.Limit(&cfg.Limits)
+	if d.options.OverrideLimits != nil {
+		d.options.OverrideLimits(&cfg.Limits)
 	}
 	d.log = d.log.With("name", cfg.Name)
-	if d.o.Embedded == nil {
-		bound(cfg)
+	if d.options.Embedded == nil {
+		limitRuntime(cfg)
 	}
-	d.told = cfg
-	// Every refusal tells when to come back, also where clients are not known to heed it.
+	d.loadedConfig = cfg
+	// Every rejection carries a Retry-After, whether or not the configuration says that clients honor it.
 	cfg.Settings.CanSendRetryAfter = true
 	d.cfg = cfg
-	// A front's file that is refused ends the start before anything is opened.
+	// An invalid file of the second front fails the start before anything is opened.
 	var file openapi.File
 	var table *routes.Table
 	var stamp openapi.Stamp
-	if d.o.ReadFront != nil {
-		if file, err = d.o.ReadFront(); err != nil {
+	if d.options.ReadFrontFile != nil {
+		if file, err = d.options.ReadFrontFile(); err != nil {
 			return err
 		}
 		stamp = file.Stamp()
@@ -236,50 +266,50 @@
 		return err
 	}
 	l := d.loop
-	d.hosts = upstream.New(l, cfg.Limits, d.log, &d.figures.UpstreamRequests)
-	d.nameClasses()
-	parts := core.Config{Decider: d.module, Upstreams: d.hosts, Counter: noCounter{}, Cluster: d, Log: d.log, Metrics: &d.figures,
+	d.upstreams = upstream.New(l, cfg.Limits, d.log, &d.metrics.UpstreamRequests)
+	d.addClassMetrics()
+	parts := core.Config{Decider: d.module, Upstreams: d.upstreams, Counter: noCounter{}, Cluster: d, Log: d.log, Metrics: &d.metrics,
 		DeadlineMargin: cfg.Limits.DeadlineMargin}
 	parts.RepeatWindows = core.RepeatWindows(cfg.Settings.Classes)
-	if d.o.OTLP != "" {
-		if d.telemetry, err = newTelemetry(cfg, d.o, d.log); err != nil {
+	if d.options.OTLPEndpoint != "" {
+		if d.telemetry, err = newTelemetry(cfg, d.options, d.log); err != nil {
 			return err
 		}
 		parts.Observer = d.telemetry
 	}
 	d.core = core.New(parts)
-	d.hosts.SetSink(d.core)
+	d.upstreams.SetSink(d.core)
 	if cfg.Settings.HasCounter {
 		d.openCounter(cfg.Counter)
 		d.core.SetCounter(d.counter)
 	}
-	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.hosts, cfg.Known, cfg.Seed)
+	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.upstreams, cfg.Known, cfg.Seed)
 	d.watcher.SetDrained(cfg.Drained)
 	d.server = downstream.New(l, cfg.Limits, d.log)
-	first := platform.New(d.core, cfg.Settings, d.known)
-	d.fronts = append(d.fronts, opening{cfg.Listen, first, func() {}, first.Follow})
+	platformFront := platform.New(d.core, cfg.Settings, d.canServe)
+	d.fronts = append(d.fronts, listeningFront{cfg.Listen, platformFront, func() {}, platformFront.Follow})
 	if table != nil {
 		d.fronts = append(d.fronts, d.secondFront(file, table, stamp))
 	}
 	return nil
 }
 
-// openCounter makes the client of the shared counter.
+// openCounter creates the client of the shared counter.
 func (d *Daemon) openCounter(addr string) {
 	d.counter = counter.New(d.loop, d.cfg.Limits, d.log, addr)
 	d.counter.SetSink(d.core)
 }
 
-// secondFront is the front that a file describes, beside the platform's.
-func (d *Daemon) secondFront(file openapi.File, table *routes.Table, stamp openapi.Stamp) opening {
+// secondFront returns the front that a file describes; it serves next to the platform's front.
+func (d *Daemon) secondFront(file openapi.File, table *routes.Table, stamp openapi.Stamp) listeningFront {
 	f := openapi.New(d.core, d.cfg.Settings, file, table, d.watcher.IsReady, d.log)
-	settings := &atomic.Pointer[admission.Settings]{} // read by the reloader's goroutine
-	start := d.cfg.Settings
-	settings.Store(&start)
-	return opening{file.Listen, f, func() {
+	settings := &atomic.Pointer[admission.Settings]{} // the reloader's goroutine reads it
+	initial := d.cfg.Settings
+	settings.Store(&initial)
+	return listeningFront{file.Listen, f, func() {
 		d.log.Info("second front", "listen", file.Listen, "routes", len(table.All()))
 		if file.Description != "" {
-			r := openapi.Reloader{File: file, Settings: settings.Load, Log: d.log, Every: time.Second, Kick: d.reload,
+			r := openapi.Reloader{File: file, Settings: settings.Load, Log: d.log, Every: time.Second, Kick: d.frontReload,
 				Swap: func(t *routes.Table) { d.loop.Post(func() { f.Swap(t) }) }}
 			go r.Run(stamp)
 		}
@@ -289,97 +319,104 @@
 	}}
 }
 
+// newTelemetry starts the export of telemetry to the endpoint of the options.
 func newTelemetry(cfg config.Config, o Options, log *slog.Logger) (*telemetry.Exporter, error) {
-	c := telemetry.Config{Endpoint: o.OTLP, Instance: cfg.Name, Version: o.Version, Log: log,
+	c := telemetry.Config{Endpoint: o.OTLPEndpoint, Instance: cfg.Name, Version: o.Version, Log: log,
 		Every: cfg.Limits.TelemetryInterval, Queue: cfg.Limits.TelemetryQueueLength, Settings: cfg.Settings}
 	return telemetry.New(c)
 }
 
-// signal runs on the signals' goroutine. What a signal asks for is decided on the loop's.
-func (d *Daemon) signal(s os.Signal) {
+// handleSignal runs on the goroutine that receives signals. The loop's goroutine decides what to do about each.
+func (d *Daemon) handleSignal(s os.Signal) {
 	switch s {
 	case syscall.SIGHUP:
-		d.loop.Post(d.reloadAsked)
+		d.loop.Post(d.handleReloadRequest)
 	case syscall.SIGUSR2:
 		d.loop.Post(func() {
-			if why := d.upgrade(func(Progress) {}); why != "" {
-				d.log.Warn("upgrade not begun", "cause", why)
+			if reason := d.upgrade(func(Progress) {}); reason != "" {
+				d.log.Warn("upgrade not begun", "cause", reason)
 			}
 		})
 	default:
-		d.loop.Post(d.endAsked)
+		d.loop.Post(d.handleEndRequest)
 	}
 }
 
-// trial tells whether the upgrade that started us is not over.
-func (d *Daemon) trial() bool { return d.succ != nil && d.succ.machine.State != phase.Independent }
+// isTakingOver reports whether the handover from this process's predecessor is not finished.
+func (d *Daemon) isTakingOver() bool {
+	return d.asSuccessor != nil && d.asSuccessor.machine.State != phase.Independent
+}
 
-func (d *Daemon) endAsked() {
-	if d.trial() {
-		d.succ.told = true
-		d.succ.handle(phase.EndAsked{})
+// handleEndRequest passes a request to end the process to its role in a handover.
+func (d *Daemon) handleEndRequest() {
+	if d.isTakingOver() {
+		d.asSuccessor.isEndRequested = true
+		d.asSuccessor.handle(phase.EndAsked{})
 		return
 	}
-	d.pred.handle(phase.EndAsked{})
+	d.asPredecessor.handle(phase.EndAsked{})
 }
 
-func (d *Daemon) reloadAsked() {
-	if d.trial() {
-		d.succ.handle(phase.ReloadAsked{})
+// handleReloadRequest reloads the configuration, here or, once a successor serves, there.
+func (d *Daemon) handleReloadRequest() {
+	if d.isTakingOver() {
+		d.asSuccessor.handle(phase.ReloadAsked{})
 		return
 	}
-	d.pred.handle(phase.ReloadAsked{})
-	if !d.pred.machine.Committed() {
-		d.reconfigure()
+	d.asPredecessor.handle(phase.ReloadAsked{})
+	if !d.asPredecessor.machine.Committed() {
+		d.reloadConfig()
 	}
 }
 
-// Refetch asks discovery for the whole list.
+// Refetch asks discovery for the whole list of hosts.
 func (d *Daemon) Refetch() { d.watcher.Refetch() }
 
-// Turn ends a turn of the loop.
+// Turn does what is due at the end of a turn of the loop. It returns the time of the next turn that the core needs, or 0
+// if it needs none.
 func (d *Daemon) Turn(now time.Duration) time.Duration {
-	if d.core == nil { // a successor that has not been told whose place it takes
+	if d.core == nil { // a successor that has received no Welcome has no parts yet
 		return 0
 	}
-	d.noteStall(now)
+	d.logStall(now)
 	next := d.core.Turn(now)
-	d.pred.turn(now)
-	if d.server.ListenersClosed() && d.core.OpenStreams() == 0 && d.server.OpenConnections() == 0 && !d.leaving {
-		d.leaving = true
+	d.asPredecessor.endTurn(now)
+	if d.server.ListenersClosed() && d.core.OpenStreams() == 0 && d.server.OpenConnections() == 0 && !d.hasDrained {
+		d.hasDrained = true
 		d.log.Info("drained")
-		d.sayLeave(func() { d.giveUpControlGroup(d.loop.Stop) })
+		d.announceLeave(func() { d.releaseShareAndLeases(d.loop.Stop) })
 	}
 	return next
 }
 
-// stallEvery: a process that stands still again and again says so that often.
-const stallEvery = 10 * time.Second
+// stallLogInterval is the minimum time between two logs of a stall.
+const stallLogInterval = 10 * time.Second
 
-// noteStall tells the operator that the process stood still: stopped, or without a processor.
-func (d *Daemon) noteStall(now time.Duration) {
-	if late := d.loop.MaxReadDelay(); late > 0 && now-d.stallTold > stallEvery {
-		d.stallTold = now
-		d.log.Warn("process stood still", "at_most", late)
+// logStall logs that the process stalled: it was stopped, or got no processor.
+func (d *Daemon) logStall(now time.Duration) {
+	if delay := d.loop.MaxReadDelay(); delay > 0 && now-d.stallLoggedAt > stallLogInterval {
+		d.stallLoggedAt = now
+		d.log.Warn("process stood still", "at_most", delay)
 	}
 }
 
-// drain is the planned end: new connections are taken a while longer, since the front notices late;
-// every answer closes its connection; then the listener closes, and with the last answer the daemon ends.
+// drain begins the planned end of the process. New connections are accepted for DrainAcceptPeriod more, since whatever
+// sends clients here learns of the drain late, and every answer closes its connection. Then the listeners close, and
+// the daemon ends after the last answer, or DrainTimeout after the drain began.
 func (d *Daemon) drain() {
-	if d.draining {
+	if d.isDraining {
 		return
 	}
-	d.draining = true
-	d.o.Notify("STOPPING=1")
+	d.isDraining = true
+	d.options.Notify("STOPPING=1")
 	d.log.Info("draining", "streams", d.core.OpenStreams(), "connections", d.server.OpenConnections())
 	d.server.Drain()
 	d.loop.After(d.cfg.Limits.DrainAcceptPeriod, d.server.CloseListeners)
-	d.endInTime()
+	d.scheduleForcedEnd()
 }
 
-// fail ends the process with an error.
+// fail stops the loop; Run then returns an error with the text.
 func (d *Daemon) fail(format string, args ...any) {
-	d.fault = fmt.Errorf(format, args...)
+	d.runError = fmt.Errorf(format, args...)
 	d.loop.Stop()
 }
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -16,71 +16,78 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// successor carries out what the new process's machine wants.
-type successor struct {
-	d       *Daemon
-	machine phase.New
-	conn    *handover.Conn
-	timer   *loop.Timer
+// successorRole is a process's side of the handover from its predecessor. It carries out the actions of the state machine
+// phase.New and belongs to the loop's goroutine.
+type successorRole struct {
+	daemon     *Daemon
+	machine    phase.New
+	conn       *handover.Conn
+	phaseTimer *loop.Timer // ends the handover if the predecessor takes too long
 
-	welcome   *pb.Welcome
-	bound     map[string]int // listeners that the old process does not have, by address
-	snapshot  *pb.Snapshot
-	listeners []int // that came with it
-	commit    *pb.Commit
-	customers uint64
-	told      bool // we were told to end
+	welcome        *pb.Welcome    // nil until it has come
+	listenerFDs    map[string]int // descriptors of the listeners by address: opened here, or from the predecessor
+	snapshot       *pb.Snapshot   // nil until it has come
+	snapshotFDs    []int          // descriptors of the listeners that came with the snapshot, in its order
+	commit         *pb.Commit     // nil until it has come; its getters then return 0
+	customerCount  uint64         // customers whose state was taken over
+	isEndRequested bool           // this process was told to end during the handover
 }
 
-// greetMost bounds the time until Welcome: limits are known only once the configuration has been read.
-const greetMost = 5 * time.Second
+// welcomeTimeout is the maximum time until Welcome comes. It is no configured limit, since the configuration is read only
+// after that.
+const welcomeTimeout = 5 * time.Second
 
-// succeed starts as the successor of the process at the other end of a descriptor.
-func (d *Daemon) succeed(fd int) error {
-	if err := os.Unsetenv(handover.Env); err != nil { // it is not for processes that this one starts
+// startAsSuccessor starts the handover from the predecessor at the other end of a descriptor.
+func (d *Daemon) startAsSuccessor(fd int) error {
+	if err := os.Unsetenv(handover.Env); err != nil { // processes that this one starts must not see it
 		return fmt.Errorf("%s: %w", handover.Env, err)
 	}
-	s := &successor{d: d, bound: map[string]int{}}
-	// Only this connection's own bound is needed before the configuration is read.
-	conn, err := handover.New(d.loop, limits.Limits{MaxHandoverMessageBytes: greetBytes}, fd, s)
+	s := &successorRole{daemon: d, listenerFDs: map[string]int{}}
+	// The configuration is not read yet. Of the limits the connection needs only its own.
+	conn, err := handover.New(d.loop, limits.Limits{MaxHandoverMessageBytes: maxSuccessorMessageBytes}, fd, s)
 	if err != nil {
 		return err
 	}
-	s.conn, d.succ = conn, s
-	s.timer = d.loop.After(greetMost, func() { s.handle(phase.TimeUp{}) })
-	if d.beside {
-		d.loop.After(besideMost, s.late)
+	s.conn, d.asSuccessor = conn, s
+	s.phaseTimer = d.loop.After(welcomeTimeout, func() { s.handle(phase.TimeUp{}) })
+	if d.isReplacement {
+		d.loop.After(replacementTimeout, s.stopAwaitingPredecessor)
 	}
-	s.send(&pb.Envelope{Body: &pb.Envelope_Hello{Hello: &pb.Hello{Protocol: phase.Protocol, Version: d.o.Version,
+	s.send(&pb.Envelope{Body: &pb.Envelope_Hello{Hello: &pb.Hello{Protocol: phase.Protocol, Version: d.options.Version,
 		Pid: int64(os.Getpid())}}})
 	return nil
 }
 
-const greetBytes = 64 << 20
+// maxSuccessorMessageBytes is the maximum size of a message from the predecessor.
+const maxSuccessorMessageBytes = 64 << 20
 
-// late ends waiting for a predecessor that somebody else runs. It is not waited for even where only its word could
-// tell whether we serve: should we, after all, it sees our end of the connection closed and serves on.
-func (s *successor) late() {
+// stopAwaitingPredecessor ends a replacement's wait for its predecessor after replacementTimeout. It does so even in the
+// state Holding, in which only the predecessor knows whether this process is to serve: if the predecessor has committed
+// by then, it sees the connection end and serves again.
+func (s *successorRole) stopAwaitingPredecessor() {
 	if s.machine.Serves() || s.machine.State == phase.Ended {
 		return
 	}
 	s.handle(phase.TimeUp{})
 	if s.machine.State == phase.Holding {
-		s.d.startOver("the old process has said nothing while holding")
+		s.daemon.restartStandalone("the old process sent no commit in time")
 	}
 }
 
-func (s *successor) send(e *pb.Envelope) { s.conn.Send(e) }
+// send sends a message to the predecessor.
+func (s *successorRole) send(e *pb.Envelope) { s.conn.Send(e) }
 
-func (s *successor) handle(ev phase.Event) {
-	for _, a := range s.machine.Handle(ev) {
-		s.do(a)
+// handle passes an event to the state machine and carries out the actions.
+func (s *successorRole) handle(ev phase.Event) {
+	for _, action := range s.machine.Handle(ev) {
+		s.execute(action)
 	}
 }
 
-func (s *successor) do(a phase.Action) {
-	d := s.d
-	switch a {
+// execute carries out one action of the state machine.
+func (s *successorRole) execute(action phase.Action) {
+	d := s.daemon
+	switch action {
 	case phase.Prepare:
 		s.prepare()
 	case phase.SendPrepared:
@@ -92,7 +99,7 @@
 		}
 		s.handle(phase.RestoredAll{})
 	case phase.SendRestored:
-		s.send(&pb.Envelope{Body: &pb.Envelope_Restored{Restored: &pb.Restored{Customers: s.customers}}})
+		s.send(&pb.Envelope{Body: &pb.Envelope_Restored{Restored: &pb.Restored{Customers: s.customerCount}}})
 	case phase.Serve:
 		s.serve()
 	case phase.SendServing:
@@ -104,26 +111,26 @@
 	case phase.Drain:
 		d.drain()
 	case phase.Forget:
-		s.forget()
+		s.handlePredecessorExit()
 	case phase.ReloadOwn:
-		d.reconfigure()
+		d.reloadConfig()
 	case phase.Exit:
-		if d.beside && s.told {
+		if d.isReplacement && s.isEndRequested {
 			d.loop.Stop()
 			return
 		}
-		if d.beside {
-			d.startOver(s.machine.Failure)
+		if d.isReplacement {
+			d.restartStandalone(s.machine.Failure)
 			return
 		}
 		d.fail("upgrade not taken over: %s", s.machine.Failure)
 	case phase.StopClock:
-		s.timer.Stop()
+		s.phaseTimer.Stop()
 	}
 }
 
-// Lost: the old process has ended, or can't be understood.
-func (s *successor) Lost(err error) {
+// Lost handles the end of the connection: the predecessor has ended, or what it sends can't be parsed.
+func (s *successorRole) Lost(err error) {
 	if errors.Is(err, io.EOF) {
 		s.handle(phase.PeerGone{})
 		return
@@ -131,17 +138,17 @@
 	s.handle(phase.Garbled{Why: err.Error()})
 }
 
-// Message takes one of the old process's.
-func (s *successor) Message(e *pb.Envelope, fds []int) {
-	d := s.d
-	restored := s.snapshot != nil && s.machine.State != phase.Ended
+// Message handles a message of the predecessor, and takes over or closes the descriptors that came with it.
+func (s *successorRole) Message(e *pb.Envelope, fds []int) {
+	d := s.daemon
+	isRestored := s.snapshot != nil && s.machine.State != phase.Ended
 	now := d.loop.Now()
 	switch m := e.GetBody().(type) {
 	case *pb.Envelope_Welcome:
 		s.welcome = m.Welcome
 		s.handle(phase.Told{Message: phase.Welcome, Protocol: int(m.Welcome.GetProtocol())})
 	case *pb.Envelope_Customers:
-		if s.machine.State != phase.Waiting || restored {
+		if s.machine.State != phase.Waiting || isRestored {
 			break
 		}
 		for _, c := range m.Customers.GetCustomers() {
@@ -152,7 +159,7 @@
 			s.send(&pb.Envelope{Body: &pb.Envelope_CaughtUp{CaughtUp: &pb.CaughtUp{}}})
 		}
 	case *pb.Envelope_Snapshot:
-		s.snapshot, s.listeners = m.Snapshot, fds
+		s.snapshot, s.snapshotFDs = m.Snapshot, fds
 		fds = nil
 		s.handle(phase.Told{Message: phase.Snapshot})
 	case *pb.Envelope_Commit:
@@ -169,30 +176,30 @@
 		}
 	case *pb.Envelope_Upstream:
 		if len(fds) == 1 && s.machine.Serves() {
-			if err := d.hosts.AdoptConnection(m.Upstream.GetHost(), time.Duration(m.Upstream.GetSince()), fds[0]); err != nil {
+			if err := d.upstreams.AdoptConnection(m.Upstream.GetHost(), time.Duration(m.Upstream.GetSince()), fds[0]); err != nil {
 				d.log.Warn("upstream connection not taken over", "error", err)
 			}
 			fds = nil
 		}
 	case *pb.Envelope_Sent:
-		if restored {
+		if isRestored {
 			at := time.Duration(m.Sent.GetAt())
 			d.module.PredecessorSent(now, m.Sent.GetStream(), m.Sent.GetHost())
 			d.core.PredecessorSent(m.Sent.GetStream(), m.Sent.GetHost(), at)
 		}
 	case *pb.Envelope_Attempt:
-		if restored {
+		if isRestored {
 			ev, at := handover.FromAttempt(m.Attempt)
 			d.module.PredecessorAttemptEnded(now, ev)
 			d.core.PredecessorAttemptEnded(ev.ID, ev.Server, at-ev.Took, ev.Outcome)
 		}
 	case *pb.Envelope_Done:
-		if restored {
+		if isRestored {
 			d.core.Execute(d.module.PredecessorDone(now, m.Done.GetStream()))
 			d.core.PredecessorStreamDone(m.Done.GetStream())
 		}
 	case *pb.Envelope_CounterReleased:
-		s.wholeCounter()
+		s.useAllCounterConns()
 	case *pb.Envelope_Settled:
 		s.handle(phase.Told{Message: phase.Settled})
 	case *pb.Envelope_Reload:
@@ -201,23 +208,23 @@
 		s.handle(phase.EndAsked{})
 	case *pb.Envelope_Farewell:
 		s.handle(phase.Told{Message: phase.Farewell})
-	default: // of a later version of the protocol's fields, which an earlier one may pass over
+	default: // a message of a later version of the program, which this one may ignore
 	}
-	for _, fd := range fds { // of a message that should have had none
+	for _, fd := range fds { // the message should have carried none, or this process does not serve
 		loop.CloseFD(fd)
 	}
 }
 
-// prepare builds all parts. Listeners of the old process will come; others are opened here, where a failure
-// still costs nothing.
-func (s *successor) prepare() {
-	d := s.d
+// prepare builds all parts. The predecessor's listeners come with the snapshot. Other listeners are opened here, where a
+// failure costs no request: the predecessor still serves and carries on.
+func (s *successorRole) prepare() {
+	d := s.daemon
 	if err := d.assemble(); err != nil {
 		s.handle(phase.Unfit{Why: err.Error()})
 		return
 	}
-	shareMemory(d.cfg.Limits, 2)
-	if d.beside { // its admin endpoint is its own, and tells that it is not ready yet
+	setMemoryLimit(d.cfg.Limits, 2)
+	if d.isReplacement { // it has an admin endpoint of its own, which reports that the process is not ready yet
 		if err := d.openAdmin(); err != nil {
 			s.handle(phase.Unfit{Why: err.Error()})
 			return
@@ -241,96 +248,102 @@
 			s.handle(phase.Unfit{Why: err.Error()})
 			return
 		}
-		s.bound[f.addr] = fd
+		s.listenerFDs[f.addr] = fd
 	}
-	s.timer.Stop()
-	s.timer = d.loop.After(d.cfg.Limits.PrepareTimeout+d.cfg.Limits.CopyTimeout, func() { s.handle(phase.TimeUp{}) })
+	s.phaseTimer.Stop()
+	s.phaseTimer = d.loop.After(d.cfg.Limits.PrepareTimeout+d.cfg.Limits.CopyTimeout, func() { s.handle(phase.TimeUp{}) })
 	s.awaitCluster()
 }
 
-// clusterEvery is how often it is looked whether discovery has spoken.
-const clusterEvery = 2 * time.Millisecond
+// clusterPollInterval is the time between two checks whether the cluster's hosts are known.
+const clusterPollInterval = 2 * time.Millisecond
 
-// awaitCluster: ready with discovery's list; or without, after the time in which a start is, too.
-func (s *successor) awaitCluster() {
+// awaitCluster waits for the cluster's hosts and then reports this process ready. It waits for discovery no longer than a
+// start without a predecessor does.
+func (s *successorRole) awaitCluster() {
 	if s.machine.State != phase.Building {
 		return
 	}
-	if s.d.watcher.IsReady() {
+	if s.daemon.watcher.IsReady() {
 		s.handle(phase.Ready{})
 		return
 	}
-	s.d.loop.After(clusterEvery, s.awaitCluster)
+	s.daemon.loop.After(clusterPollInterval, s.awaitCluster)
 }
 
-// restore puts the old process's state in place.
-func (s *successor) restore() error {
-	d := s.d
+// restore takes over the state in the predecessor's snapshot, and its listeners. It fails if the snapshot does not fit
+// this process or a listener can't be used.
+func (s *successorRole) restore() error {
+	d := s.daemon
 	names := s.snapshot.GetListeners()
-	if len(names) != len(s.listeners) {
-		return fmt.Errorf("%d listeners were told of and %d have come", len(names), len(s.listeners))
+	if len(names) != len(s.snapshotFDs) {
+		return fmt.Errorf("%d listeners were told of and %d have come", len(names), len(s.snapshotFDs))
 	}
 	d.loop.SetClockOffset(time.Duration(s.snapshot.GetClockOffset()))
 	if err := d.module.Restore(handover.FromGateway(s.snapshot.GetGateway())); err != nil {
 		return err
 	}
-	s.customers = uint64(d.module.CustomerCount())
+	s.customerCount = uint64(d.module.CustomerCount())
 	now := d.loop.Now()
 	open := handover.FromOpen(s.snapshot)
 	d.core.Restore(now, open, d.module.Adopt(now))
 	d.watcher.Adopt(handover.FromHosts(s.snapshot))
-	for i, fd := range s.listeners {
-		at := slices.IndexFunc(d.fronts, func(f opening) bool { return f.addr == names[i] })
-		if at < 0 { // the configuration has dropped it
+	for i, fd := range s.snapshotFDs {
+		front := slices.IndexFunc(d.fronts, func(f listeningFront) bool { return f.addr == names[i] })
+		if front < 0 { // the configuration has no front at this address any more
 			loop.CloseFD(fd)
 			continue
 		}
-		s.bound[names[i]] = fd
+		s.listenerFDs[names[i]] = fd
 	}
 	for _, f := range d.fronts {
-		if err := d.server.AdoptListener(s.bound[f.addr], f.addr, f.front); err != nil {
+		if err := d.server.AdoptListener(s.listenerFDs[f.addr], f.addr, f.handler); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *successor) serve() {
-	d := s.d
+// serve makes this process serve in place of its predecessor, after the predecessor's commit or its death.
+func (s *successorRole) serve() {
+	d := s.daemon
 	d.server.SetPredecessorConnections(int(s.commit.GetClients()))
-	d.hosts.SetPredecessorConnections(int(s.commit.GetUpstreams()))
+	d.upstreams.SetPredecessorConnections(int(s.commit.GetUpstreams()))
 	d.server.Resume()
 	for _, f := range d.fronts {
-		f.ready()
+		f.onServing()
 	}
 	if err := errors.Join(d.openControl(), d.openAdmin()); err != nil {
 		d.log.Warn("control socket not opened", "error", err)
 	}
-	d.openMembersAgain()
+	d.rejoinMembership()
 	d.openControlGroup()
-	d.await()
-	d.log.Info("taken over", "version", d.o.Version, "from", s.welcome.GetVersion(), "listen", d.cfg.Listen,
-		"customers", s.customers, "streams", d.core.PredecessorStreams(), "clock", d.loop.ClockOffset())
-	d.o.Notify("READY=1", "MAINPID="+strconv.Itoa(os.Getpid()))
+	d.listenForSuccessor()
+	d.log.Info("taken over", "version", d.options.Version, "from", s.welcome.GetVersion(), "listen", d.cfg.Listen,
+		"customers", s.customerCount, "streams", d.core.PredecessorStreams(), "clock", d.loop.ClockOffset())
+	d.options.Notify("READY=1", "MAINPID="+strconv.Itoa(os.Getpid()))
 }
 
-func (s *successor) wholeCounter() {
-	if d := s.d; d.counter != nil {
+// useAllCounterConns raises the number of connections to the counter from UpgradeCounterConns to CounterConns, once the
+// predecessor has closed its own.
+func (s *successorRole) useAllCounterConns() {
+	if d := s.daemon; d.counter != nil {
 		d.counter.Resize(d.cfg.Limits.CounterConns)
 	}
 }
 
-// forget goes on alone: the old process is gone, and with it all that it still had.
-func (s *successor) forget() {
-	d := s.d
+// handlePredecessorExit ends the handover: the predecessor is gone, and with it the streams and connections that it still
+// had.
+func (s *successorRole) handlePredecessorExit() {
+	d := s.daemon
 	if n := d.core.PredecessorStreams(); n > 0 {
 		d.log.Warn("the old process has ended with open streams", "streams", n)
 	}
 	d.core.Execute(d.module.PredecessorGone(d.loop.Now()))
 	d.core.PredecessorExited()
 	d.server.SetPredecessorConnections(0)
-	d.hosts.SetPredecessorConnections(0)
-	s.wholeCounter()
-	shareMemory(d.cfg.Limits, 1)
+	d.upstreams.SetPredecessorConnections(0)
+	s.useAllCounterConns()
+	setMemoryLimit(d.cfg.Limits, 1)
 	s.conn.Close()
 }
