--- a/admission/estimate/estimate_test.go
+++ b/admission/estimate/estimate_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestWhatIsNotSeenGoesBackToWhatIsTakenForGranted(t *testing.T) {
+func TestFadingAverageDecaysToZero(t *testing.T) {
 	var f FadingAverage
 	for i := range 20 {
 		f.Learn(time.Duration(i)*time.Second, 5, 0.3, 1)
@@ -19,7 +19,7 @@
 	require.Less(t, late, 0.001)
 }
 
-func TestWarmthComesUpEvenlyAndNeverFalls(t *testing.T) {
+func TestWarmUpShareNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, full := rapid.Float64Range(0, 1).Draw(t, "from"), time.Duration(rapid.IntRange(1, 30).Draw(t, "full"))*time.Second
 		last := 0.0
@@ -34,7 +34,7 @@
 	})
 }
 
-func TestMostAtStakeKeepsItsPart(t *testing.T) {
+func TestExponentsLeaveHighestCostUnchanged(t *testing.T) {
 	p := Exponents([]float64{4, 1, 0}, func(f float64) float64 { return f })
 	require.Equal(t, []float64{1, 4, maxExponent}, p)
 	require.Equal(t, []float64{1, 1}, Exponents([]float64{0, 0}, func(f float64) float64 { return f }))
@@ -42,7 +42,7 @@
 
 // What keeps a kind of request out is believed less and less, as fast however many are turned away; what does not is
 // left alone.
-func TestWhatKeepsAllOutIsDoubted(t *testing.T) {
+func TestDoubtDecaysLatencyByTime(t *testing.T) {
 	few, many := LatencyModel{Latency: 1, Units: 1}, LatencyModel{Latency: 1, Units: 1}
 	for i := range 200 {
 		now := time.Hour + time.Duration(i)*100*time.Millisecond
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestALevelLetsInTheWholesPart(t *testing.T) {
+func TestLevelAdmitsTheGivenShare(t *testing.T) {
 	m := Mix{1, 1, 1}
 	for i := range 2000 {
 		m.Learn(min(2, i%10), 0.02) // a tenth, a tenth, the rest
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -10,73 +10,73 @@
 
 // A fleet is many gateways in one process before plain hosts that answer as told, with all times the same.
 type fleet struct {
-	doors []*desk
-	hosts []ServerEntry
-	id    uint64
-	sends map[string]int          // by host, of all doors together
-	users map[string]map[int]bool // doors that have sent to a host
-	ends  map[time.Duration][]func()
+	gateways       []*driver
+	hosts          []ServerEntry
+	lastRequestID  uint64
+	sendsByHost    map[string]int          // by host, of all doors together
+	gatewaysByHost map[string]map[int]bool // doors that have sent to a host
+	attemptEnds    map[time.Duration][]func()
 }
 
 func newFleet(t *testing.T, gateways, hosts int) *fleet {
-	f := &fleet{sends: map[string]int{}, users: map[string]map[int]bool{}, ends: map[time.Duration][]func(){}}
+	f := &fleet{sendsByHost: map[string]int{}, gatewaysByHost: map[string]map[int]bool{}, attemptEnds: map[time.Duration][]func(){}}
 	for i := range hosts {
 		f.hosts = append(f.hosts, ServerEntry{Name: fmt.Sprintf("s-%08x", uint32(i+1)*2654435761), Zone: "a", Size: 1})
 	}
 	for me := range gateways {
-		s := base()
+		s := testSettings()
 		s.Gateways, s.Index, s.MaxUnits = gateways, me, 1
-		s.Plans[hard] = Plan{Name: "hard", Rate: 8, Burst: 20, CeilingRate: 18, CeilingBurst: 45, CeilingSlack: 4.5}
-		d := newDesk(t, s)
-		d.do(ServerList{Kind: ListFull, Servers: f.hosts})
-		f.doors = append(f.doors, d)
+		s.Plans[ceilingPlan] = Plan{Name: "hard", Rate: 8, Burst: 20, CeilingRate: 18, CeilingBurst: 45, CeilingSlack: 4.5}
+		d := newDriver(t, s)
+		d.handle(ServerList{Kind: ListFull, Servers: f.hosts})
+		f.gateways = append(f.gateways, d)
 	}
 	return f
 }
 
 // run gives the doors a request each in turn, n in all, so far apart; took tells how and when a host answers.
 func (f *fleet) run(n int, apart time.Duration, took func(host string) (Outcome, time.Duration)) {
-	now := f.doors[0].now
+	now := f.gateways[0].now
 	for i := range n {
 		for end := now + apart; now < end; now += ms {
-			due := f.ends[now]
-			delete(f.ends, now)
+			due := f.attemptEnds[now]
+			delete(f.attemptEnds, now)
 			for _, over := range due {
 				over()
 			}
 		}
-		f.id++
-		f.give(i%len(f.doors), now, RequestArrived{ID: f.id, Plan: -1, ExpiresIn: time.Second, Units: 1}, took)
+		f.lastRequestID++
+		f.handle(i%len(f.gateways), now, RequestArrived{ID: f.lastRequestID, Plan: -1, ExpiresIn: time.Second, Units: 1}, took)
 	}
-	for _, d := range f.doors {
+	for _, d := range f.gateways {
 		d.now = now
 	}
 }
 
-func (f *fleet) give(me int, now time.Duration, ev Event, took func(string) (Outcome, time.Duration)) {
-	for _, x := range find[Send](append([]Action(nil), f.doors[me].g.Handle(now, ev)...)) {
-		f.sends[x.Server]++
-		if f.users[x.Server] == nil {
-			f.users[x.Server] = map[int]bool{}
+func (f *fleet) handle(me int, now time.Duration, ev Event, took func(string) (Outcome, time.Duration)) {
+	for _, x := range actionsOf[Send](append([]Action(nil), f.gateways[me].g.Handle(now, ev)...)) {
+		f.sendsByHost[x.Server]++
+		if f.gatewaysByHost[x.Server] == nil {
+			f.gatewaysByHost[x.Server] = map[int]bool{}
 		}
-		f.users[x.Server][me] = true
+		f.gatewaysByHost[x.Server][me] = true
 		o, after := took(x.Server)
 		end := AttemptEnded{ID: x.ID, Server: x.Server, Outcome: o, Took: after, Done: o == OK,
-			Attempt: len(f.doors[me].g.requests[x.ID].attempts) - 1}
+			Attempt: len(f.gateways[me].g.requests[x.ID].attempts) - 1}
 		at := now + max(ms, after)
-		f.ends[at] = append(f.ends[at], func() { f.give(me, at, end, took) })
+		f.attemptEnds[at] = append(f.attemptEnds[at], func() { f.handle(me, at, end, took) })
 	}
 }
 
 // At many doors a full mesh of connections fills every host's table, and no door learns of any host.
-func TestEachHostIsUsedByItsShareOfTheDoors(t *testing.T) {
+func TestEachHostIsUsedByItsShareOfGateways(t *testing.T) {
 	for _, size := range []struct{ doors, hosts int }{{10, 12}, {80, 60}, {300, 60}} {
 		f := newFleet(t, size.doors, size.hosts)
 		f.run(40*size.doors, max(ms, 1000*ms/time.Duration(10*size.doors)),
 			func(string) (Outcome, time.Duration) { return OK, 60 * ms })
-		share := f.doors[0].g.subsetSize * size.doors / size.hosts
+		share := f.gateways[0].g.subsetSize * size.doors / size.hosts
 		for _, h := range f.hosts {
-			if n := len(f.users[h.Name]); n == 0 || n > share*3/2+2 {
+			if n := len(f.gatewaysByHost[h.Name]); n == 0 || n > share*3/2+2 {
 				t.Errorf("%d doors, %d hosts: host %s is used by %d doors, its share is %d", size.doors, size.hosts,
 					h.Name, n, share)
 			}
@@ -85,18 +85,18 @@
 }
 
 // Few doors use all hosts, as ever: what they learn of each is enough.
-func TestFewDoorsUseAllHosts(t *testing.T) {
+func TestSmallFleetUsesAllHosts(t *testing.T) {
 	f := newFleet(t, 3, 12)
 	f.run(600, 20*ms, func(string) (Outcome, time.Duration) { return OK, 60 * ms })
 	for _, h := range f.hosts {
-		if len(f.users[h.Name]) != 3 {
-			t.Errorf("host %s is used by %d of 3 doors", h.Name, len(f.users[h.Name]))
+		if len(f.gatewaysByHost[h.Name]) != 3 {
+			t.Errorf("host %s is used by %d of 3 doors", h.Name, len(f.gatewaysByHost[h.Name]))
 		}
 	}
 }
 
 // Four in five hosts are gone and no list has said so: each door looks for others, and finds them, by few sends.
-func TestASubsetOfDeadHostsIsWidened(t *testing.T) {
+func TestSubsetOfDeadHostsIsWidened(t *testing.T) {
 	f := newFleet(t, 80, 60)
 	dead := map[string]bool{}
 	for i, h := range f.hosts {
@@ -109,10 +109,10 @@
 		return OK, 60 * ms
 	}
 	f.run(1600, ms, answer)
-	clear(f.sends)
+	clear(f.sendsByHost)
 	f.run(16000, 2*ms, answer)
 	lost, all := 0, 0
-	for name, n := range f.sends {
+	for name, n := range f.sendsByHost {
 		if all += n; dead[name] {
 			lost += n
 		}
@@ -124,13 +124,13 @@
 
 // Doors of a customer with a hard ceiling, all asked for several times what it allows, with a counter that
 // loses answers and comes back empty: together they never send more than the store holds.
-func TestManyDoorsHoldACeilingTogether(t *testing.T) {
+func TestManyGatewaysKeepCeilingTogether(t *testing.T) {
 	for _, doors := range []int{3, 26, 80} {
 		f := newFleet(t, doors, 12)
-		s := f.doors[0].g.settings
-		p := s.Plans[hard]
+		s := f.gateways[0].g.settings
+		p := s.Plans[ceilingPlan]
 		store, worst, sent, lost := p.CeilingBurst, 0.0, 0, 0
-		totals, last := map[string]float64{}, f.doors[0].now
+		totals, last := map[string]float64{}, f.gateways[0].now
 		began := last
 		for i := range 6000 {
 			now := began + time.Duration(i)*5*ms
@@ -138,7 +138,7 @@
 				clear(totals)
 			}
 			me := i * 7 % doors
-			g := f.doors[me].g
+			g := f.gateways[me].g
 			var handle func(ev Event)
 			handle = func(ev Event) {
 				for _, a := range append([]Action(nil), g.Handle(now, ev)...) {
@@ -158,7 +158,7 @@
 					}
 				}
 			}
-			handle(RequestArrived{ID: uint64(i + 1), Plan: hard, Customer: 77, ExpiresIn: time.Second, Units: 1, Gateways: doors})
+			handle(RequestArrived{ID: uint64(i + 1), Plan: ceilingPlan, Customer: 77, ExpiresIn: time.Second, Units: 1, Gateways: doors})
 		}
 		if worst < -p.CeilingSlack || lost == 0 {
 			t.Errorf("%d doors: the store went to %.1f, its slack is %.1f (%d calls lost)", doors, worst, p.CeilingSlack, lost)
@@ -172,16 +172,16 @@
 
 // Where there is less capacity than is asked for, what is worth least is refused first.
 func TestLateAnswersShedTheClassOfLowestWorth(t *testing.T) {
-	s := sized()
+	s := largeFleetSettings()
 	s.Classes[0].Worth, s.Classes[1].Worth = 1, 3
-	d := newDesk(t, s, "s1")
+	d := newDriver(t, s, "s1")
 	d.g.admitShare = 0.8
 	let := [2]int{}
 	for id := uint64(1); id <= 400; id++ {
 		class := int(id % 2)
-		d.ask(id, class, free, 1)
-		let[class] += len(find[Send](d.got)) + len(d.g.held)
-		for _, x := range find[Send](d.look()) {
+		d.arrive(id, class, unlimitedPlan, 1)
+		let[class] += len(actionsOf[Send](d.actions)) + len(d.g.held)
+		for _, x := range actionsOf[Send](d.takeActions()) {
 			delete(d.g.requests, x.ID)
 		}
 		d.g.held, d.g.liveAttempts, d.g.servers["s1"].outstanding = nil, 0, nil
@@ -196,16 +196,16 @@
 
 // A third of the hosts start cold at one instant. All doors together send such a host more than nothing, and
 // never what would push it over: by the stated slow start it can do less than it may in truth.
-func TestManyDoorsWarmHostsUpTogether(t *testing.T) {
+func TestManyGatewaysWarmUpHostsTogether(t *testing.T) {
 	for _, doors := range []int{3, 80} {
 		f := newFleet(t, doors, 30)
-		s := f.doors[0].g.settings
-		boot := f.doors[0].now
-		for _, d := range f.doors {
+		s := f.gateways[0].g.settings
+		boot := f.gateways[0].now
+		for _, d := range f.gateways {
 			for i := range f.hosts[:10] {
 				f.hosts[i].Boot = boot
 			}
-			d.do(ServerList{Kind: ListFull, Servers: f.hosts})
+			d.handle(ServerList{Kind: ListFull, Servers: f.hosts})
 		}
 		const perHost = 12.0 // requests a second that a warm host is meant for, six tenths of what it can do
 		n := int(perHost * 30 * 3)
@@ -213,9 +213,9 @@
 		can := perHost / 0.6 * 3 * (s.InitialCapacity + (1-s.InitialCapacity)*1.5/s.WarmUpTime.Seconds())
 		cold := 0
 		for _, h := range f.hosts[:10] {
-			cold += f.sends[h.Name]
-			if float64(f.sends[h.Name]) > s.ColdOverloadFactor*can {
-				t.Errorf("%d doors sent %d to a cold host that can do %.1f", doors, f.sends[h.Name], can)
+			cold += f.sendsByHost[h.Name]
+			if float64(f.sendsByHost[h.Name]) > s.ColdOverloadFactor*can {
+				t.Errorf("%d doors sent %d to a cold host that can do %.1f", doors, f.sendsByHost[h.Name], can)
 			}
 		}
 		if float64(cold) < 6*can {
@@ -225,10 +225,10 @@
 }
 
 // A host that is slow beside the others is late by itself: only where others are late, too, is that throttled.
-func TestASlowHostAmongOthersDoesNotThrottle(t *testing.T) {
+func TestOneSlowHostDoesNotThrottleAdmission(t *testing.T) {
 	for _, slow := range []int{1, 8} {
-		s := sized()
-		d := newDesk(t, s, "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
+		s := largeFleetSettings()
+		d := newDriver(t, s, "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
 		d.g.classLatency[0] = estimate.LatencyModel{Latency: 0.05, Units: 1}
 		for i := range slow {
 			d.g.preferred[i].relativeLatency, d.g.preferred[i].lastResponseAt = 4, d.now
@@ -247,21 +247,21 @@
 // Where few are admitted the least worth is turned away first, but not nearly all of it: with four in five of all
 // admitted, nearly all of the best class and two thirds of one worth a third.
 func TestClassesOfLowWorthAreNotStarved(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.Classes = s.Classes[:2:2]
 	s.Classes[0].Worth, s.Classes[1].Worth = 3, 1
-	d := newDesk(t, s, "s1")
+	d := newDriver(t, s, "s1")
 	passed := [2]int{}
 	for id := range uint64(4000) {
 		d.g.admitShare = 0.8
 		class := int(id % 2)
-		d.do(RequestArrived{ID: id + 1, Class: class, Plan: free, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 1})
-		for _, sent := range find[Send](d.look()) {
+		d.handle(RequestArrived{ID: id + 1, Class: class, Plan: unlimitedPlan, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 1})
+		for _, sent := range actionsOf[Send](d.takeActions()) {
 			passed[class]++
-			d.do(AttemptEnded{ID: sent.ID, Server: sent.Server, Outcome: OK, Took: ms, Done: true})
+			d.handle(AttemptEnded{ID: sent.ID, Server: sent.Server, Outcome: OK, Took: ms, Done: true})
 		}
-		d.wait(5 * ms)
-		d.look()
+		d.advance(5 * ms)
+		d.takeActions()
 	}
 	if best, least := float64(passed[0])/2000, float64(passed[1])/2000; best < 0.9 || least < 0.6 || least > 0.7 {
 		t.Errorf("admitted: %.2f of the best class, %.2f of the least", best, least)
--- a/admission/membership_test.go
+++ b/admission/membership_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// ceilingFleet is one whose customers have a ceiling and nothing else, and so need no counter.
-func ceilingFleet(t *testing.T, doors int) *fleet {
+// newCeilingFleet is one whose customers have a ceiling and nothing else, and so need no counter.
+func newCeilingFleet(t *testing.T, doors int) *fleet {
 	f := newFleet(t, doors, 4)
-	for _, d := range f.doors {
-		d.g.settings.Plans[hard] = Plan{Name: "hard", CeilingRate: 18, CeilingBurst: 45, CeilingSlack: 4.5}
+	for _, d := range f.gateways {
+		d.g.settings.Plans[ceilingPlan] = Plan{Name: "hard", CeilingRate: 18, CeilingBurst: 45, CeilingSlack: 4.5}
 	}
 	return f
 }
 
-// ceilingSent is how many requests of one customer the doors of a fleet but skip send on, asked without end.
-func ceilingSent(f *fleet, from, to time.Duration, skip int) (sent int) {
+// countSentUnderCeiling is how many requests of one customer the doors of a fleet but skip send on, asked without end.
+func countSentUnderCeiling(f *fleet, from, to time.Duration, skip int) (sent int) {
 	for now := from; now < to; now += 5 * ms {
-		for me, d := range f.doors {
+		for me, d := range f.gateways {
 			if me == skip {
 				continue
 			}
-			f.id++
-			ev := RequestArrived{ID: f.id, Plan: hard, Customer: 7, ExpiresIn: time.Second, Units: 1, Gateways: len(f.doors)}
-			for _, s := range find[Send](append([]Action(nil), d.g.Handle(now, ev)...)) {
+			f.lastRequestID++
+			ev := RequestArrived{ID: f.lastRequestID, Plan: ceilingPlan, Customer: 7, ExpiresIn: time.Second, Units: 1, Gateways: len(f.gateways)}
+			for _, s := range actionsOf[Send](append([]Action(nil), d.g.Handle(now, ev)...)) {
 				sent++
 				d.g.Handle(now, AttemptEnded{ID: s.ID, Server: s.Server, Outcome: OK, Took: ms, Done: true})
 			}
@@ -33,20 +33,20 @@
 	return sent
 }
 
-func told(f *fleet, now time.Duration, ev FleetChanged, doors ...int) {
+func changeMembership(f *fleet, now time.Duration, ev FleetChanged, doors ...int) {
 	for _, me := range doors {
-		f.doors[me].g.Handle(now, ev)
+		f.gateways[me].g.Handle(now, ev)
 	}
 }
 
 // Of a ceiling's store, the parts of the doors that are there add up to the whole, whoever is out and however many.
-func TestPartsOfThoseThereAddUpToTheWhole(t *testing.T) {
+func TestCeilingPartsOfPresentGatewaysAddUp(t *testing.T) {
 	for _, out := range [][]int{nil, {0}, {2}, {1, 3}, {0, 1, 2}} {
 		f := newFleet(t, 4, 4)
 		sum, fill := 0.0, 0.0
-		for me, d := range f.doors {
+		for me, d := range f.gateways {
 			d.g.Handle(d.now, FleetChanged{Absent: out})
-			c := d.g.ensureCustomer(7, hard, 4, 1)
+			c := d.g.ensureCustomer(7, ceilingPlan, 4, 1)
 			if c.gateways != float64(4-len(out)) {
 				t.Errorf("out %v: %v doors", out, c.gateways)
 			}
@@ -58,7 +58,7 @@
 				sum, fill = sum+c.ceilingBurst, fill+c.ceilingRate
 			}
 		}
-		p := f.doors[0].g.settings.Plans[hard]
+		p := f.gateways[0].g.settings.Plans[ceilingPlan]
 		if whole := p.CeilingBurst + usedSlackShare*p.CeilingSlack; math.Abs(sum-whole) > 1e-6 || math.Abs(fill-p.CeilingRate) > 1e-6 {
 			t.Errorf("out %v: parts %v of %v, filled at %v of %v", out, sum, whole, fill, p.CeilingRate)
 		}
@@ -66,45 +66,45 @@
 }
 
 // A gateway that others may count out sends nothing on under a ceiling until it is sure, and then its part.
-func TestAnUnsureGatewayHasNoPartOfACeiling(t *testing.T) {
-	f := ceilingFleet(t, 2)
-	now := f.doors[0].now
-	told(f, now, FleetChanged{IsUncertain: true}, 0, 1)
-	if n := ceilingSent(f, now+time.Second, now+3*time.Second, -1); n != 0 {
+func TestUncertainGatewayHasNoPartOfCeiling(t *testing.T) {
+	f := newCeilingFleet(t, 2)
+	now := f.gateways[0].now
+	changeMembership(f, now, FleetChanged{IsUncertain: true}, 0, 1)
+	if n := countSentUnderCeiling(f, now+time.Second, now+3*time.Second, -1); n != 0 {
 		t.Errorf("%d sent by unsure gateways", n)
 	}
-	told(f, now+3*time.Second, FleetChanged{}, 0, 1)
-	for me, d := range f.doors { // nor has it saved up a part meanwhile, for a customer that it meets now
-		if c := d.g.ensureCustomer(8, hard, 2, 0); c.hasCeilingTokens(now+3*time.Second+ms, 1) {
+	changeMembership(f, now+3*time.Second, FleetChanged{}, 0, 1)
+	for me, d := range f.gateways { // nor has it saved up a part meanwhile, for a customer that it meets now
+		if c := d.g.ensureCustomer(8, ceilingPlan, 2, 0); c.hasCeilingTokens(now+3*time.Second+ms, 1) {
 			t.Errorf("gateway %d has a part at once", me)
 		}
 	}
-	if n := ceilingSent(f, now+3*time.Second, now+5*time.Second, -1); n < 25 || n > 36+5 {
+	if n := countSentUnderCeiling(f, now+3*time.Second, now+5*time.Second, -1); n < 25 || n > 36+5 {
 		t.Errorf("%d sent in 2 s at 18 a second, from empty stores", n)
 	}
 }
 
 // When one has left, the others send on what the ceiling allows, and no more in the moment of the change.
-func TestTheOthersGrowByWhatOneLeaves(t *testing.T) {
-	f := ceilingFleet(t, 3)
-	now := f.doors[0].now
-	spent := ceilingSent(f, now+time.Second, now+20*time.Second, -1) // the stores are empty
+func TestPresentGatewaysTakeOverCeilingOfAbsentOne(t *testing.T) {
+	f := newCeilingFleet(t, 3)
+	now := f.gateways[0].now
+	spent := countSentUnderCeiling(f, now+time.Second, now+20*time.Second, -1) // the stores are empty
 	if spent < 18*17 {
 		t.Fatalf("%d sent in 19 s", spent)
 	}
-	told(f, now+20*time.Second, FleetChanged{Absent: []int{2}}, 0, 1)
-	n := ceilingSent(f, now+20*time.Second, now+30*time.Second, 2)
+	changeMembership(f, now+20*time.Second, FleetChanged{Absent: []int{2}}, 0, 1)
+	n := countSentUnderCeiling(f, now+20*time.Second, now+30*time.Second, 2)
 	if n < 18*10-6 || n > 18*10+6 {
 		t.Errorf("%d sent by two doors in 10 s at 18 a second", n)
 	}
-	told(f, now+30*time.Second, FleetChanged{}, 0, 1)
-	if n := ceilingSent(f, now+30*time.Second, now+40*time.Second, 2); n > 18*10*2/3+6 {
+	changeMembership(f, now+30*time.Second, FleetChanged{}, 0, 1)
+	if n := countSentUnderCeiling(f, now+30*time.Second, now+40*time.Second, 2); n > 18*10*2/3+6 {
 		t.Errorf("%d sent by two of three doors in 10 s", n)
 	}
 }
 
 // A customer's set goes round the numbers; only those of the set that are out count.
-func TestOnlyTheCustomersOwnDoorsCount(t *testing.T) {
+func TestOnlyAbsentGatewaysOfCustomerCount(t *testing.T) {
 	p := membership{absent: []int{0, 3}}
 	for _, c := range []struct {
 		n, first int
--- a/admission/rendezvous/rendezvous_test.go
+++ b/admission/rendezvous/rendezvous_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func keys(n int) []uint64 {
+func hostKeys(n int) []uint64 {
 	out := make([]uint64, n)
 	for i := range out {
 		out[i] = Key(fmt.Sprintf("s-%08x", i*2654435761))
@@ -22,7 +22,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n, doors := rapid.IntRange(1, 80).Draw(t, "hosts"), rapid.IntRange(1, 90).Draw(t, "doors")
 		k := rapid.IntRange(1, n).Draw(t, "k")
-		ks, in := keys(n), make([]int, n)
+		ks, in := hostKeys(n), make([]int, n)
 		for me := range doors {
 			order := Order(ks, me, doors, k)
 			sorted := slices.Clone(order)
@@ -40,8 +40,8 @@
 }
 
 // A door keeps most of its hosts, and so its connections, when one is replaced.
-func TestAReplacedHostMovesFewOthers(t *testing.T) {
-	before, after := keys(60), keys(61)[1:]
+func TestReplacedHostMovesFewOthers(t *testing.T) {
+	before, after := hostKeys(60), hostKeys(61)[1:]
 	slices.Sort(before)
 	slices.Sort(after)
 	kept, all := 0, 0
@@ -61,7 +61,7 @@
 }
 
 func BenchmarkOrder(b *testing.B) {
-	ks := keys(60)
+	ks := hostKeys(60)
 	for b.Loop() {
 		Order(ks, 79, 80, 8)
 	}
--- a/admission/size_test.go
+++ b/admission/size_test.go
@@ -10,18 +10,18 @@
 
 // The guards of the day Ldd5a98 and of what came after it, one small test each.
 
-// sized are settings of a large fleet with plans that lose by sends beyond their quotas.
-func sized() Settings {
-	s := base()
+// largeFleetSettings are settings of a large fleet with plans that lose by sends beyond their quotas.
+func largeFleetSettings() Settings {
+	s := testSettings()
 	s.Gateways = 400
-	s.Plans[rate].OverQuotaCost, s.Plans[rate].WorthFactor = 1, 1
-	s.Plans[openPlan].OverQuotaCost, s.Plans[openPlan].WorthFactor = 1, 1
+	s.Plans[quotaPlan].OverQuotaCost, s.Plans[quotaPlan].WorthFactor = 1, 1
+	s.Plans[inFlightPlan].OverQuotaCost, s.Plans[inFlightPlan].WorthFactor = 1, 1
 	return s
 }
 
-// read has the desk learn one total of a customer, at a part of its window, and returns its estimate.
-func (d *desk) read(customer uint64, part, total float64) float64 {
-	c := d.g.ensureCustomer(customer, rate, 300, 0)
+// observeTotal has the desk learn one total of a customer, at a part of its window, and returns its estimate.
+func (d *driver) observeTotal(customer uint64, part, total float64) float64 {
+	c := d.g.ensureCustomer(customer, quotaPlan, 300, 0)
 	l := &c.quotaCounter
 	d.now += l.length - l.elapsed(d.now) + time.Duration(part*float64(l.length))
 	d.g.now = d.now
@@ -30,27 +30,27 @@
 	return d.g.demandRatio(c)
 }
 
-func TestOneEarlyTotalIsNotTrustedLikeAWholeWindow(t *testing.T) {
-	d := newDesk(t, sized(), "s1")
-	quiet, _ := d.read(1, 0.9, 2), d.g
-	early := d.read(2, 0.02, 2) // two units in a fiftieth of a window: by itself a demand of 12 times the quota
+func TestOneEarlyTotalCountsLessThanWindow(t *testing.T) {
+	d := newDriver(t, largeFleetSettings(), "s1")
+	quiet, _ := d.observeTotal(1, 0.9, 2), d.g
+	early := d.observeTotal(2, 0.02, 2) // two units in a fiftieth of a window: by itself a demand of 12 times the quota
 	if early > 4 {
 		t.Errorf("one early total makes a customer ask %.1f times what fits", early)
 	}
 	for range 4 {
-		quiet = d.read(1, 0.9, 2)
+		quiet = d.observeTotal(1, 0.9, 2)
 	}
 	heavy := 0.0
 	for range 4 {
-		heavy = d.read(3, 0.9, 40)
+		heavy = d.observeTotal(3, 0.9, 40)
 	}
 	if quiet > 0.6 || heavy < 3 {
 		t.Errorf("a calm customer is taken to ask %.2f, a heavy one %.2f of what fits", quiet, heavy)
 	}
 }
 
-func TestFirstAnswerOfTheCounterDoesNotMakeAllDoorsAsk(t *testing.T) {
-	d := newDesk(t, sized(), "s1")
+func TestFirstCounterAnswerRaisesQueryShareLittle(t *testing.T) {
+	d := newDriver(t, largeFleetSettings(), "s1")
 	before := d.g.queryShare
 	d.g.counterSucceeded(ms)
 	if d.g.queryShare > before+2*queryShareGain {
@@ -58,45 +58,45 @@
 	}
 }
 
-func TestACrowdedCounterIsAskedWhereMostIsAtStake(t *testing.T) {
-	s := sized()
-	s.Plans[openPlan].OverQuotaCost, s.Plans[openPlan].OverQuotaWorth = 0, 0.3
-	d := newDesk(t, s, "s1")
+func TestCrowdedCounterIsQueriedForCostliestPlan(t *testing.T) {
+	s := largeFleetSettings()
+	s.Plans[inFlightPlan].OverQuotaCost, s.Plans[inFlightPlan].OverQuotaWorth = 0, 0.3
+	d := newDriver(t, s, "s1")
 	d.g.queryShare = 0.3
-	if dear, cheap := d.g.planQueryShare(rate), d.g.planQueryShare(openPlan); dear != 0.3 || cheap >= 0.2 {
+	if dear, cheap := d.g.planQueryShare(quotaPlan), d.g.planQueryShare(inFlightPlan); dear != 0.3 || cheap >= 0.2 {
 		t.Errorf("asks for %.2f of the dear plan's requests, %.2f of the cheap one's", dear, cheap)
 	}
 	d.g.queryShare = 1
-	if cheap := d.g.planQueryShare(openPlan); cheap != 1 {
+	if cheap := d.g.planQueryShare(inFlightPlan); cheap != 1 {
 		t.Errorf("a counter with room is asked for %.2f", cheap)
 	}
 }
 
-func TestRetryBudgetAtAStartHoldsAsASum(t *testing.T) {
-	s := sized()
+func TestInitialRetryBudgetIsBoundedOverFleet(t *testing.T) {
+	s := largeFleetSettings()
 	sum := 0.0
 	for range s.Gateways {
-		sum += newDesk(t, s, "s1").g.retryBudget
+		sum += newDriver(t, s, "s1").g.retryBudget
 	}
 	if sum > initialFleetRetries+1e-6 {
 		t.Errorf("%d gateways start with %.0f retries", s.Gateways, sum)
 	}
 }
 
-// rush sends requests that all end one way and returns how many of the last hundred were sent on.
-func (d *desk) rush(end Outcome, took time.Duration) (sent int) {
+// countSent sends requests that all end one way and returns how many of the last hundred were sent on.
+func (d *driver) countSent(end Outcome, took time.Duration) (sent int) {
 	for id := uint64(1); id <= 400; id++ {
-		d.wait(20 * ms)
-		d.ask(1000*uint64(d.now/time.Millisecond)+id, 0, free, 1)
-		for _, x := range find[Send](d.look()) {
+		d.advance(20 * ms)
+		d.arrive(1000*uint64(d.now/time.Millisecond)+id, 0, unlimitedPlan, 1)
+		for _, x := range actionsOf[Send](d.takeActions()) {
 			if id > 300 {
 				sent++
 			}
 			now := d.now
-			d.do(AttemptEnded{ID: x.ID, Server: x.Server, Outcome: end, Took: took, Done: true})
+			d.handle(AttemptEnded{ID: x.ID, Server: x.Server, Outcome: end, Took: took, Done: true})
 			d.now = now
 		}
-		d.look()
+		d.takeActions()
 	}
 	return sent
 }
@@ -106,20 +106,20 @@
 	for i := range servers {
 		servers[i] = fmt.Sprintf("s%d", i)
 	}
-	d := newDesk(t, sized(), servers...)
-	if n := d.rush(OK, 50*ms); n < 95 {
+	d := newDriver(t, largeFleetSettings(), servers...)
+	if n := d.countSent(OK, 50*ms); n < 95 {
 		t.Fatalf("%d of 100 sent on while answers are prompt", n)
 	}
-	if n := d.rush(OK, 450*ms); n > 30 {
+	if n := d.countSent(OK, 450*ms); n > 30 {
 		t.Errorf("%d of 100 sent on though all answers are late", n)
 	}
-	if n := d.rush(OK, 50*ms); n < 50 {
+	if n := d.countSent(OK, 50*ms); n < 50 {
 		t.Errorf("%d of 100 sent on after answers were prompt again", n)
 	}
 }
 
 func TestFewLostAnswersDoNotThrottle(t *testing.T) {
-	d := newDesk(t, sized(), "s1")
+	d := newDriver(t, largeFleetSettings(), "s1")
 	r := &request{class: &d.g.settings.Classes[0], arrivedAt: d.now, due: d.now + 500*ms}
 	end := func(o Outcome, n int) {
 		for range n {
@@ -140,88 +140,88 @@
 	}
 }
 
-func TestAnAttemptEndsWhenItsAnswerIsWorthNothing(t *testing.T) {
-	d := newDesk(t, sized(), "s1")
+func TestAttemptEndsWhenItsAnswerIsWorthless(t *testing.T) {
+	d := newDriver(t, largeFleetSettings(), "s1")
 	d.g.retryBudget = 0
-	d.ask(1, 0, free, 1)
-	if x := one[Send](d); x.Wait != 500*ms {
+	d.arrive(1, 0, unlimitedPlan, 1)
+	if x := onlyAction[Send](d); x.Wait != 500*ms {
 		t.Errorf("waits %v for an answer that is worth nothing after 500 ms", x.Wait)
 	}
-	d.wait(500 * ms)
-	d.do(AttemptEnded{ID: 1, Server: "s1", Outcome: TimedOut, Took: 500 * ms})
-	if no := one[Refuse](d); no.RetryAfter != time.Second {
+	d.advance(500 * ms)
+	d.handle(AttemptEnded{ID: 1, Server: "s1", Outcome: TimedOut, Took: 500 * ms})
+	if no := onlyAction[Refuse](d); no.RetryAfter != time.Second {
 		t.Errorf("given up on after its aim, told to come back after %v", no.RetryAfter)
 	}
-	s := sized()
+	s := largeFleetSettings()
 	s.Classes[0].LateWorth = 0.2
-	d = newDesk(t, s, "s1")
+	d = newDriver(t, s, "s1")
 	d.g.retryBudget = 0
-	d.ask(1, 0, free, 1)
-	if x := one[Send](d); x.Wait != 0 {
+	d.arrive(1, 0, unlimitedPlan, 1)
+	if x := onlyAction[Send](d); x.Wait != 0 {
 		t.Errorf("waits only %v though late answers are worth something", x.Wait)
 	}
 }
 
-func TestWhatCantBeAnsweredBeforeItsClientGoesIsRefusedAtOnce(t *testing.T) {
-	d := newDesk(t, sized(), "s1")
+func TestRequestThatCannotMeetDeadlineIsRefused(t *testing.T) {
+	d := newDriver(t, largeFleetSettings(), "s1")
 	d.g.classLatency[0] = estimate.LatencyModel{Latency: 0.3, Units: 1}
-	d.do(RequestArrived{ID: 1, Class: 0, Plan: free, Customer: 5, ExpiresIn: 200 * ms, Units: 1, Gateways: 2})
-	none[Send](d)
-	one[Refuse](d)
+	d.handle(RequestArrived{ID: 1, Class: 0, Plan: unlimitedPlan, Customer: 5, ExpiresIn: 200 * ms, Units: 1, Gateways: 2})
+	requireNone[Send](d)
+	onlyAction[Refuse](d)
 }
 
-func TestAClientThatLeftFreesItsServerAndItsSlot(t *testing.T) {
-	d := newDesk(t, base(), "s1")
-	d.ask(1, 0, openPlan, 1)
-	add := one[CounterAdd](d)
-	d.do(CounterAnswered{Name: add.Name, Total: add.Delta, Took: 2 * ms})
-	one[Send](d)
-	d.do(ClientLeft{ID: 1})
-	off := one[Cancel](d)
-	d.end(off.ID, off.Attempt, "s1", Cancelled)
+func TestClientDepartureFreesServerAndSlot(t *testing.T) {
+	d := newDriver(t, testSettings(), "s1")
+	d.arrive(1, 0, inFlightPlan, 1)
+	add := onlyAction[CounterAdd](d)
+	d.handle(CounterAnswered{Name: add.Name, Total: add.Delta, Took: 2 * ms})
+	onlyAction[Send](d)
+	d.handle(ClientLeft{ID: 1})
+	off := onlyAction[Cancel](d)
+	d.endAttempt(off.ID, off.Attempt, "s1", Cancelled)
 	if c := d.g.customers[5]; c.inFlight != 0 || c.inFlightCounted != 0 {
 		t.Errorf("still counts %d out and %v on the gauge", c.inFlight, c.inFlightCounted)
 	}
-	none[Send](d)
+	requireNone[Send](d)
 }
 
-func TestACapsLoadCountsWhatIsNeverAnswered(t *testing.T) {
-	d := newDesk(t, sized(), "s1", "s2", "s3", "s4")
+func TestMeanTimeInFlightIncludesTimeouts(t *testing.T) {
+	d := newDriver(t, largeFleetSettings(), "s1", "s2", "s3", "s4")
 	d.g.retryBudget = 0
 	for id := uint64(1); id <= 60; id++ {
 		d.g.retryBudget = 0
-		d.ask(id, 0, free, 1)
-		for _, x := range find[Send](d.look()) {
-			d.wait(500 * ms)
-			d.do(AttemptEnded{ID: x.ID, Server: x.Server, Outcome: TimedOut, Took: 500 * ms})
-			d.look()
+		d.arrive(id, 0, unlimitedPlan, 1)
+		for _, x := range actionsOf[Send](d.takeActions()) {
+			d.advance(500 * ms)
+			d.handle(AttemptEnded{ID: x.ID, Server: x.Server, Outcome: TimedOut, Took: 500 * ms})
+			d.takeActions()
 		}
-		d.wait(10 * time.Second) // ejections end
+		d.advance(10 * time.Second) // ejections end
 	}
 	if d.g.meanTimeInFlight < 0.2 {
 		t.Errorf("a request is taken to be out for %.2f s, all were for 0.5", d.g.meanTimeInFlight)
 	}
 }
 
-func TestAnAskedRequestDecidesByItsOwnUnits(t *testing.T) {
-	d := newDesk(t, sized(), "s1")
+func TestQueryingRequestIsDecidedByItsOwnUnits(t *testing.T) {
+	d := newDriver(t, largeFleetSettings(), "s1")
 	d.g.queryShare = 0.05 // an asked request stands for ten that did not ask, more than the burst
 	for id := uint64(1); ; id++ {
-		d.do(RequestArrived{ID: id, Class: 0, Plan: rate, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 300})
-		got := d.look()
-		adds := find[CounterAdd](got)
+		d.handle(RequestArrived{ID: id, Class: 0, Plan: quotaPlan, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 300})
+		got := d.takeActions()
+		adds := actionsOf[CounterAdd](got)
 		if len(adds) == 0 {
-			for _, x := range find[Send](got) {
-				d.end(x.ID, 0, x.Server, OK)
+			for _, x := range actionsOf[Send](got) {
+				d.endAttempt(x.ID, 0, x.Server, OK)
 			}
-			d.look()
+			d.takeActions()
 			continue
 		}
-		if adds[0].Delta <= d.g.settings.Plans[rate].Burst {
+		if adds[0].Delta <= d.g.settings.Plans[quotaPlan].Burst {
 			t.Fatalf("adds only %v", adds[0].Delta)
 		}
-		d.do(CounterAnswered{Name: adds[0].Name, Total: adds[0].Delta, Took: ms})
-		one[Send](d)
+		d.handle(CounterAnswered{Name: adds[0].Name, Total: adds[0].Delta, Took: ms})
+		onlyAction[Send](d)
 		if p := d.g.demandRatio(d.g.customers[id]); p > initialQuotaDemand {
 			t.Errorf("alone in its window, a request makes its customer ask %.2f of what fits", p)
 		}
@@ -229,10 +229,10 @@
 	}
 }
 
-func TestWhatIsKnownLastsThroughAnOutage(t *testing.T) {
-	d := newDesk(t, sized(), "s1")
+func TestObservedDemandLastsThroughOutage(t *testing.T) {
+	d := newDriver(t, largeFleetSettings(), "s1")
 	for range 4 {
-		d.read(3, 0.9, 40)
+		d.observeTotal(3, 0.9, 40)
 	}
 	d.g.isBreakerOpen = true
 	d.g.now += time.Minute
@@ -242,13 +242,13 @@
 }
 
 func TestCeilingKeepsAMargin(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.MaxUnits = 1
-	p := s.Plans[hard]
+	p := s.Plans[ceilingPlan]
 	sum := 0.0
 	for range 7 { // doors of one customer, all asked for all they can give
-		d := newDesk(t, s, "s1")
-		c := d.g.ensureCustomer(5, hard, 2, 0)
+		d := newDriver(t, s, "s1")
+		c := d.g.ensureCustomer(5, ceilingPlan, 2, 0)
 		d.g.now += time.Hour
 		for c.hasCeilingTokens(d.g.now, 0.5) {
 			c.ceilingTokens -= 0.5
@@ -260,17 +260,17 @@
 	}
 }
 
-func TestAllGatewaysTogetherDoNotFillTheServers(t *testing.T) {
-	s := sized()
+func TestAllGatewaysTogetherDoNotOverloadServers(t *testing.T) {
+	s := largeFleetSettings()
 	var servers []string
 	for i := range 100 {
 		servers = append(servers, fmt.Sprintf("s%02d", i))
 	}
-	d := newDesk(t, s, servers...)
+	d := newDriver(t, s, servers...)
 	for id := uint64(1); id <= 200; id++ { // a flood at a cold start, nothing answered yet
-		d.ask(id, 0, free, 1)
+		d.arrive(id, 0, unlimitedPlan, 1)
 	}
-	if n := len(find[Send](d.got)); float64(n*s.Gateways) > 1.4*minServerAttempts*float64(len(servers)) {
+	if n := len(actionsOf[Send](d.actions)); float64(n*s.Gateways) > 1.4*minServerAttempts*float64(len(servers)) {
 		t.Errorf("%d gateways may have %d attempts each out at %d servers", s.Gateways, n, len(servers))
 	}
 }
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// settled are settings in which every part of the module has something to do.
-func settled() Settings {
+// handoverSettings are settings in which every part of the module has something to do.
+func handoverSettings() Settings {
 	return Settings{Gateways: 3, Index: 1, Zone: "a", Tick: ms, HasCounter: true, CounterTimeout: 30 * ms, MaxUnits: 1,
 		MaxAttempts: 3, MaxRetryAfter: time.Second, CanSendRetryAfter: true, CanCancel: true, WarmUpTime: 5 * time.Second, InitialCapacity: 0.2,
 		Classes: []Class{
@@ -23,82 +23,82 @@
 			{Name: "open", MaxInFlight: 2, WorthFactor: 1}}}
 }
 
-// peer drives a gateway: it knows what is out and so what may happen next.
-type peer struct {
-	g     *Gateway
-	now   time.Duration
-	next  uint64
-	sends []AttemptEnded
-	adds  []string
-	rings []SetTimer
-	tries map[uint64]int
+// process drives a gateway: it knows what is out and so what may happen next.
+type process struct {
+	g             *Gateway
+	now           time.Duration
+	lastID        uint64
+	openAttempts  []AttemptEnded
+	openCalls     []string
+	timers        []SetTimer
+	attemptCounts map[uint64]int
 }
 
-func (p *peer) take(actions []Action) []Action {
+func (p *process) record(actions []Action) []Action {
 	got := slices.Clone(actions)
 	for _, a := range got {
 		switch a := a.(type) {
 		case Send:
-			p.sends = append(p.sends, AttemptEnded{ID: a.ID, Attempt: p.tries[a.ID], Server: a.Server})
-			p.tries[a.ID]++
+			p.openAttempts = append(p.openAttempts, AttemptEnded{ID: a.ID, Attempt: p.attemptCounts[a.ID], Server: a.Server})
+			p.attemptCounts[a.ID]++
 		case CounterAdd:
-			p.adds = append(p.adds, a.Name)
+			p.openCalls = append(p.openCalls, a.Name)
 		case SetTimer:
-			p.rings = append(p.rings, a)
+			p.timers = append(p.timers, a)
 		}
 	}
 	return got
 }
 
-// draw makes up the next event.
-func (p *peer) draw(t *rapid.T) Event {
+// drawEvent makes up the next event.
+func (p *process) drawEvent(t *rapid.T) Event {
 	p.now += time.Duration(rapid.IntRange(0, 400_000).Draw(t, "us")) * time.Microsecond / 4
 	what := rapid.IntRange(0, 9).Draw(t, "what")
 	switch {
-	case what < 2 && len(p.adds) > 0:
-		i := rapid.IntRange(0, len(p.adds)-1).Draw(t, "add")
-		name := p.adds[i]
-		p.adds = slices.Delete(p.adds, i, i+1)
+	case what < 2 && len(p.openCalls) > 0:
+		i := rapid.IntRange(0, len(p.openCalls)-1).Draw(t, "add")
+		name := p.openCalls[i]
+		p.openCalls = slices.Delete(p.openCalls, i, i+1)
 		return CounterAnswered{Name: name, Total: float64(rapid.IntRange(0, 30).Draw(t, "total")), Took: ms,
 			Outcome: rapid.SampledFrom([]Outcome{OK, OK, OK, Full, TimedOut, Unreachable}).Draw(t, "counter")}
-	case what < 4 && len(p.sends) > 0:
-		i := rapid.IntRange(0, len(p.sends)-1).Draw(t, "send")
-		ev := p.sends[i]
-		p.sends = slices.Delete(p.sends, i, i+1)
+	case what < 4 && len(p.openAttempts) > 0:
+		i := rapid.IntRange(0, len(p.openAttempts)-1).Draw(t, "send")
+		ev := p.openAttempts[i]
+		p.openAttempts = slices.Delete(p.openAttempts, i, i+1)
 		ev.Outcome = rapid.SampledFrom([]Outcome{OK, OK, Errored, Full, TimedOut, Unreachable, Broken}).Draw(t, "outcome")
 		ev.Took, ev.Done = 20*ms, ev.Outcome == OK
 		return ev
-	case what == 4 && len(p.rings) > 0:
-		r := p.rings[0]
-		p.rings = p.rings[1:]
+	case what == 4 && len(p.timers) > 0:
+		r := p.timers[0]
+		p.timers = p.timers[1:]
 		p.now = max(p.now, r.At)
 		return TimerFired{r.Token}
 	case what == 5:
-		return ClientLeft{ID: rapid.Uint64Range(1, p.next+1).Draw(t, "left")}
+		return ClientLeft{ID: rapid.Uint64Range(1, p.lastID+1).Draw(t, "left")}
 	case what == 6:
 		name := rapid.IntRange(0, 3).Draw(t, "server")
 		return ServerList{Servers: []ServerEntry{{Name: fmt.Sprint("s", name), Zone: "a", Cell: name / 2,
 			State: rapid.SampledFrom([]ServerState{Up, Up, Up, Draining, Gone}).Draw(t, "state"), Boot: p.now}}}
 	}
-	p.next++
+	p.lastID++
 	plan := rapid.IntRange(-1, 2).Draw(t, "plan")
-	return RequestArrived{ID: p.next, Class: rapid.IntRange(0, 2).Draw(t, "class"), Plan: plan,
+	return RequestArrived{ID: p.lastID, Class: rapid.IntRange(0, 2).Draw(t, "class"), Plan: plan,
 		Customer: rapid.Uint64Range(1, 3).Draw(t, "customer")*10 + uint64(plan+1), ExpiresIn: time.Second, Units: 1, Gateways: 2}
 }
 
-func started(t require.TestingT) *peer {
-	g, err := New(settled(), 7)
+func newProcess(t require.TestingT) *process {
+	g, err := New(handoverSettings(), 7)
 	require.NoError(t, err)
-	p := &peer{g: g, now: time.Hour, tries: map[uint64]int{}}
+	p := &process{g: g, now: time.Hour, attemptCounts: map[uint64]int{}}
 	var list []ServerEntry
 	for i := range 4 {
 		list = append(list, ServerEntry{Name: fmt.Sprint("s", i), Zone: "a", Cell: i / 2})
 	}
-	p.take(g.Handle(p.now, ServerList{Kind: ListFull, Servers: list}))
+	p.record(g.Handle(p.now, ServerList{Kind: ListFull, Servers: list}))
 	return p
 }
 
-func copied(t require.TestingT, g *Gateway, seed uint64) *Gateway {
+func restoredCopy(t require.TestingT, g *Gateway, seed uint64) *Gateway {
 	st, err := g.State()
 	require.NoError(t, err)
 	twin, err := New(g.settings, seed)
@@ -112,17 +112,17 @@
 	return twin
 }
 
-func TestAGatewayRestoredFromASnapshotGivesTheSameActions(t *testing.T) {
+func TestRestoredGatewayGivesSameActions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := started(t)
+		p := newProcess(t)
 		before := rapid.IntRange(0, 60).Draw(t, "before")
 		for range before {
-			p.take(p.g.Handle(p.now, p.draw(t)))
+			p.record(p.g.Handle(p.now, p.drawEvent(t)))
 		}
-		twin := copied(t, p.g, 99)
+		twin := restoredCopy(t, p.g, 99)
 		for range 40 {
-			ev := p.draw(t)
-			want := p.take(p.g.Handle(p.now, ev))
+			ev := p.drawEvent(t)
+			want := p.record(p.g.Handle(p.now, ev))
 			got := twin.Handle(p.now, ev)
 			require.Len(t, got, len(want), "%T", ev)
 			for i := range want {
@@ -139,11 +139,11 @@
 
 // Customers that are copied ahead need to be copied again only if something of them was open then, or they have
 // asked since.
-func TestWhoIsSettledChangesOnlyByAsking(t *testing.T) {
+func TestInactiveCustomerChangesOnlyByRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := started(t)
+		p := newProcess(t)
 		for range rapid.IntRange(0, 60).Draw(t, "before") {
-			p.take(p.g.Handle(p.now, p.draw(t)))
+			p.record(p.g.Handle(p.now, p.drawEvent(t)))
 		}
 		p.now++
 		since, before := p.now, map[uint64]CustomerState{}
@@ -154,7 +154,7 @@
 			delete(before, id)
 		}
 		for range 40 {
-			p.take(p.g.Handle(p.now, p.draw(t)))
+			p.record(p.g.Handle(p.now, p.drawEvent(t)))
 		}
 		for _, id := range p.g.Customers(since) {
 			delete(before, id)
@@ -169,70 +169,70 @@
 
 // However a hand-over falls, and whatever becomes of what was open, both sides together send a dealer with a
 // ceiling no more than one process might.
-func TestASuccessorAndItsPredecessorKeepACeilingTogether(t *testing.T) {
+func TestSuccessorAndPredecessorKeepCeilingTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := started(t)
+		p := newProcess(t)
 		plan := p.g.settings.Plans[1]
 		began, sent := p.now, 0.0
 		arrive := func() Event {
-			p.next++
-			return RequestArrived{ID: p.next, Class: 0, Plan: 1, Customer: 9, ExpiresIn: time.Second, Units: 1, Gateways: 2}
+			p.lastID++
+			return RequestArrived{ID: p.lastID, Class: 0, Plan: 1, Customer: 9, ExpiresIn: time.Second, Units: 1, Gateways: 2}
 		}
 		count := func(actions []Action) []Action {
 			for _, a := range actions {
-				if s, ok := a.(Send); ok && p.tries[s.ID] == 0 {
+				if s, ok := a.(Send); ok && p.attemptCounts[s.ID] == 0 {
 					sent++
 				}
 			}
 			most := plan.CeilingRate / 2 * (p.now - began).Seconds() // a part begins empty
 			require.LessOrEqual(t, sent, most+1e-6)
-			return p.take(actions)
+			return p.record(actions)
 		}
 		for range 3 {
 			for range rapid.IntRange(0, 50).Draw(t, "calls") {
 				p.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "ms")) * ms
 				count(p.g.Handle(p.now, arrive()))
-				if len(p.adds) > 0 && rapid.Bool().Draw(t, "answered") {
-					count(p.g.Handle(p.now, CounterAnswered{Name: p.adds[0], Total: 1, Took: ms}))
-					p.adds = p.adds[1:]
+				if len(p.openCalls) > 0 && rapid.Bool().Draw(t, "answered") {
+					count(p.g.Handle(p.now, CounterAnswered{Name: p.openCalls[0], Total: 1, Took: ms}))
+					p.openCalls = p.openCalls[1:]
 				}
 			}
 			old := p.g
-			p.g = copied(t, old, 5)
-			p.take(p.g.Adopt(p.now))
+			p.g = restoredCopy(t, old, 5)
+			p.record(p.g.Adopt(p.now))
 			old.Retire()
-			theirs := p.next
+			theirs := p.lastID
 			// What was open over there is decided over there, while new requests come in here.
-			for _, name := range p.adds {
+			for _, name := range p.openCalls {
 				p.now += time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * ms
 				for _, a := range count(old.Handle(p.now, CounterAnswered{Name: name, Total: 1, Took: ms})) {
 					switch a := a.(type) {
 					case Send:
 						p.g.PredecessorSent(p.now, a.ID, a.Server)
 					case Refuse:
-						p.take(p.g.PredecessorDone(p.now, a.ID))
+						p.record(p.g.PredecessorDone(p.now, a.ID))
 					}
 				}
 				count(p.g.Handle(p.now, arrive()))
 			}
-			for _, s := range p.sends {
+			for _, s := range p.openAttempts {
 				if s.ID <= theirs {
 					p.g.PredecessorAttemptEnded(p.now, AttemptEnded{ID: s.ID, Attempt: s.Attempt, Outcome: OK, Took: 20 * ms})
 				}
 			}
-			p.take(p.g.PredecessorGone(p.now))
+			p.record(p.g.PredecessorGone(p.now))
 			require.Zero(t, p.g.PredecessorRequests())
-			p.adds, p.sends = nil, nil
+			p.openCalls, p.openAttempts = nil, nil
 		}
 	})
 }
 
-func TestAPredecessorsAttemptsCountUntilTheyEnd(t *testing.T) {
-	p := started(t)
-	p.take(p.g.Handle(p.now, RequestArrived{ID: 1, Class: 0, Plan: -1, ExpiresIn: time.Second, Units: 1}))
-	require.Len(t, p.sends, 1)
-	at := p.sends[0].Server
-	next := copied(t, p.g, 3)
+func TestPredecessorAttemptsCountUntilTheyEnd(t *testing.T) {
+	p := newProcess(t)
+	p.record(p.g.Handle(p.now, RequestArrived{ID: 1, Class: 0, Plan: -1, ExpiresIn: time.Second, Units: 1}))
+	require.Len(t, p.openAttempts, 1)
+	at := p.openAttempts[0].Server
+	next := restoredCopy(t, p.g, 3)
 	next.Adopt(p.now)
 	require.Len(t, next.servers[at].outstanding, 1)
 	require.Equal(t, 1.0, next.liveAttempts)
@@ -245,10 +245,10 @@
 }
 
 // A reclaimed gateway does not know what its successor has sent: it must not send that again.
-func TestAReclaimedGatewayBeginsWithEmptyCeilings(t *testing.T) {
-	p := started(t)
+func TestReclaimedGatewayStartsWithEmptyCeilings(t *testing.T) {
+	p := newProcess(t)
 	arrive := func(id uint64) []Action {
-		return p.take(p.g.Handle(p.now, RequestArrived{ID: id, Class: 0, Plan: 1, Customer: 9, ExpiresIn: time.Second, Units: 1, Gateways: 3}))
+		return p.record(p.g.Handle(p.now, RequestArrived{ID: id, Class: 0, Plan: 1, Customer: 9, ExpiresIn: time.Second, Units: 1, Gateways: 3}))
 	}
 	arrive(1)
 	p.now += 10 * time.Second
@@ -258,16 +258,16 @@
 }
 
 // A repeat of an order whose first sending may have run goes to that cell, or nowhere.
-func TestAKeyThatMayHaveRunIsSentToItsCellOnly(t *testing.T) {
-	p := started(t)
+func TestKeyThatMayHaveRunIsSentOnlyToItsCell(t *testing.T) {
+	p := newProcess(t)
 	for id := range uint64(4) { // as many as the cell's two servers are let hold
-		got := p.take(p.g.Handle(p.now, RequestArrived{ID: id + 1, Class: 1, Plan: -1, ExpiresIn: time.Second, Units: 1,
+		got := p.record(p.g.Handle(p.now, RequestArrived{ID: id + 1, Class: 1, Plan: -1, ExpiresIn: time.Second, Units: 1,
 			PriorAttempt: &PriorAttempt{Server: "gone", Zone: "a", Cell: 1, SentAt: p.now - 500*ms}}))
 		require.IsType(t, Send{}, got[0])
 		require.Contains(t, []string{"s2", "s3"}, got[0].(Send).Server)
 	}
 	p.now += time.Second
-	got := p.take(p.g.Handle(p.now, RequestArrived{ID: 90, Class: 1, Plan: -1, ExpiresIn: time.Second, Units: 1,
+	got := p.record(p.g.Handle(p.now, RequestArrived{ID: 90, Class: 1, Plan: -1, ExpiresIn: time.Second, Units: 1,
 		PriorAttempt: &PriorAttempt{Server: "s2", Zone: "a", Cell: 1, SentAt: p.now - time.Second}}))
 	require.IsType(t, Fail{}, got[0], "the window is over")
 }
