--- a/admission/estimate/estimate_test.go
+++ b/admission/estimate/estimate_test.go
@@ -21,65 +21,65 @@
 
 func TestWarmUpShareNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from, full := rapid.Float64Range(0, 1).Draw(t, "from"), time.Duration(rapid.IntRange(1, 30).Draw(t, "full"))*time.Second
+		initial, warmUp := rapid.Float64Range(0, 1).Draw(t, "from"), time.Duration(rapid.IntRange(1, 30).Draw(t, "full"))*time.Second
 		last := 0.0
-		for age := time.Duration(0); age <= full; age += full / 16 {
-			w := WarmUpShare(time.Hour+age, time.Hour, full, from)
-			require.GreaterOrEqual(t, w, max(last, from))
-			require.LessOrEqual(t, w, 1.0)
-			last = w
+		for age := time.Duration(0); age <= warmUp; age += warmUp / 16 {
+			share := WarmUpShare(time.Hour+age, time.Hour, warmUp, initial)
+			require.GreaterOrEqual(t, share, max(last, initial))
+			require.LessOrEqual(t, share, 1.0)
+			last = share
 		}
-		require.Equal(t, 1.0, WarmUpShare(time.Hour+full, time.Hour, full, from))
-		require.Equal(t, 1.0, WarmUpShare(time.Hour, 0, full, from), "started long ago")
+		require.Equal(t, 1.0, WarmUpShare(time.Hour+warmUp, time.Hour, warmUp, initial))
+		require.Equal(t, 1.0, WarmUpShare(time.Hour, 0, warmUp, initial), "started long ago")
 	})
 }
 
 func TestExponentsLeaveHighestCostUnchanged(t *testing.T) {
-	p := Exponents([]float64{4, 1, 0}, func(f float64) float64 { return f })
-	require.Equal(t, []float64{1, 4, maxExponent}, p)
+	exponents := Exponents([]float64{4, 1, 0}, func(f float64) float64 { return f })
+	require.Equal(t, []float64{1, 4, maxExponent}, exponents)
 	require.Equal(t, []float64{1, 1}, Exponents([]float64{0, 0}, func(f float64) float64 { return f }))
 }
 
 // What keeps a kind of request out is believed less and less, as fast however many are turned away; what does not is
 // left alone.
 func TestDoubtDecaysLatencyByTime(t *testing.T) {
-	few, many := LatencyModel{Latency: 1, Units: 1}, LatencyModel{Latency: 1, Units: 1}
+	seldomDoubted, oftenDoubted := LatencyModel{Latency: 1, Units: 1}, LatencyModel{Latency: 1, Units: 1}
 	for i := range 200 {
 		now := time.Hour + time.Duration(i)*100*time.Millisecond
-		many.Doubt(now, 10, many.Latency, 0.2)
+		oftenDoubted.Doubt(now, 10, oftenDoubted.Latency, 0.2)
 		if i%10 == 0 {
-			few.Doubt(now, 10, few.Latency, 0.2)
+			seldomDoubted.Doubt(now, 10, seldomDoubted.Latency, 0.2)
 		}
 	}
-	if few.Latency > 0.21 || few.Latency < 0.15 || many.Latency > 0.21 || many.Latency < 0.15 {
-		t.Errorf("after 20 s %.3f and %.3f are believed", few.Latency, many.Latency)
+	if seldomDoubted.Latency > 0.21 || seldomDoubted.Latency < 0.15 || oftenDoubted.Latency > 0.21 || oftenDoubted.Latency < 0.15 {
+		t.Errorf("after 20 s %.3f and %.3f are believed", seldomDoubted.Latency, oftenDoubted.Latency)
 	}
-	was := many.Latency
-	if many.Doubt(2*time.Hour, 10, 0.1, 0.2); many.Latency != was {
+	before := oftenDoubted.Latency
+	if oftenDoubted.Doubt(2*time.Hour, 10, 0.1, 0.2); oftenDoubted.Latency != before {
 		t.Error("doubted without need")
 	}
-	if many.Doubt(2*time.Hour, 10, 1, 0.2); many.Latency < was*0.9 {
+	if oftenDoubted.Doubt(2*time.Hour, 10, 1, 0.2); oftenDoubted.Latency < before*0.9 {
 		t.Error("an hour counts for more than a second")
 	}
 }
 
 func TestLevelAdmitsTheGivenShare(t *testing.T) {
-	m := Mix{1, 1, 1}
+	mix := Mix{1, 1, 1}
 	for i := range 2000 {
-		m.Learn(min(2, i%10), 0.02) // a tenth, a tenth, the rest
+		mix.Learn(min(2, i%10), 0.02) // a tenth, a tenth, the rest
 	}
-	powers := []float64{1, 16, 3}
-	for _, part := range []float64{0.01, 0.3, 0.9} {
-		x := m.Level(powers, part)
-		sum := 0.0
-		for i, n := range m {
-			sum += n / (m[0] + m[1] + m[2]) * math.Pow(x, powers[i])
+	exponents := []float64{1, 16, 3}
+	for _, share := range []float64{0.01, 0.3, 0.9} {
+		level := mix.Level(exponents, share)
+		admitted := 0.0
+		for i, count := range mix {
+			admitted += count / (mix[0] + mix[1] + mix[2]) * math.Pow(level, exponents[i])
 		}
-		if math.Abs(sum-part) > 1e-4 {
-			t.Errorf("%.3f let in, wanted %.3f", sum, part)
+		if math.Abs(admitted-share) > 1e-4 {
+			t.Errorf("%.3f let in, wanted %.3f", admitted, share)
 		}
 	}
-	if m.Level(powers, 1) != 1 || m[2]/(m[0]+m[1]+m[2]) < 0.7 {
-		t.Errorf("mix %v", m)
+	if mix.Level(exponents, 1) != 1 || mix[2]/(mix[0]+mix[1]+mix[2]) < 0.7 {
+		t.Errorf("mix %v", mix)
 	}
 }
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -18,14 +18,14 @@
 	attemptEnds    map[time.Duration][]func()
 }
 
-func newFleet(t *testing.T, gateways, hosts int) *fleet {
+func newFleet(t *testing.T, gatewayCount, hostCount int) *fleet {
 	f := &fleet{sendsByHost: map[string]int{}, gatewaysByHost: map[string]map[int]bool{}, attemptEnds: map[time.Duration][]func(){}}
-	for i := range hosts {
+	for i := range hostCount {
 		f.hosts = append(f.hosts, ServerEntry{Name: fmt.Sprintf("s-%08x", uint32(i+1)*2654435761), Zone: "a", Size: 1})
 	}
-	for me := range gateways {
+	for index := range gatewayCount {
 		s := testSettings()
-		s.Gateways, s.Index, s.MaxUnits = gateways, me, 1
+		s.Gateways, s.Index, s.MaxUnits = gatewayCount, index, 1
 		s.Plans[ceilingPlan] = Plan{Name: "hard", Rate: 8, Burst: 20, CeilingRate: 18, CeilingBurst: 45, CeilingSlack: 4.5}
 		d := newDriver(t, s)
 		d.handle(ServerList{Kind: ListFull, Servers: f.hosts})
@@ -35,49 +35,49 @@
 }
 
 // run gives the doors a request each in turn, n in all, so far apart; took tells how and when a host answers.
-func (f *fleet) run(n int, apart time.Duration, took func(host string) (Outcome, time.Duration)) {
+func (f *fleet) run(requests int, interval time.Duration, respond func(host string) (Outcome, time.Duration)) {
 	now := f.gateways[0].now
-	for i := range n {
-		for end := now + apart; now < end; now += ms {
+	for i := range requests {
+		for end := now + interval; now < end; now += ms {
 			due := f.attemptEnds[now]
 			delete(f.attemptEnds, now)
-			for _, over := range due {
-				over()
+			for _, endAttempt := range due {
+				endAttempt()
 			}
 		}
 		f.lastRequestID++
-		f.handle(i%len(f.gateways), now, RequestArrived{ID: f.lastRequestID, Plan: -1, ExpiresIn: time.Second, Units: 1}, took)
+		f.handle(i%len(f.gateways), now, RequestArrived{ID: f.lastRequestID, Plan: -1, ExpiresIn: time.Second, Units: 1}, respond)
 	}
 	for _, d := range f.gateways {
 		d.now = now
 	}
 }
 
-func (f *fleet) handle(me int, now time.Duration, ev Event, took func(string) (Outcome, time.Duration)) {
-	for _, x := range actionsOf[Send](append([]Action(nil), f.gateways[me].g.Handle(now, ev)...)) {
+func (f *fleet) handle(gateway int, now time.Duration, ev Event, respond func(string) (Outcome, time.Duration)) {
+	for _, x := range actionsOf[Send](append([]Action(nil), f.gateways[gateway].g.Handle(now, ev)...)) {
 		f.sendsByHost[x.Server]++
 		if f.gatewaysByHost[x.Server] == nil {
 			f.gatewaysByHost[x.Server] = map[int]bool{}
 		}
-		f.gatewaysByHost[x.Server][me] = true
-		o, after := took(x.Server)
-		end := AttemptEnded{ID: x.ID, Server: x.Server, Outcome: o, Took: after, Done: o == OK,
-			Attempt: len(f.gateways[me].g.requests[x.ID].attempts) - 1}
+		f.gatewaysByHost[x.Server][gateway] = true
+		outcome, after := respond(x.Server)
+		end := AttemptEnded{ID: x.ID, Server: x.Server, Outcome: outcome, Took: after, Done: outcome == OK,
+			Attempt: len(f.gateways[gateway].g.requests[x.ID].attempts) - 1}
 		at := now + max(ms, after)
-		f.attemptEnds[at] = append(f.attemptEnds[at], func() { f.handle(me, at, end, took) })
+		f.attemptEnds[at] = append(f.attemptEnds[at], func() { f.handle(gateway, at, end, respond) })
 	}
 }
 
 // At many doors a full mesh of connections fills every host's table, and no door learns of any host.
 func TestEachHostIsUsedByItsShareOfGateways(t *testing.T) {
-	for _, size := range []struct{ doors, hosts int }{{10, 12}, {80, 60}, {300, 60}} {
-		f := newFleet(t, size.doors, size.hosts)
-		f.run(40*size.doors, max(ms, 1000*ms/time.Duration(10*size.doors)),
+	for _, size := range []struct{ gateways, hosts int }{{10, 12}, {80, 60}, {300, 60}} {
+		f := newFleet(t, size.gateways, size.hosts)
+		f.run(40*size.gateways, max(ms, 1000*ms/time.Duration(10*size.gateways)),
 			func(string) (Outcome, time.Duration) { return OK, 60 * ms })
-		share := f.gateways[0].g.subsetSize * size.doors / size.hosts
+		share := f.gateways[0].g.subsetSize * size.gateways / size.hosts
 		for _, h := range f.hosts {
 			if n := len(f.gatewaysByHost[h.Name]); n == 0 || n > share*3/2+2 {
-				t.Errorf("%d doors, %d hosts: host %s is used by %d doors, its share is %d", size.doors, size.hosts,
+				t.Errorf("%d doors, %d hosts: host %s is used by %d doors, its share is %d", size.gateways, size.hosts,
 					h.Name, n, share)
 			}
 		}
@@ -102,70 +102,70 @@
 	for i, h := range f.hosts {
 		dead[h.Name] = i%5 != 0
 	}
-	answer := func(host string) (Outcome, time.Duration) {
+	respond := func(host string) (Outcome, time.Duration) {
 		if dead[host] {
 			return Unreachable, ms
 		}
 		return OK, 60 * ms
 	}
-	f.run(1600, ms, answer)
+	f.run(1600, ms, respond)
 	clear(f.sendsByHost)
-	f.run(16000, 2*ms, answer)
-	lost, all := 0, 0
+	f.run(16000, 2*ms, respond)
+	sentToDead, sent := 0, 0
 	for name, n := range f.sendsByHost {
-		if all += n; dead[name] {
-			lost += n
+		if sent += n; dead[name] {
+			sentToDead += n
 		}
 	}
-	if all < 15000 || lost > all/4 {
-		t.Errorf("%d of %d sends went to hosts that are gone, though each door had met some", lost, all)
+	if sent < 15000 || sentToDead > sent/4 {
+		t.Errorf("%d of %d sends went to hosts that are gone, though each door had met some", sentToDead, sent)
 	}
 }
 
 // Doors of a customer with a hard ceiling, all asked for several times what it allows, with a counter that
 // loses answers and comes back empty: together they never send more than the store holds.
 func TestManyGatewaysKeepCeilingTogether(t *testing.T) {
-	for _, doors := range []int{3, 26, 80} {
-		f := newFleet(t, doors, 12)
+	for _, gateways := range []int{3, 26, 80} {
+		f := newFleet(t, gateways, 12)
 		s := f.gateways[0].g.settings
 		p := s.Plans[ceilingPlan]
-		store, worst, sent, lost := p.CeilingBurst, 0.0, 0, 0
-		totals, last := map[string]float64{}, f.gateways[0].now
-		began := last
+		tokens, minTokens, sent, lostCalls := p.CeilingBurst, 0.0, 0, 0
+		totals, lastSentAt := map[string]float64{}, f.gateways[0].now
+		start := lastSentAt
 		for i := range 6000 {
-			now := began + time.Duration(i)*5*ms
+			now := start + time.Duration(i)*5*ms
 			if i == 3000 {
 				clear(totals)
 			}
-			me := i * 7 % doors
-			g := f.gateways[me].g
+			index := i * 7 % gateways
+			g := f.gateways[index].g
 			var handle func(ev Event)
 			handle = func(ev Event) {
 				for _, a := range append([]Action(nil), g.Handle(now, ev)...) {
 					switch a := a.(type) {
 					case CounterAdd:
 						totals[a.Name] += a.Delta
-						o := OK
+						outcome := OK
 						if i/400%4 == 3 && i%2 == 0 {
-							o = TimedOut
-							lost++
+							outcome = TimedOut
+							lostCalls++
 						}
-						handle(CounterAnswered{Name: a.Name, Total: totals[a.Name], Took: ms, Outcome: o})
+						handle(CounterAnswered{Name: a.Name, Total: totals[a.Name], Took: ms, Outcome: outcome})
 					case Send:
-						store = min(p.CeilingBurst, store+p.CeilingRate*(now-last).Seconds()) - 1
-						last, worst, sent = now, min(worst, store), sent+1
+						tokens = min(p.CeilingBurst, tokens+p.CeilingRate*(now-lastSentAt).Seconds()) - 1
+						lastSentAt, minTokens, sent = now, min(minTokens, tokens), sent+1
 						handle(AttemptEnded{ID: a.ID, Server: a.Server, Outcome: OK, Took: 50 * ms, Done: true})
 					}
 				}
 			}
-			handle(RequestArrived{ID: uint64(i + 1), Plan: ceilingPlan, Customer: 77, ExpiresIn: time.Second, Units: 1, Gateways: doors})
+			handle(RequestArrived{ID: uint64(i + 1), Plan: ceilingPlan, Customer: 77, ExpiresIn: time.Second, Units: 1, Gateways: gateways})
 		}
-		if worst < -p.CeilingSlack || lost == 0 {
-			t.Errorf("%d doors: the store went to %.1f, its slack is %.1f (%d calls lost)", doors, worst, p.CeilingSlack, lost)
+		if minTokens < -p.CeilingSlack || lostCalls == 0 {
+			t.Errorf("%d doors: the store went to %.1f, its slack is %.1f (%d calls lost)", gateways, minTokens, p.CeilingSlack, lostCalls)
 		}
 		// Asked for 25 times the quota, most of that is still let in, however small a door's part would be.
 		if quota := p.Rate * 30; float64(sent) < 0.5*quota {
-			t.Errorf("%d doors sent %d, the quota is %.0f", doors, sent, quota)
+			t.Errorf("%d doors sent %d, the quota is %.0f", gateways, sent, quota)
 		}
 	}
 }
@@ -176,20 +176,20 @@
 	s.Classes[0].Worth, s.Classes[1].Worth = 1, 3
 	d := newDriver(t, s, "s1")
 	d.g.admitShare = 0.8
-	let := [2]int{}
+	admitted := [2]int{}
 	for id := uint64(1); id <= 400; id++ {
 		class := int(id % 2)
 		d.arrive(id, class, unlimitedPlan, 1)
-		let[class] += len(actionsOf[Send](d.actions)) + len(d.g.held)
+		admitted[class] += len(actionsOf[Send](d.actions)) + len(d.g.held)
 		for _, x := range actionsOf[Send](d.takeActions()) {
 			delete(d.g.requests, x.ID)
 		}
 		d.g.held, d.g.liveAttempts, d.g.servers["s1"].outstanding = nil, 0, nil
 	}
-	if let[1] < 180 || let[0] < 118 || let[0] > 143 { // 0.94 and 0.66 of them, 0.8 of all
-		t.Errorf("of 200 each, %d of high and %d of low worth are let in", let[1], let[0])
+	if admitted[1] < 180 || admitted[0] < 118 || admitted[0] > 143 { // 0.94 and 0.66 of them, 0.8 of all
+		t.Errorf("of 200 each, %d of high and %d of low worth are let in", admitted[1], admitted[0])
 	}
-	if all := let[0] + let[1]; all < 306 || all > 334 {
+	if all := admitted[0] + admitted[1]; all < 306 || all > 334 {
 		t.Errorf("%d of 400 are let in, where 0.8 are to be", all)
 	}
 }
@@ -197,8 +197,8 @@
 // A third of the hosts start cold at one instant. All doors together send such a host more than nothing, and
 // never what would push it over: by the stated slow start it can do less than it may in truth.
 func TestManyGatewaysWarmUpHostsTogether(t *testing.T) {
-	for _, doors := range []int{3, 80} {
-		f := newFleet(t, doors, 30)
+	for _, gateways := range []int{3, 80} {
+		f := newFleet(t, gateways, 30)
 		s := f.gateways[0].g.settings
 		boot := f.gateways[0].now
 		for _, d := range f.gateways {
@@ -208,38 +208,38 @@
 			d.handle(ServerList{Kind: ListFull, Servers: f.hosts})
 		}
 		const perHost = 12.0 // requests a second that a warm host is meant for, six tenths of what it can do
-		n := int(perHost * 30 * 3)
-		f.run(n, time.Second/(perHost*30), func(string) (Outcome, time.Duration) { return OK, 60 * ms })
-		can := perHost / 0.6 * 3 * (s.InitialCapacity + (1-s.InitialCapacity)*1.5/s.WarmUpTime.Seconds())
-		cold := 0
+		requests := int(perHost * 30 * 3)
+		f.run(requests, time.Second/(perHost*30), func(string) (Outcome, time.Duration) { return OK, 60 * ms })
+		coldCapacity := perHost / 0.6 * 3 * (s.InitialCapacity + (1-s.InitialCapacity)*1.5/s.WarmUpTime.Seconds())
+		sentToCold := 0
 		for _, h := range f.hosts[:10] {
-			cold += f.sendsByHost[h.Name]
-			if float64(f.sendsByHost[h.Name]) > s.ColdOverloadFactor*can {
-				t.Errorf("%d doors sent %d to a cold host that can do %.1f", doors, f.sendsByHost[h.Name], can)
+			sentToCold += f.sendsByHost[h.Name]
+			if float64(f.sendsByHost[h.Name]) > s.ColdOverloadFactor*coldCapacity {
+				t.Errorf("%d doors sent %d to a cold host that can do %.1f", gateways, f.sendsByHost[h.Name], coldCapacity)
 			}
 		}
-		if float64(cold) < 6*can {
-			t.Errorf("%d doors sent %d to 10 cold hosts that can do %.1f each", doors, cold, can)
+		if float64(sentToCold) < 6*coldCapacity {
+			t.Errorf("%d doors sent %d to 10 cold hosts that can do %.1f each", gateways, sentToCold, coldCapacity)
 		}
 	}
 }
 
 // A host that is slow beside the others is late by itself: only where others are late, too, is that throttled.
 func TestOneSlowHostDoesNotThrottleAdmission(t *testing.T) {
-	for _, slow := range []int{1, 8} {
+	for _, slowHosts := range []int{1, 8} {
 		s := largeFleetSettings()
 		d := newDriver(t, s, "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
 		d.g.classLatency[0] = estimate.LatencyModel{Latency: 0.05, Units: 1}
-		for i := range slow {
+		for i := range slowHosts {
 			d.g.preferred[i].relativeLatency, d.g.preferred[i].lastResponseAt = 4, d.now
 		}
 		for id := uint64(1); id <= 20; id++ {
 			r := &request{id: id, class: &s.Classes[0], arrivedAt: d.now, due: d.now + 500*ms}
-			took := attempt{server: d.g.preferred[int(id)%slow], sentAt: d.now}
-			d.g.learnFromAttempt(&took, r, AttemptEnded{ID: id, Outcome: OK, Took: 400 * ms})
+			slowAttempt := attempt{server: d.g.preferred[int(id)%slowHosts], sentAt: d.now}
+			d.g.learnFromAttempt(&slowAttempt, r, AttemptEnded{ID: id, Outcome: OK, Took: 400 * ms})
 		}
-		if one := slow == 1; one && d.g.admitShare < 1 || !one && d.g.admitShare > 0.5 {
-			t.Errorf("%d of 8 hosts slow: %.2f is admitted", slow, d.g.admitShare)
+		if isOneSlow := slowHosts == 1; isOneSlow && d.g.admitShare < 1 || !isOneSlow && d.g.admitShare > 0.5 {
+			t.Errorf("%d of 8 hosts slow: %.2f is admitted", slowHosts, d.g.admitShare)
 		}
 	}
 }
@@ -251,19 +251,19 @@
 	s.Classes = s.Classes[:2:2]
 	s.Classes[0].Worth, s.Classes[1].Worth = 3, 1
 	d := newDriver(t, s, "s1")
-	passed := [2]int{}
+	sentOfClass := [2]int{}
 	for id := range uint64(4000) {
 		d.g.admitShare = 0.8
 		class := int(id % 2)
 		d.handle(RequestArrived{ID: id + 1, Class: class, Plan: unlimitedPlan, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 1})
-		for _, sent := range actionsOf[Send](d.takeActions()) {
-			passed[class]++
-			d.handle(AttemptEnded{ID: sent.ID, Server: sent.Server, Outcome: OK, Took: ms, Done: true})
+		for _, send := range actionsOf[Send](d.takeActions()) {
+			sentOfClass[class]++
+			d.handle(AttemptEnded{ID: send.ID, Server: send.Server, Outcome: OK, Took: ms, Done: true})
 		}
 		d.advance(5 * ms)
 		d.takeActions()
 	}
-	if best, least := float64(passed[0])/2000, float64(passed[1])/2000; best < 0.9 || least < 0.6 || least > 0.7 {
-		t.Errorf("admitted: %.2f of the best class, %.2f of the least", best, least)
+	if highWorth, lowWorth := float64(sentOfClass[0])/2000, float64(sentOfClass[1])/2000; highWorth < 0.9 || lowWorth < 0.6 || lowWorth > 0.7 {
+		t.Errorf("admitted: %.2f of the best class, %.2f of the least", highWorth, lowWorth)
 	}
 }
--- a/admission/gateway_test.go
+++ b/admission/gateway_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-func (d *driver) endAttempt(id uint64, attempt int, server string, o Outcome) {
-	d.handle(AttemptEnded{ID: id, Attempt: attempt, Server: server, Outcome: o, Took: 50 * ms, Done: o == OK})
+func (d *driver) endAttempt(id uint64, attempt int, server string, outcome Outcome) {
+	d.handle(AttemptEnded{ID: id, Attempt: attempt, Server: server, Outcome: outcome, Took: 50 * ms, Done: outcome == OK})
 }
 
 func TestRequestQueriesCounterThenIsSent(t *testing.T) {
@@ -137,10 +137,10 @@
 	add := onlyAction[CounterAdd](d)
 	d.handle(CounterAnswered{Name: add.Name, Total: 11, Took: 2 * ms, Outcome: OK})
 	requireNone[Send](d)
-	l := d.g.customers[5].quotaCounter
-	r := onlyAction[Refuse](d)
-	if l.length != 4*time.Second || l.windowAt(d.now+r.RetryAfter) != l.window+1 || l.windowAt(d.now+r.RetryAfter-1) != l.window {
-		t.Fatalf("retry after %v is not the end of the customer's window of %v", r.RetryAfter, l.length)
+	counter := d.g.customers[5].quotaCounter
+	refusal := onlyAction[Refuse](d)
+	if counter.length != 4*time.Second || counter.windowAt(d.now+refusal.RetryAfter) != counter.window+1 || counter.windowAt(d.now+refusal.RetryAfter-1) != counter.window {
+		t.Fatalf("retry after %v is not the end of the customer's window of %v", refusal.RetryAfter, counter.length)
 	}
 	// The units refused ride back on the next call for that name.
 	d.g.callsPerRequest = 0 // keep it asking
@@ -239,18 +239,18 @@
 // At a door whose own share is under one request, a lost counter must neither mean refusing all nor
 // letting all in: about the part that the totals last showed to fit passes.
 func TestLostCounterAtSparseGatewayAdmitsShareThatFits(t *testing.T) {
-	for _, heavy := range []bool{false, true} {
+	for _, isOverQuota := range []bool{false, true} {
 		s := testSettings()
 		s.Gateways, s.Plans[quotaPlan].OverQuotaCost = 100, 1
 		d := newDriver(t, s, "s1", "s2", "s3", "s4")
-		ask := func(id uint64) []Action {
+		requestAndEnd := func(id uint64) []Action {
 			d.advance(5 * time.Second)
 			d.g.queryShare = 1
 			d.handle(RequestArrived{ID: id, Class: 0, Plan: quotaPlan, Customer: 5, ExpiresIn: time.Second, Units: 1, Gateways: 80})
 			for i, a := range d.actions {
 				if add, ok := a.(CounterAdd); ok && !d.g.isBreakerOpen {
 					total := 1.0
-					if heavy && id%4 > 0 { // a quarter of the demand comes before the window is used up
+					if isOverQuota && id%4 > 0 { // a quarter of the demand comes before the window is used up
 						total = 30
 					}
 					d.actions = append(d.actions[:i:i], d.actions[i+1:]...)
@@ -266,15 +266,15 @@
 			return got
 		}
 		for id := uint64(1); id <= 40; id++ {
-			ask(id)
+			requestAndEnd(id)
 		}
 		d.g.isBreakerOpen, d.g.nextCounterProbe = true, 24*time.Hour
 		sent := 0
 		for id := uint64(100); id < 200; id++ {
-			sent += len(actionsOf[Send](ask(id)))
+			sent += len(actionsOf[Send](requestAndEnd(id)))
 		}
-		if !heavy && sent < 95 || heavy && (sent < 5 || sent > 60) {
-			t.Errorf("heavy %v: %d of 100 let in without a counter", heavy, sent)
+		if !isOverQuota && sent < 95 || isOverQuota && (sent < 5 || sent > 60) {
+			t.Errorf("heavy %v: %d of 100 let in without a counter", isOverQuota, sent)
 		}
 	}
 }
@@ -296,7 +296,7 @@
 func TestInFlightCapIsEnforced(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1", "s2", "s3")
 	total := 0.0
-	answer := func() {
+	answerCalls := func() {
 		for _, add := range actionsOf[CounterAdd](d.takeActions()) {
 			total += add.Delta
 			d.handle(CounterAnswered{Name: add.Name, Total: total, Took: 2 * ms, Outcome: OK})
@@ -304,21 +304,21 @@
 	}
 	for id := uint64(1); id <= 2; id++ {
 		d.arrive(id, 0, inFlightPlan, 1)
-		answer()
+		answerCalls()
 		onlyAction[Send](d)
 	}
 	d.arrive(3, 0, inFlightPlan, 1)
-	answer()
+	answerCalls()
 	requireNone[Send](d)
-	answer()
+	answerCalls()
 	d.advance(40 * ms)
 	d.endAttempt(1, 0, d.g.requests[1].attempts[0].server.Name, OK)
-	answer()
+	answerCalls()
 	if total != 1 {
 		t.Fatalf("the gauge stands at %v with one out", total)
 	}
 	d.arrive(4, 0, inFlightPlan, 1)
-	answer()
+	answerCalls()
 	onlyAction[Send](d)
 }
 
@@ -336,13 +336,13 @@
 }
 
 func TestCeilingHoldsWithoutCounterAndAfterRestart(t *testing.T) {
-	for _, counted := range []bool{true, false} {
+	for _, hasCounter := range []bool{true, false} {
 		s := testSettings()
-		s.HasCounter = counted
+		s.HasCounter = hasCounter
 		s.Plans[ceilingPlan].MaxInFlight, s.MaxUnits = 0, 2
 		d := newDriver(t, s, "s1", "s2", "s3", "s4", "s5", "s6")
 		p := s.Plans[ceilingPlan]
-		start, drawn := d.now, 0.0
+		start, usedUnits := d.now, 0.0
 		for id := uint64(1); id < 3000; id++ {
 			d.advance(5 * ms)
 			d.arrive(id, 0, ceilingPlan, 2)
@@ -350,21 +350,21 @@
 				d.handle(CounterAnswered{Name: add.Name, Total: 0, Took: ms, Outcome: OK}) // a counter that forgets
 			}
 			for _, a := range actionsOf[Send](d.takeActions()) {
-				drawn += 2
+				usedUnits += 2
 				d.endAttempt(a.ID, 0, a.Server, OK)
 			}
 			// Without a counter, all may have been spent in an earlier life; one that has forgotten
 			// all lets in this gateway's part of the store once, and no more.
-			most := p.CeilingRate / 2 * (d.now - start).Seconds()
-			if counted {
-				most += (p.CeilingBurst + p.CeilingSlack) / 2
+			limit := p.CeilingRate / 2 * (d.now - start).Seconds()
+			if hasCounter {
+				limit += (p.CeilingBurst + p.CeilingSlack) / 2
 			}
-			if drawn > most+1e-6 {
-				t.Fatalf("sent %v, own part of the refill %v", drawn, most)
+			if usedUnits > limit+1e-6 {
+				t.Fatalf("sent %v, own part of the refill %v", usedUnits, limit)
 			}
 		}
-		if drawn < 20 {
-			t.Fatalf("sent only %v", drawn)
+		if usedUnits < 20 {
+			t.Fatalf("sent only %v", usedUnits)
 		}
 	}
 }
@@ -381,24 +381,24 @@
 }
 
 func TestUnsafeRequestThatMayHaveRunFails(t *testing.T) {
-	for _, o := range []Outcome{Errored, TimedOut, Broken, Cancelled} {
+	for _, outcome := range []Outcome{Errored, TimedOut, Broken, Cancelled} {
 		d := newDriver(t, testSettings(), "s1", "s2")
 		d.arrive(1, 2, unlimitedPlan, 1)
-		s := onlyAction[Send](d)
-		if s.Wait != 0 {
+		send := onlyAction[Send](d)
+		if send.Wait != 0 {
 			t.Fatal("an unsafe attempt has a time-out before the client's")
 		}
 		d.advance(20 * ms)
-		d.endAttempt(1, 0, s.Server, o)
+		d.endAttempt(1, 0, send.Server, outcome)
 		requireNone[Send](d)
 		requireNone[Refuse](d)
 		onlyAction[Fail](d)
 	}
-	for _, o := range []Outcome{Full, Unreachable} { // surely never ran
+	for _, outcome := range []Outcome{Full, Unreachable} { // surely never ran
 		d := newDriver(t, testSettings(), "s1", "s2")
 		d.arrive(1, 2, unlimitedPlan, 1)
-		s := onlyAction[Send](d)
-		d.endAttempt(1, 0, s.Server, o)
+		send := onlyAction[Send](d)
+		d.endAttempt(1, 0, send.Server, outcome)
 		onlyAction[Send](d)
 	}
 }
@@ -406,23 +406,23 @@
 func TestKeyedRequestIsRepeatedOnlyInWindowAndScope(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1", "s2")
 	d.arrive(1, 1, unlimitedPlan, 1)
-	s := onlyAction[Send](d)
+	send := onlyAction[Send](d)
 	d.advance(100 * ms)
-	d.endAttempt(1, 0, s.Server, Broken)
+	d.endAttempt(1, 0, send.Server, Broken)
 	onlyAction[Send](d)
 
 	d = newDriver(t, testSettings(), "s1", "s2")
 	d.arrive(1, 1, unlimitedPlan, 1)
-	s = onlyAction[Send](d)
+	send = onlyAction[Send](d)
 	d.advance(299 * ms) // the window is 300 ms
-	d.endAttempt(1, 0, s.Server, Broken)
+	d.endAttempt(1, 0, send.Server, Broken)
 	requireNone[Send](d)
 
 	d = newDriver(t, testSettings(), "s1")
 	d.arrive(1, 3, unlimitedPlan, 1)
-	s = onlyAction[Send](d)
+	send = onlyAction[Send](d)
 	d.handle(ServerList{Kind: ListFull, Servers: []ServerEntry{{Name: "s2", Zone: "b"}}})
-	d.endAttempt(1, 0, s.Server, Broken)
+	d.endAttempt(1, 0, send.Server, Broken)
 	for len(actionsOf[Fail](d.actions)) == 0 {
 		requireNone[Send](d) // the other zone does not know the key
 		requireNone[Refuse](d)
@@ -438,9 +438,9 @@
 func TestRequestHasOneFinalAnswer(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1", "s2")
 	d.arrive(1, 0, unlimitedPlan, 1)
-	s := onlyAction[Send](d)
+	send := onlyAction[Send](d)
 	d.handle(ClientLeft{ID: 1})
-	d.endAttempt(1, 0, s.Server, Unreachable) // late outcome of a finished request
+	d.endAttempt(1, 0, send.Server, Unreachable) // late outcome of a finished request
 	if len(d.g.requests) != 0 {
 		t.Fatal("kept after its last outcome")
 	}
@@ -465,20 +465,20 @@
 }
 
 func TestShortDeadlineIsAnsweredInTime(t *testing.T) {
-	for _, left := range []time.Duration{0, ms, 3 * ms, 8 * ms} {
-		tight := testSettings()
-		tight.AnswerSlack = 4 * ms
-		d := newDriver(t, tight) // no server at all, a silent counter
-		d.handle(RequestArrived{ID: 1, Class: 0, Plan: quotaPlan, Customer: 5, ExpiresIn: left, Units: 1, Gateways: 2})
-		due := d.now + left + d.g.settings.AnswerSlack
+	for _, timeLeft := range []time.Duration{0, ms, 3 * ms, 8 * ms} {
+		settings := testSettings()
+		settings.AnswerSlack = 4 * ms
+		d := newDriver(t, settings) // no server at all, a silent counter
+		d.handle(RequestArrived{ID: 1, Class: 0, Plan: quotaPlan, Customer: 5, ExpiresIn: timeLeft, Units: 1, Gateways: 2})
+		due := d.now + timeLeft + d.g.settings.AnswerSlack
 		for n := 0; len(actionsOf[Refuse](d.actions)) == 0; n++ {
 			timers := actionsOf[SetTimer](d.takeActions())
 			if len(timers) == 0 || n > 10 {
-				t.Fatalf("%v left: no answer and no timer", left)
+				t.Fatalf("%v left: no answer and no timer", timeLeft)
 			}
 			d.now = max(d.now+d.g.settings.Tick, timers[0].At)
 			if d.now > due {
-				t.Fatalf("%v left: answered too late", left)
+				t.Fatalf("%v left: answered too late", timeLeft)
 			}
 			d.handle(TimerFired{Token: timers[0].Token})
 		}
@@ -500,9 +500,9 @@
 }
 
 func TestNothingIsSentToDrainingOrGoneServers(t *testing.T) {
-	for _, st := range []ServerState{Draining, Gone} {
+	for _, state := range []ServerState{Draining, Gone} {
 		d := newDriver(t, testSettings(), "s1", "s2")
-		d.handle(ServerList{Kind: ListChanges, Servers: []ServerEntry{{Name: "s1", Zone: "a", State: st}}})
+		d.handle(ServerList{Kind: ListChanges, Servers: []ServerEntry{{Name: "s1", Zone: "a", State: state}}})
 		for id := uint64(1); id < 20; id++ {
 			d.arrive(id, 0, unlimitedPlan, 1)
 		}
@@ -525,26 +525,26 @@
 }
 
 // runLoad drives a steady runLoad for a while and counts what each server was sent.
-func (d *driver) runLoad(first uint64, n int, every time.Duration) map[string]int {
+func (d *driver) runLoad(first uint64, requests int, interval time.Duration) map[string]int {
 	sent := map[string]int{}
-	type due struct {
+	type openAttempt struct {
 		at time.Duration
 		s  Send
 	}
-	var out []due
-	for id := first; id < first+uint64(n); id++ {
-		d.advance(every)
-		for len(out) > 0 && out[0].at <= d.now {
-			d.endAttempt(out[0].s.ID, 0, out[0].s.Server, OK)
-			out = out[1:]
+	var open []openAttempt
+	for id := first; id < first+uint64(requests); id++ {
+		d.advance(interval)
+		for len(open) > 0 && open[0].at <= d.now {
+			d.endAttempt(open[0].s.ID, 0, open[0].s.Server, OK)
+			open = open[1:]
 		}
 		d.arrive(id, 0, unlimitedPlan, 1)
 		for _, s := range actionsOf[Send](d.takeActions()) {
 			sent[s.Server]++
-			out = append(out, due{d.now + 50*ms, s})
+			open = append(open, openAttempt{d.now + 50*ms, s})
 		}
 	}
-	for _, o := range out {
+	for _, o := range open {
 		d.now = max(d.now, o.at)
 		d.endAttempt(o.s.ID, 0, o.s.Server, OK)
 	}
@@ -570,12 +570,12 @@
 // A cold server's share must hold as a sum: over many gateways that each see a few requests, also
 // when all of them have just started, and when no server is warm.
 func TestColdServerIsNotOverloadedByAllGateways(t *testing.T) {
-	for _, cold := range []int{1, 3, 10} {
+	for _, coldServers := range []int{1, 3, 10} {
 		s := testSettings()
 		s.Gateways = 100
-		toCold, all := 0, 0
-		for n := range s.Gateways {
-			g, err := New(s, uint64(n))
+		toCold, sent := 0, 0
+		for index := range s.Gateways {
+			g, err := New(s, uint64(index))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -583,7 +583,7 @@
 			list := ServerList{Kind: ListCached}
 			for i := range 10 {
 				e := ServerEntry{Name: fmt.Sprintf("s%d", i), Zone: "a", Size: 1}
-				if i < cold {
+				if i < coldServers {
 					e.Boot = d.now
 				}
 				list.Servers = append(list.Servers, e)
@@ -598,39 +598,39 @@
 					}
 				}
 				for _, a := range actionsOf[Send](d.takeActions()) {
-					if all++; a.Server < fmt.Sprintf("s%d", cold) {
+					if sent++; a.Server < fmt.Sprintf("s%d", coldServers) {
 						toCold++
 					}
 					d.endAttempt(a.ID, 0, a.Server, OK)
 				}
 			}
 		}
-		fair := float64(500*cold) / 10 * s.InitialCapacity
+		fair := float64(500*coldServers) / 10 * s.InitialCapacity
 		// Even where a fair share is all that a warm one can do, that is less than pushes a cold one over.
 		if toCold == 0 || float64(toCold) > s.ColdOverloadFactor*fair {
-			t.Errorf("%d cold: %d of %d sends went to them, fair is %.0f", cold, toCold, all, fair)
+			t.Errorf("%d cold: %d of %d sends went to them, fair is %.0f", coldServers, toCold, sent, fair)
 		}
 	}
 }
 
 func TestSilentServerIsAvoidedBeforeAnyTimeout(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1", "s2", "s3")
-	hung := 0
+	sentToSilent := 0
 	for id := uint64(1); id < 400; id++ {
 		d.advance(10 * ms)
 		d.arrive(id, 0, unlimitedPlan, 1)
 		for _, s := range actionsOf[Send](d.takeActions()) {
 			if s.Server == "s1" {
 				if id > 100 {
-					hung++
+					sentToSilent++
 				}
 				continue // takes work, answers nothing
 			}
 			d.endAttempt(s.ID, 0, s.Server, OK)
 		}
 	}
-	if hung > 2 {
-		t.Fatalf("%d more went to a silent server", hung)
+	if sentToSilent > 2 {
+		t.Fatalf("%d more went to a silent server", sentToSilent)
 	}
 }
 
@@ -684,7 +684,7 @@
 }
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"gateways": func(s *Settings) { s.Gateways = 0 },
 		"number":   func(s *Settings) { s.Index = 2 },
 		"classes":  func(s *Settings) { s.Classes = nil },
@@ -695,7 +695,7 @@
 		"aim":      func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
@@ -726,134 +726,134 @@
 	s.CanSendRetryAfter = rng.IntN(2) > 0
 	d := newDriver(t, s, "s1", "s2", "s3")
 	type req struct {
-		class   int
-		due     time.Duration
-		final   bool
-		live    map[int]string
-		sends   int
-		maybe   bool
-		maybeAt time.Duration
-		sentAt  map[int]time.Duration
+		class        int
+		due          time.Duration
+		isAnswered   bool
+		openAttempts map[int]string
+		sends        int
+		mayHaveRun   bool
+		mayHaveRunAt time.Duration
+		sentAt       map[int]time.Duration
 	}
 	reqs := map[uint64]*req{}
-	var open []uint64
-	var names []string
+	var openRequests []uint64
+	var openCalls []string
 	var timers []SetTimer
 	var log []string
-	state := map[string]ServerState{}
-	next := uint64(1)
-	absorb := func() {
+	serverStates := map[string]ServerState{}
+	nextID := uint64(1)
+	checkActions := func() {
 		for _, a := range d.takeActions() {
 			log = append(log, fmt.Sprintf("%d %T%+v", d.now, a, a))
 			switch a := a.(type) {
 			case Send:
 				r := reqs[a.ID]
 				switch {
-				case r == nil || r.final:
+				case r == nil || r.isAnswered:
 					t.Fatalf("seed %d: send for a finished request", seed)
-				case len(r.live) > 0:
+				case len(r.openAttempts) > 0:
 					t.Fatalf("seed %d: two attempts at once", seed)
-				case state[a.Server] != Up:
+				case serverStates[a.Server] != Up:
 					t.Fatalf("seed %d: sent to a server that drains or is gone", seed)
-				case r.maybe && s.Classes[r.class].Effect == Unsafe:
+				case r.mayHaveRun && s.Classes[r.class].Effect == Unsafe:
 					t.Fatalf("seed %d: unsafe request sent twice", seed)
-				case r.maybe && s.Classes[r.class].Effect == Keyed &&
-					d.now > r.maybeAt+s.Classes[r.class].RepeatWindow:
+				case r.mayHaveRun && s.Classes[r.class].Effect == Keyed &&
+					d.now > r.mayHaveRunAt+s.Classes[r.class].RepeatWindow:
 					t.Fatalf("seed %d: keyed request repeated past its window", seed)
 				case r.sends >= s.MaxAttempts:
 					t.Fatalf("seed %d: too many attempts", seed)
 				}
-				r.live[r.sends], r.sentAt[r.sends] = a.Server, d.now
+				r.openAttempts[r.sends], r.sentAt[r.sends] = a.Server, d.now
 				r.sends++
 			case Refuse:
 				r := reqs[a.ID]
-				if r == nil || r.final {
+				if r == nil || r.isAnswered {
 					t.Fatalf("seed %d: refused twice", seed)
 				}
 				c := s.Classes[r.class]
-				if r.maybe && (c.Effect == Unsafe || c.Effect == Keyed && c.Scope != ScopeAll) {
+				if r.mayHaveRun && (c.Effect == Unsafe || c.Effect == Keyed && c.Scope != ScopeAll) {
 					t.Fatalf("seed %d: refused what may have run", seed)
 				}
-				r.final = true
+				r.isAnswered = true
 			case Fail:
-				if r := reqs[a.ID]; r == nil || r.final {
+				if r := reqs[a.ID]; r == nil || r.isAnswered {
 					t.Fatalf("seed %d: failed twice", seed)
 				}
-				reqs[a.ID].final = true
+				reqs[a.ID].isAnswered = true
 			case CounterAdd:
 				if !s.HasCounter {
 					t.Fatalf("seed %d: no counter here", seed)
 				}
-				names = append(names, a.Name)
+				openCalls = append(openCalls, a.Name)
 			case SetTimer:
 				timers = append(timers, a)
 			}
 		}
 	}
-	end := func(id uint64, o Outcome) {
+	endAttempts := func(id uint64, outcome Outcome) {
 		r := reqs[id]
-		for n, server := range r.live {
-			delete(r.live, n)
-			if o != OK && o != Full && o != Unreachable && !r.maybe {
-				r.maybe, r.maybeAt = true, r.sentAt[n]
+		for n, server := range r.openAttempts {
+			delete(r.openAttempts, n)
+			if outcome != OK && outcome != Full && outcome != Unreachable && !r.mayHaveRun {
+				r.mayHaveRun, r.mayHaveRunAt = true, r.sentAt[n]
 			}
-			done := o == OK || r.final
-			if o == OK {
-				r.final = true
+			done := outcome == OK || r.isAnswered
+			if outcome == OK {
+				r.isAnswered = true
 			}
-			d.handle(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: o, Done: done,
+			d.handle(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: outcome, Done: done,
 				Took: d.now - r.sentAt[n], Billed: 1 + rng.IntN(8)})
-			absorb()
+			checkActions()
 		}
 	}
 	for range steps {
 		d.advance(time.Duration(rng.IntN(8)) * ms)
 		for i := 0; i < len(timers); i++ { // due timers, in the order they were set
 			if timers[i].At <= d.now {
-				tok := timers[i].Token
+				token := timers[i].Token
 				timers = append(timers[:i], timers[i+1:]...)
 				i--
-				d.handle(TimerFired{Token: tok})
-				absorb()
+				d.handle(TimerFired{Token: token})
+				checkActions()
 			}
 		}
-		kept := open[:0]
-		for _, id := range open { // the host ends attempts at the deadline
+		stillOpen := openRequests[:0]
+		for _, id := range openRequests { // the host ends attempts at the deadline
 			r := reqs[id]
-			if d.now >= r.due && !r.final {
-				if len(r.live) > 0 {
-					end(id, TimedOut)
+			if d.now >= r.due && !r.isAnswered {
+				if len(r.openAttempts) > 0 {
+					endAttempts(id, TimedOut)
 				}
-				if !r.final && d.now > r.due+s.AnswerSlack {
+				if !r.isAnswered && d.now > r.due+s.AnswerSlack {
 					t.Fatalf("seed %d: request %d of class %d unanswered past its time", seed, id, r.class)
 				}
 			}
-			if !r.final || len(r.live) > 0 {
-				kept = append(kept, id)
+			if !r.isAnswered || len(r.openAttempts) > 0 {
+				stillOpen = append(stillOpen, id)
 			}
 		}
-		open = kept
+		openRequests = stillOpen
 		switch k := rng.IntN(20); {
 		case k < 7:
 			class := rng.IntN(len(s.Classes))
-			r := &req{class: class, live: map[int]string{}, sentAt: map[int]time.Duration{}}
+			r := &req{class: class, openAttempts: map[int]string{}, sentAt: map[int]time.Duration{}}
 			expires := time.Duration(rng.IntN(2000)) * ms
 			r.due = d.now + expires
-			reqs[next] = r
-			open = append(open, next)
-			d.handle(RequestArrived{ID: next, Class: class, Plan: rng.IntN(len(s.Plans)+1) - 1,
+			reqs[nextID] = r
+			openRequests = append(openRequests, nextID)
+			d.handle(RequestArrived{ID: nextID, Class: class, Plan: rng.IntN(len(s.Plans)+1) - 1,
 				Customer: uint64(rng.IntN(4)), ExpiresIn: expires, Units: rng.IntN(9), Gateways: rng.IntN(3)})
-			next++
-		case k < 13 && len(open) > 0:
-			end(open[rng.IntN(len(open))], Outcome(rng.IntN(int(NotSent))))
-		case k < 17 && len(names) > 0:
-			name := names[0]
-			names = names[1:]
+			nextID++
+		case k < 13 && len(openRequests) > 0:
+			endAttempts(openRequests[rng.IntN(len(openRequests))], Outcome(rng.IntN(int(NotSent))))
+		case k < 17 && len(openCalls) > 0:
+			name := openCalls[0]
+			openCalls = openCalls[1:]
 			d.handle(CounterAnswered{Name: name, Total: float64(rng.IntN(20)), Took: ms,
 				Outcome: []Outcome{OK, OK, OK, Full, TimedOut, Unreachable}[rng.IntN(6)]})
-		case k == 17 && len(open) > 0:
-			id := open[rng.IntN(len(open))]
-			reqs[id].final = true
+		case k == 17 && len(openRequests) > 0:
+			id := openRequests[rng.IntN(len(openRequests))]
+			reqs[id].isAnswered = true
 			d.handle(ClientLeft{ID: id})
 		case k == 18:
 			e := ServerEntry{Name: fmt.Sprintf("s%d", 1+rng.IntN(4)), Zone: "a", State: ServerState(rng.IntN(3))}
@@ -861,10 +861,10 @@
 				e.State = Up
 				e.Boot = d.now
 			}
-			state[e.Name] = e.State
+			serverStates[e.Name] = e.State
 			d.handle(ServerList{Kind: ListChanges, Servers: []ServerEntry{e}})
 		}
-		absorb()
+		checkActions()
 	}
 	return log
 }
@@ -891,34 +891,34 @@
 	s.Gateways = 1
 	d := newDriver(t, s, "s1")
 	id := uint64(0)
-	call := func(o Outcome, took time.Duration) {
+	queryCounter := func(outcome Outcome, took time.Duration) {
 		id++
 		d.handle(RequestArrived{ID: id, Plan: quotaPlan, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 2})
 		for _, add := range actionsOf[CounterAdd](d.takeActions()) {
 			d.advance(took)
-			d.handle(CounterAnswered{Name: add.Name, Total: add.Delta, Took: took, Outcome: o})
+			d.handle(CounterAnswered{Name: add.Name, Total: add.Delta, Took: took, Outcome: outcome})
 		}
 	}
-	const far = 40 * ms // half of the limit
+	const baseline = 40 * ms // half of the limit
 	for range 50 {
-		call(OK, far)
+		queryCounter(OK, baseline)
 	}
 	if d.g.queryShare < 1 {
 		t.Fatalf("%v of the requests ask a far counter", d.g.queryShare)
 	}
 	for range 100 { // fewer and fewer ask
-		call(TimedOut, s.CounterTimeout)
+		queryCounter(TimedOut, s.CounterTimeout)
 	}
 	if !d.g.isBreakerOpen {
 		t.Fatal("the breaker is closed")
 	}
 	d.advance(2 * counterProbeInterval)
-	call(OK, far) // the probe that is due is made, however few ask
+	queryCounter(OK, baseline) // the probe that is due is made, however few ask
 	if d.g.isBreakerOpen {
 		t.Fatal("the breaker stays open")
 	}
 	d.g.queryShare = 1
-	call(OK, 3*far)
+	queryCounter(OK, 3*baseline)
 	if d.g.queryShare >= 1 {
 		t.Fatal("a crowded counter is asked as ever")
 	}
@@ -932,17 +932,17 @@
 	for id := uint64(1); id <= 200; id++ {
 		d.arrive(id, 0, unlimitedPlan, 1)
 		for n := 0; ; n++ {
-			all := actionsOf[Send](d.takeActions())
-			if len(all) == 0 {
+			sends := actionsOf[Send](d.takeActions())
+			if len(sends) == 0 {
 				break
 			}
-			if sent[all[0].Server]++; all[0].Server == "s1" && sent["s1"]%2 == 0 {
+			if sent[sends[0].Server]++; sends[0].Server == "s1" && sent["s1"]%2 == 0 {
 				d.advance(20 * ms)
 				d.endAttempt(id, n, "s1", Full)
 				continue
 			}
 			d.advance(10 * ms)
-			d.endAttempt(id, n, all[0].Server, OK)
+			d.endAttempt(id, n, sends[0].Server, OK)
 		}
 	}
 	if sent["s1"] == 0 || sent["s1"] > 50 {
@@ -959,12 +959,12 @@
 func TestUseThroughOtherGatewaysIsPredicted(t *testing.T) {
 	s := testSettings()
 	s.Plans[quotaPlan].Rate, s.Plans[quotaPlan].Burst = 10, 20
-	run := func(asked float64) (sent int) {
+	run := func(queryShareAverage float64) (sent int) {
 		d := newDriver(t, s, "s1", "s2", "s3")
-		name, total, id := "", 0.0, uint64(0)
+		counterName, total, id := "", 0.0, uint64(0)
 		for step := range 600 { // 30 s, ten a second asked here and five taken elsewhere
 			d.advance(50 * ms)
-			d.g.queryShareAverage, d.g.queryShare = asked, 0
+			d.g.queryShareAverage, d.g.queryShare = queryShareAverage, 0
 			total += 0.25
 			if step%20 == 0 { // one a second asks
 				d.g.queryShare = 1
@@ -975,50 +975,50 @@
 			id++
 			d.arrive(id, 0, quotaPlan, 1)
 			for range 2 {
-				got := d.takeActions()
-				for _, add := range actionsOf[CounterAdd](got) {
-					if name != add.Name { // a new window
-						name, total = add.Name, 5*d.g.customers[5].quotaCounter.elapsed(d.now).Seconds()
+				actions := d.takeActions()
+				for _, add := range actionsOf[CounterAdd](actions) {
+					if counterName != add.Name { // a new window
+						counterName, total = add.Name, 5*d.g.customers[5].quotaCounter.elapsed(d.now).Seconds()
 					}
 					total += add.Delta
-					d.handle(CounterAnswered{Name: name, Total: total, Took: 2 * ms, Outcome: OK})
+					d.handle(CounterAnswered{Name: counterName, Total: total, Took: 2 * ms, Outcome: OK})
 				}
-				for _, snd := range actionsOf[Send](got) {
+				for _, send := range actionsOf[Send](actions) {
 					sent++
-					d.endAttempt(snd.ID, 0, snd.Server, OK)
+					d.endAttempt(send.ID, 0, send.Server, OK)
 				}
 			}
 		}
 		return sent
 	}
-	blind, foretold := run(1), run(0)
+	unpredicted, predicted := run(1), run(0)
 	// Five a second and the store are what is left here.
-	if foretold < 120 || foretold > 180 || blind < foretold+20 {
-		t.Fatalf("of 300 sent %d, blindly %d", foretold, blind)
+	if predicted < 120 || predicted > 180 || unpredicted < predicted+20 {
+		t.Fatalf("of 300 sent %d, blindly %d", predicted, unpredicted)
 	}
 }
 
 // A server that fails at once looks like the fastest of all. Errors in a row must keep requests off it; one
 // among good answers is nothing, and the first good answer after it clears the count.
 func TestServerWithConsecutiveErrorsIsEjected(t *testing.T) {
-	for share, most := range map[uint64]int{1: 20, 4: 1000} { // each, or one in so many, is an error
+	for errorInterval, maxSent := range map[uint64]int{1: 20, 4: 1000} { // each, or one in so many, is an error
 		d := newDriver(t, testSettings(), "s1", "s2")
 		sent := map[string]int{}
 		for id := uint64(1); id <= 200; id++ {
 			d.arrive(id, 2, unlimitedPlan, 1) // unsafe: it is not repeated
-			s := onlyAction[Send](d)
-			sent[s.Server]++
+			send := onlyAction[Send](d)
+			sent[send.Server]++
 			d.advance(10 * ms)
-			if s.Server == "s1" && uint64(sent["s1"])%share == 0 {
+			if send.Server == "s1" && uint64(sent["s1"])%errorInterval == 0 {
 				d.handle(AttemptEnded{ID: id, Server: "s1", Outcome: Errored, Took: ms})
 				d.takeActions()
 				continue
 			}
-			d.endAttempt(id, 0, s.Server, OK)
+			d.endAttempt(id, 0, send.Server, OK)
 			d.takeActions()
 		}
-		if sent["s1"] > most || most == 1000 && sent["s1"] < 60 {
-			t.Fatalf("one in %d errs: sent %v", share, sent)
+		if sent["s1"] > maxSent || maxSent == 1000 && sent["s1"] < 60 {
+			t.Fatalf("one in %d errs: sent %v", errorInterval, sent)
 		}
 	}
 }
@@ -1032,8 +1032,8 @@
 		onlyAction[Send](d)
 		d.endAttempt(id, 0, "s1", Broken)
 		d.takeActions()
-		if shunned := d.g.isSuspect(d.g.servers["s1"]); shunned != (id == 2) {
-			t.Fatalf("after %d broken answers: shunned %v", id, shunned)
+		if isSuspect := d.g.isSuspect(d.g.servers["s1"]); isSuspect != (id == 2) {
+			t.Fatalf("after %d broken answers: shunned %v", id, isSuspect)
 		}
 	}
 }
@@ -1043,26 +1043,26 @@
 func TestCustomersNearQuotaQueryFirst(t *testing.T) {
 	s := testSettings()
 	s.Plans[quotaPlan].Rate, s.Plans[quotaPlan].Burst = 10, 100
-	asks := func(share, spent float64) (n int) {
+	countQueries := func(queryShare, usedUnits float64) (queries int) {
 		d := newDriver(t, s, "s1", "s2")
 		for id := uint64(1); id <= 200; id++ {
-			d.g.queryShareAverage, d.g.queryShare = share, share
+			d.g.queryShareAverage, d.g.queryShare = queryShare, queryShare
 			c := d.g.ensureCustomer(5, quotaPlan, 2, 0)
 			d.g.rollWindow(c, &c.quotaCounter)
-			c.quotaTokens, c.quotaTokensAt, c.quotaCounter.pending = 100-spent, d.now, spent
+			c.quotaTokens, c.quotaTokensAt, c.quotaCounter.pending = 100-usedUnits, d.now, usedUnits
 			d.arrive(id, 0, quotaPlan, 1)
-			if n += len(actionsOf[CounterAdd](d.actions)); len(actionsOf[Send](d.takeActions())) > 0 {
+			if queries += len(actionsOf[CounterAdd](d.actions)); len(actionsOf[Send](d.takeActions())) > 0 {
 				d.endAttempt(id, 0, "s1", OK)
 				d.endAttempt(id, 0, "s2", OK)
 				d.takeActions()
 			}
 		}
-		return n
+		return queries
 	}
-	if far, near := asks(0.2, 1), asks(0.2, 60); near < 3*far || near < 100 {
-		t.Fatalf("%d calls far from the quota, %d near it", far, near)
+	if farFromQuota, nearQuota := countQueries(0.2, 1), countQueries(0.2, 60); nearQuota < 3*farFromQuota || nearQuota < 100 {
+		t.Fatalf("%d calls far from the quota, %d near it", farFromQuota, nearQuota)
 	}
-	if n := asks(1, 1); n != 200 {
+	if n := countQueries(1, 1); n != 200 {
 		t.Fatalf("%d of 200 ask a counter with room", n)
 	}
 }
@@ -1072,23 +1072,23 @@
 func TestPredictedUseHoldsThroughOutage(t *testing.T) {
 	s := testSettings()
 	s.Plans[quotaPlan].Rate, s.Plans[quotaPlan].Burst = 10, 20
-	run := func(asked float64) (sent int) {
+	run := func(queryShareAverage float64) (sent int) {
 		d := newDriver(t, s, "s1", "s2", "s3")
 		c := d.g.ensureCustomer(5, quotaPlan, 2, 0)
 		c.othersRate = 1
 		for id := uint64(1); id <= 160; id++ { // eight a second for 20 s
-			d.g.isBreakerOpen, d.g.nextCounterProbe, d.g.queryShareAverage = true, d.now+time.Hour, asked
+			d.g.isBreakerOpen, d.g.nextCounterProbe, d.g.queryShareAverage = true, d.now+time.Hour, queryShareAverage
 			d.advance(125 * ms)
 			d.arrive(id, 0, quotaPlan, 1)
-			for _, snd := range actionsOf[Send](d.takeActions()) {
+			for _, send := range actionsOf[Send](d.takeActions()) {
 				sent++
-				d.endAttempt(id, 0, snd.Server, OK)
+				d.endAttempt(id, 0, send.Server, OK)
 				d.takeActions()
 			}
 		}
 		return sent
 	}
-	if known, blind := run(0), run(1); known < 150 || blind > 130 {
-		t.Fatalf("of 160 within the quota sent %d, blindly %d", known, blind)
+	if predicted, unpredicted := run(0), run(1); predicted < 150 || unpredicted > 130 {
+		t.Fatalf("of 160 within the quota sent %d, blindly %d", predicted, unpredicted)
 	}
 }
--- a/admission/membership_test.go
+++ b/admission/membership_test.go
@@ -7,8 +7,8 @@
 )
 
 // newCeilingFleet is one whose customers have a ceiling and nothing else, and so need no counter.
-func newCeilingFleet(t *testing.T, doors int) *fleet {
-	f := newFleet(t, doors, 4)
+func newCeilingFleet(t *testing.T, gateways int) *fleet {
+	f := newFleet(t, gateways, 4)
 	for _, d := range f.gateways {
 		d.g.settings.Plans[ceilingPlan] = Plan{Name: "hard", CeilingRate: 18, CeilingBurst: 45, CeilingSlack: 4.5}
 	}
@@ -16,10 +16,10 @@
 }
 
 // countSentUnderCeiling is how many requests of one customer the doors of a fleet but skip send on, asked without end.
-func countSentUnderCeiling(f *fleet, from, to time.Duration, skip int) (sent int) {
+func countSentUnderCeiling(f *fleet, from, to time.Duration, skipped int) (sent int) {
 	for now := from; now < to; now += 5 * ms {
-		for me, d := range f.gateways {
-			if me == skip {
+		for index, d := range f.gateways {
+			if index == skipped {
 				continue
 			}
 			f.lastRequestID++
@@ -33,34 +33,34 @@
 	return sent
 }
 
-func changeMembership(f *fleet, now time.Duration, ev FleetChanged, doors ...int) {
-	for _, me := range doors {
-		f.gateways[me].g.Handle(now, ev)
+func changeMembership(f *fleet, now time.Duration, ev FleetChanged, gateways ...int) {
+	for _, index := range gateways {
+		f.gateways[index].g.Handle(now, ev)
 	}
 }
 
 // Of a ceiling's store, the parts of the doors that are there add up to the whole, whoever is out and however many.
 func TestCeilingPartsOfPresentGatewaysAddUp(t *testing.T) {
-	for _, out := range [][]int{nil, {0}, {2}, {1, 3}, {0, 1, 2}} {
+	for _, absent := range [][]int{nil, {0}, {2}, {1, 3}, {0, 1, 2}} {
 		f := newFleet(t, 4, 4)
-		sum, fill := 0.0, 0.0
+		burstSum, rateSum := 0.0, 0.0
 		for me, d := range f.gateways {
-			d.g.Handle(d.now, FleetChanged{Absent: out})
+			d.g.Handle(d.now, FleetChanged{Absent: absent})
 			c := d.g.ensureCustomer(7, ceilingPlan, 4, 1)
-			if c.gateways != float64(4-len(out)) {
-				t.Errorf("out %v: %v doors", out, c.gateways)
+			if c.gateways != float64(4-len(absent)) {
+				t.Errorf("out %v: %v doors", absent, c.gateways)
 			}
-			gone := false
-			for _, o := range out {
-				gone = gone || o == me
+			isAbsent := false
+			for _, index := range absent {
+				isAbsent = isAbsent || index == me
 			}
-			if !gone {
-				sum, fill = sum+c.ceilingBurst, fill+c.ceilingRate
+			if !isAbsent {
+				burstSum, rateSum = burstSum+c.ceilingBurst, rateSum+c.ceilingRate
 			}
 		}
 		p := f.gateways[0].g.settings.Plans[ceilingPlan]
-		if whole := p.CeilingBurst + usedSlackShare*p.CeilingSlack; math.Abs(sum-whole) > 1e-6 || math.Abs(fill-p.CeilingRate) > 1e-6 {
-			t.Errorf("out %v: parts %v of %v, filled at %v of %v", out, sum, whole, fill, p.CeilingRate)
+		if whole := p.CeilingBurst + usedSlackShare*p.CeilingSlack; math.Abs(burstSum-whole) > 1e-6 || math.Abs(rateSum-p.CeilingRate) > 1e-6 {
+			t.Errorf("out %v: parts %v of %v, filled at %v of %v", absent, burstSum, whole, rateSum, p.CeilingRate)
 		}
 	}
 }
@@ -74,9 +74,9 @@
 		t.Errorf("%d sent by unsure gateways", n)
 	}
 	changeMembership(f, now+3*time.Second, FleetChanged{}, 0, 1)
-	for me, d := range f.gateways { // nor has it saved up a part meanwhile, for a customer that it meets now
+	for index, d := range f.gateways { // nor has it saved up a part meanwhile, for a customer that it meets now
 		if c := d.g.ensureCustomer(8, ceilingPlan, 2, 0); c.hasCeilingTokens(now+3*time.Second+ms, 1) {
-			t.Errorf("gateway %d has a part at once", me)
+			t.Errorf("gateway %d has a part at once", index)
 		}
 	}
 	if n := countSentUnderCeiling(f, now+3*time.Second, now+5*time.Second, -1); n < 25 || n > 36+5 {
@@ -105,16 +105,16 @@
 
 // A customer's set goes round the numbers; only those of the set that are out count.
 func TestOnlyAbsentGatewaysOfCustomerCount(t *testing.T) {
-	p := membership{absent: []int{0, 3}}
+	members := membership{absent: []int{0, 3}}
 	for _, c := range []struct {
 		n, first int
 		want     float64
 	}{{2, 1, 2}, {2, 3, 1}, {4, 2, 2}, {5, 0, 3}, {1, 0, 1}, {9, 4, 3}} {
-		if got := p.countFrom(c.n, c.first, 5); got != c.want {
+		if got := members.countFrom(c.n, c.first, 5); got != c.want {
 			t.Errorf("%d from %d: %v, want %v", c.n, c.first, got, c.want)
 		}
 	}
-	if p.position(4, 2, 5) != 1 || p.position(1, 2, 5) != 2 || (membership{}).position(1, 2, 5) != 4 {
-		t.Error("places", p.position(4, 2, 5), p.position(1, 2, 5), membership{}.position(1, 2, 5))
+	if members.position(4, 2, 5) != 1 || members.position(1, 2, 5) != 2 || (membership{}).position(1, 2, 5) != 4 {
+		t.Error("places", members.position(4, 2, 5), members.position(1, 2, 5), membership{}.position(1, 2, 5))
 	}
 }
--- a/admission/settings_change_test.go
+++ b/admission/settings_change_test.go
@@ -47,7 +47,7 @@
 	d.actions = nil
 	d.handle(AttemptEnded{ID: 1, Server: d.g.requests[1].attempts[0].server.Name, Outcome: Broken, Took: ms})
 	for _, a := range d.actions {
-		if _, again := a.(Send); again {
+		if _, isSend := a.(Send); isSend {
 			t.Errorf("sent again beyond the attempts allowed now: %v", d.actions)
 		}
 	}
@@ -94,18 +94,18 @@
 		s.Gateways, s.MaxUnits = 40, 1
 		s.Plans = append(s.Plans, Plan{Name: "joint", Rate: 4, Burst: 8, CeilingRate: 8, CeilingBurst: 16, CeilingSlack: 1, OverQuotaCost: 1})
 	})
-	joint := len(s.Plans) - 1
+	totalsPlan := len(s.Plans) - 1
 	d := newDriver(t, s, "s1")
-	shown := func(id uint64) bool {
+	isAdmitted := func(id uint64) bool {
 		d.advance(ms)
-		d.handle(RequestArrived{ID: id, Class: 0, Plan: joint, ExpiresIn: time.Second, Units: 1, Customer: 9, Gateways: 40})
+		d.handle(RequestArrived{ID: id, Class: 0, Plan: totalsPlan, ExpiresIn: time.Second, Units: 1, Customer: 9, Gateways: 40})
 		for _, a := range d.takeActions() {
 			if k, ok := a.(CounterAdd); ok {
 				d.handle(CounterAnswered{Name: k.Name, Total: k.Delta, Took: ms, Outcome: OK})
 			}
 		}
 		for _, a := range d.takeActions() {
-			if _, sent := a.(Send); sent {
+			if _, isSend := a.(Send); isSend {
 				d.handle(AttemptEnded{ID: id, Server: "s1", Outcome: OK, Took: ms, Done: true})
 				d.takeActions()
 				return true
@@ -114,29 +114,29 @@
 		return false
 	}
 	// some tells whether any of many requests was let in: which of them ask the counter is a matter of chance.
-	next := uint64(1)
-	some := func() bool {
+	lastID := uint64(1)
+	isAnyAdmitted := func() bool {
 		for range 60 {
-			if next++; shown(next) {
+			if lastID++; isAdmitted(lastID) {
 				return true
 			}
 		}
 		return false
 	}
-	if !some() {
+	if !isAnyAdmitted() {
 		t.Fatal("a total that shows room lets nobody in")
 	}
 	for i := range 4 {
 		s.Plans = slices.Clone(s.Plans)
-		s.Plans[joint].Burst = 8 + float64(i+1)
+		s.Plans[totalsPlan].Burst = 8 + float64(i+1)
 		d.handle(SettingsChanged{s})
 		d.takeActions()
-		if some() {
+		if isAnyAdmitted() {
 			t.Fatalf("let in after %d changes, within the former window", i+1)
 		}
 	}
-	d.advance(s.Plans[joint].windowLength())
-	if !some() {
+	d.advance(s.Plans[totalsPlan].windowLength())
+	if !isAnyAdmitted() {
 		t.Error("nobody is let in once the windows are of one length")
 	}
 }
@@ -144,19 +144,19 @@
 // A server that restarts after its clock was set back says an earlier start than before; it is cold all the same.
 func TestServerRestartWithEarlierBootTime(t *testing.T) {
 	d := newDriver(t, testSettings())
-	at := func(boot time.Duration) {
+	announceBoot := func(boot time.Duration) {
 		d.handle(ServerList{Kind: ListChanges, Servers: []ServerEntry{{Name: "s1", Zone: "a", Size: 1, Boot: boot}}})
 	}
-	at(d.now - time.Minute)
-	if w := d.g.capacityShare(d.g.servers["s1"]); w != 1 {
-		t.Fatalf("warmth %v a minute after its start", w)
+	announceBoot(d.now - time.Minute)
+	if share := d.g.capacityShare(d.g.servers["s1"]); share != 1 {
+		t.Fatalf("warmth %v a minute after its start", share)
 	}
 	d.g.servers["s1"].failures = 3
-	at(d.now - 2*time.Minute)
+	announceBoot(d.now - 2*time.Minute)
 	if s := d.g.servers["s1"]; s.failures != 0 || s.startedAt != d.now-2*time.Minute {
 		t.Errorf("not taken for a restart: %+v", s)
 	}
-	at(0)
+	announceBoot(0)
 	if s := d.g.servers["s1"]; s.startedAt != d.now-2*time.Minute {
 		t.Error("that its start is long ago is no restart")
 	}
--- a/admission/size_test.go
+++ b/admission/size_test.go
@@ -20,32 +20,32 @@
 }
 
 // observeTotal has the desk learn one total of a customer, at a part of its window, and returns its estimate.
-func (d *driver) observeTotal(customer uint64, part, total float64) float64 {
+func (d *driver) observeTotal(customer uint64, windowShare, total float64) float64 {
 	c := d.g.ensureCustomer(customer, quotaPlan, 300, 0)
-	l := &c.quotaCounter
-	d.now += l.length - l.elapsed(d.now) + time.Duration(part*float64(l.length))
+	counter := &c.quotaCounter
+	d.now += counter.length - counter.elapsed(d.now) + time.Duration(windowShare*float64(counter.length))
 	d.g.now = d.now
-	d.g.rollWindow(c, l)
-	d.g.learnDemand(c, l, &counterCall{customer: c, counter: l, window: l.window, delta: 1}, total+1)
+	d.g.rollWindow(c, counter)
+	d.g.learnDemand(c, counter, &counterCall{customer: c, counter: counter, window: counter.window, delta: 1}, total+1)
 	return d.g.demandRatio(c)
 }
 
 func TestOneEarlyTotalCountsLessThanWindow(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
-	quiet, _ := d.observeTotal(1, 0.9, 2), d.g
-	early := d.observeTotal(2, 0.02, 2) // two units in a fiftieth of a window: by itself a demand of 12 times the quota
-	if early > 4 {
-		t.Errorf("one early total makes a customer ask %.1f times what fits", early)
+	lowDemand, _ := d.observeTotal(1, 0.9, 2), d.g
+	earlyDemand := d.observeTotal(2, 0.02, 2) // two units in a fiftieth of a window: by itself a demand of 12 times the quota
+	if earlyDemand > 4 {
+		t.Errorf("one early total makes a customer ask %.1f times what fits", earlyDemand)
 	}
 	for range 4 {
-		quiet = d.observeTotal(1, 0.9, 2)
+		lowDemand = d.observeTotal(1, 0.9, 2)
 	}
-	heavy := 0.0
+	highDemand := 0.0
 	for range 4 {
-		heavy = d.observeTotal(3, 0.9, 40)
+		highDemand = d.observeTotal(3, 0.9, 40)
 	}
-	if quiet > 0.6 || heavy < 3 {
-		t.Errorf("a calm customer is taken to ask %.2f, a heavy one %.2f of what fits", quiet, heavy)
+	if lowDemand > 0.6 || highDemand < 3 {
+		t.Errorf("a calm customer is taken to ask %.2f, a heavy one %.2f of what fits", lowDemand, highDemand)
 	}
 }
 
@@ -63,8 +63,8 @@
 	s.Plans[inFlightPlan].OverQuotaCost, s.Plans[inFlightPlan].OverQuotaWorth = 0, 0.3
 	d := newDriver(t, s, "s1")
 	d.g.queryShare = 0.3
-	if dear, cheap := d.g.planQueryShare(quotaPlan), d.g.planQueryShare(inFlightPlan); dear != 0.3 || cheap >= 0.2 {
-		t.Errorf("asks for %.2f of the dear plan's requests, %.2f of the cheap one's", dear, cheap)
+	if costlyPlanShare, cheapPlanShare := d.g.planQueryShare(quotaPlan), d.g.planQueryShare(inFlightPlan); costlyPlanShare != 0.3 || cheapPlanShare >= 0.2 {
+		t.Errorf("asks for %.2f of the dear plan's requests, %.2f of the cheap one's", costlyPlanShare, cheapPlanShare)
 	}
 	d.g.queryShare = 1
 	if cheap := d.g.planQueryShare(inFlightPlan); cheap != 1 {
@@ -84,7 +84,7 @@
 }
 
 // countSent sends requests that all end one way and returns how many of the last hundred were sent on.
-func (d *driver) countSent(end Outcome, took time.Duration) (sent int) {
+func (d *driver) countSent(outcome Outcome, took time.Duration) (sent int) {
 	for id := uint64(1); id <= 400; id++ {
 		d.advance(20 * ms)
 		d.arrive(1000*uint64(d.now/time.Millisecond)+id, 0, unlimitedPlan, 1)
@@ -93,7 +93,7 @@
 				sent++
 			}
 			now := d.now
-			d.handle(AttemptEnded{ID: x.ID, Server: x.Server, Outcome: end, Took: took, Done: true})
+			d.handle(AttemptEnded{ID: x.ID, Server: x.Server, Outcome: outcome, Took: took, Done: true})
 			d.now = now
 		}
 		d.takeActions()
@@ -121,20 +121,20 @@
 func TestFewLostAnswersDoNotThrottle(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
 	r := &request{class: &d.g.settings.Classes[0], arrivedAt: d.now, due: d.now + 500*ms}
-	end := func(o Outcome, n int) {
+	endAttempts := func(o Outcome, n int) {
 		for range n {
 			s := &server{}
 			d.g.learnFromAttempt(&attempt{server: s, sentAt: d.now}, r, AttemptEnded{Outcome: o, Took: 60 * ms})
 		}
 	}
 	for range 20 {
-		end(OK, 3)
-		end(TimedOut, 1)
+		endAttempts(OK, 3)
+		endAttempts(TimedOut, 1)
 	}
 	if d.g.admitShare < 0.9 {
 		t.Errorf("admits %.2f with a quarter of the answers lost", d.g.admitShare)
 	}
-	end(TimedOut, 40)
+	endAttempts(TimedOut, 40)
 	if d.g.admitShare > 0.3 {
 		t.Errorf("admits %.2f with no answer at all", d.g.admitShare)
 	}
@@ -149,8 +149,8 @@
 	}
 	d.advance(500 * ms)
 	d.handle(AttemptEnded{ID: 1, Server: "s1", Outcome: TimedOut, Took: 500 * ms})
-	if no := onlyAction[Refuse](d); no.RetryAfter != time.Second {
-		t.Errorf("given up on after its aim, told to come back after %v", no.RetryAfter)
+	if refusal := onlyAction[Refuse](d); refusal.RetryAfter != time.Second {
+		t.Errorf("given up on after its aim, told to come back after %v", refusal.RetryAfter)
 	}
 	s := largeFleetSettings()
 	s.Classes[0].LateWorth = 0.2
@@ -177,8 +177,8 @@
 	d.handle(CounterAnswered{Name: add.Name, Total: add.Delta, Took: 2 * ms})
 	onlyAction[Send](d)
 	d.handle(ClientLeft{ID: 1})
-	off := onlyAction[Cancel](d)
-	d.endAttempt(off.ID, off.Attempt, "s1", Cancelled)
+	cancel := onlyAction[Cancel](d)
+	d.endAttempt(cancel.ID, cancel.Attempt, "s1", Cancelled)
 	if c := d.g.customers[5]; c.inFlight != 0 || c.inFlightCounted != 0 {
 		t.Errorf("still counts %d out and %v on the gauge", c.inFlight, c.inFlightCounted)
 	}
@@ -222,8 +222,8 @@
 		}
 		d.handle(CounterAnswered{Name: adds[0].Name, Total: adds[0].Delta, Took: ms})
 		onlyAction[Send](d)
-		if p := d.g.demandRatio(d.g.customers[id]); p > initialQuotaDemand {
-			t.Errorf("alone in its window, a request makes its customer ask %.2f of what fits", p)
+		if demand := d.g.demandRatio(d.g.customers[id]); demand > initialQuotaDemand {
+			t.Errorf("alone in its window, a request makes its customer ask %.2f of what fits", demand)
 		}
 		return
 	}
@@ -236,8 +236,8 @@
 	}
 	d.g.isBreakerOpen = true
 	d.g.now += time.Minute
-	if p := d.g.demandRatio(d.g.customers[3]); p < 3 {
-		t.Errorf("after a minute without a counter a heavy customer is taken to ask %.2f of what fits", p)
+	if demand := d.g.demandRatio(d.g.customers[3]); demand < 3 {
+		t.Errorf("after a minute without a counter a heavy customer is taken to ask %.2f of what fits", demand)
 	}
 }
 
@@ -255,8 +255,8 @@
 			sum += 0.5
 		}
 	}
-	if most := 7. / 2 * (p.CeilingBurst + p.CeilingSlack); sum > most-0.1 {
-		t.Errorf("doors take %.1f, the rule is broken at %.1f", sum, most)
+	if limit := 7. / 2 * (p.CeilingBurst + p.CeilingSlack); sum > limit-0.1 {
+		t.Errorf("doors take %.1f, the rule is broken at %.1f", sum, limit)
 	}
 }
 
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -35,8 +35,8 @@
 }
 
 func (p *process) record(actions []Action) []Action {
-	got := slices.Clone(actions)
-	for _, a := range got {
+	recorded := slices.Clone(actions)
+	for _, a := range recorded {
 		switch a := a.(type) {
 		case Send:
 			p.openAttempts = append(p.openAttempts, AttemptEnded{ID: a.ID, Attempt: p.attemptCounts[a.ID], Server: a.Server})
@@ -47,35 +47,35 @@
 			p.timers = append(p.timers, a)
 		}
 	}
-	return got
+	return recorded
 }
 
 // drawEvent makes up the next event.
 func (p *process) drawEvent(t *rapid.T) Event {
 	p.now += time.Duration(rapid.IntRange(0, 400_000).Draw(t, "us")) * time.Microsecond / 4
-	what := rapid.IntRange(0, 9).Draw(t, "what")
+	kind := rapid.IntRange(0, 9).Draw(t, "what")
 	switch {
-	case what < 2 && len(p.openCalls) > 0:
+	case kind < 2 && len(p.openCalls) > 0:
 		i := rapid.IntRange(0, len(p.openCalls)-1).Draw(t, "add")
 		name := p.openCalls[i]
 		p.openCalls = slices.Delete(p.openCalls, i, i+1)
 		return CounterAnswered{Name: name, Total: float64(rapid.IntRange(0, 30).Draw(t, "total")), Took: ms,
 			Outcome: rapid.SampledFrom([]Outcome{OK, OK, OK, Full, TimedOut, Unreachable}).Draw(t, "counter")}
-	case what < 4 && len(p.openAttempts) > 0:
+	case kind < 4 && len(p.openAttempts) > 0:
 		i := rapid.IntRange(0, len(p.openAttempts)-1).Draw(t, "send")
 		ev := p.openAttempts[i]
 		p.openAttempts = slices.Delete(p.openAttempts, i, i+1)
 		ev.Outcome = rapid.SampledFrom([]Outcome{OK, OK, Errored, Full, TimedOut, Unreachable, Broken}).Draw(t, "outcome")
 		ev.Took, ev.Done = 20*ms, ev.Outcome == OK
 		return ev
-	case what == 4 && len(p.timers) > 0:
-		r := p.timers[0]
+	case kind == 4 && len(p.timers) > 0:
+		timer := p.timers[0]
 		p.timers = p.timers[1:]
-		p.now = max(p.now, r.At)
-		return TimerFired{r.Token}
-	case what == 5:
+		p.now = max(p.now, timer.At)
+		return TimerFired{timer.Token}
+	case kind == 5:
 		return ClientLeft{ID: rapid.Uint64Range(1, p.lastID+1).Draw(t, "left")}
-	case what == 6:
+	case kind == 6:
 		name := rapid.IntRange(0, 3).Draw(t, "server")
 		return ServerList{Servers: []ServerEntry{{Name: fmt.Sprint("s", name), Zone: "a", Cell: name / 2,
 			State: rapid.SampledFrom([]ServerState{Up, Up, Up, Draining, Gone}).Draw(t, "state"), Boot: p.now}}}
@@ -99,17 +99,17 @@
 }
 
 func restoredCopy(t require.TestingT, g *Gateway, seed uint64) *Gateway {
-	st, err := g.State()
+	state, err := g.State()
 	require.NoError(t, err)
-	twin, err := New(g.settings, seed)
+	restored, err := New(g.settings, seed)
 	require.NoError(t, err)
 	for _, id := range g.Customers(0) {
 		c, ok := g.Customer(id)
 		require.True(t, ok)
-		twin.PutCustomer(c)
+		restored.PutCustomer(c)
 	}
-	require.NoError(t, twin.Restore(st))
-	return twin
+	require.NoError(t, restored.Restore(state))
+	return restored
 }
 
 func TestRestoredGatewayGivesSameActions(t *testing.T) {
@@ -119,21 +119,21 @@
 		for range before {
 			p.record(p.g.Handle(p.now, p.drawEvent(t)))
 		}
-		twin := restoredCopy(t, p.g, 99)
+		restored := restoredCopy(t, p.g, 99)
 		for range 40 {
 			ev := p.drawEvent(t)
 			want := p.record(p.g.Handle(p.now, ev))
-			got := twin.Handle(p.now, ev)
+			got := restored.Handle(p.now, ev)
 			require.Len(t, got, len(want), "%T", ev)
 			for i := range want {
 				require.Equal(t, want[i], got[i], "%T", ev)
 			}
 		}
-		was, err := p.g.State()
+		wantState, err := p.g.State()
 		require.NoError(t, err)
-		is, err := twin.State()
+		gotState, err := restored.State()
 		require.NoError(t, err)
-		require.Equal(t, was, is)
+		require.Equal(t, wantState, gotState)
 	})
 }
 
@@ -159,9 +159,9 @@
 		for _, id := range p.g.Customers(since) {
 			delete(before, id)
 		}
-		for id, was := range before {
-			if is, ok := p.g.Customer(id); ok {
-				require.Equal(t, was, is)
+		for id, want := range before {
+			if got, ok := p.g.Customer(id); ok {
+				require.Equal(t, want, got)
 			}
 		}
 	})
@@ -173,39 +173,39 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newProcess(t)
 		plan := p.g.settings.Plans[1]
-		began, sent := p.now, 0.0
+		start, sent := p.now, 0.0
 		arrive := func() Event {
 			p.lastID++
 			return RequestArrived{ID: p.lastID, Class: 0, Plan: 1, Customer: 9, ExpiresIn: time.Second, Units: 1, Gateways: 2}
 		}
-		count := func(actions []Action) []Action {
+		recordAndCheck := func(actions []Action) []Action {
 			for _, a := range actions {
 				if s, ok := a.(Send); ok && p.attemptCounts[s.ID] == 0 {
 					sent++
 				}
 			}
-			most := plan.CeilingRate / 2 * (p.now - began).Seconds() // a part begins empty
-			require.LessOrEqual(t, sent, most+1e-6)
+			limit := plan.CeilingRate / 2 * (p.now - start).Seconds() // a part begins empty
+			require.LessOrEqual(t, sent, limit+1e-6)
 			return p.record(actions)
 		}
 		for range 3 {
 			for range rapid.IntRange(0, 50).Draw(t, "calls") {
 				p.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "ms")) * ms
-				count(p.g.Handle(p.now, arrive()))
+				recordAndCheck(p.g.Handle(p.now, arrive()))
 				if len(p.openCalls) > 0 && rapid.Bool().Draw(t, "answered") {
-					count(p.g.Handle(p.now, CounterAnswered{Name: p.openCalls[0], Total: 1, Took: ms}))
+					recordAndCheck(p.g.Handle(p.now, CounterAnswered{Name: p.openCalls[0], Total: 1, Took: ms}))
 					p.openCalls = p.openCalls[1:]
 				}
 			}
-			old := p.g
-			p.g = restoredCopy(t, old, 5)
+			predecessor := p.g
+			p.g = restoredCopy(t, predecessor, 5)
 			p.record(p.g.Adopt(p.now))
-			old.Retire()
-			theirs := p.lastID
+			predecessor.Retire()
+			lastPredecessorID := p.lastID
 			// What was open over there is decided over there, while new requests come in here.
 			for _, name := range p.openCalls {
 				p.now += time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * ms
-				for _, a := range count(old.Handle(p.now, CounterAnswered{Name: name, Total: 1, Took: ms})) {
+				for _, a := range recordAndCheck(predecessor.Handle(p.now, CounterAnswered{Name: name, Total: 1, Took: ms})) {
 					switch a := a.(type) {
 					case Send:
 						p.g.PredecessorSent(p.now, a.ID, a.Server)
@@ -213,10 +213,10 @@
 						p.record(p.g.PredecessorDone(p.now, a.ID))
 					}
 				}
-				count(p.g.Handle(p.now, arrive()))
+				recordAndCheck(p.g.Handle(p.now, arrive()))
 			}
 			for _, s := range p.openAttempts {
-				if s.ID <= theirs {
+				if s.ID <= lastPredecessorID {
 					p.g.PredecessorAttemptEnded(p.now, AttemptEnded{ID: s.ID, Attempt: s.Attempt, Outcome: OK, Took: 20 * ms})
 				}
 			}
@@ -231,17 +231,17 @@
 	p := newProcess(t)
 	p.record(p.g.Handle(p.now, RequestArrived{ID: 1, Class: 0, Plan: -1, ExpiresIn: time.Second, Units: 1}))
 	require.Len(t, p.openAttempts, 1)
-	at := p.openAttempts[0].Server
-	next := restoredCopy(t, p.g, 3)
-	next.Adopt(p.now)
-	require.Len(t, next.servers[at].outstanding, 1)
-	require.Equal(t, 1.0, next.liveAttempts)
-	next.PredecessorAttemptEnded(p.now, AttemptEnded{ID: 1, Outcome: OK, Took: 10 * ms})
-	require.Empty(t, next.servers[at].outstanding)
-	require.Zero(t, next.liveAttempts)
-	require.Equal(t, 1, next.PredecessorRequests())
-	next.PredecessorDone(p.now, 1)
-	require.Zero(t, next.PredecessorRequests())
+	server := p.openAttempts[0].Server
+	successor := restoredCopy(t, p.g, 3)
+	successor.Adopt(p.now)
+	require.Len(t, successor.servers[server].outstanding, 1)
+	require.Equal(t, 1.0, successor.liveAttempts)
+	successor.PredecessorAttemptEnded(p.now, AttemptEnded{ID: 1, Outcome: OK, Took: 10 * ms})
+	require.Empty(t, successor.servers[server].outstanding)
+	require.Zero(t, successor.liveAttempts)
+	require.Equal(t, 1, successor.PredecessorRequests())
+	successor.PredecessorDone(p.now, 1)
+	require.Zero(t, successor.PredecessorRequests())
 }
 
 // A reclaimed gateway does not know what its successor has sent: it must not send that again.
--- a/admission/starve_test.go
+++ b/admission/starve_test.go
@@ -52,144 +52,144 @@
 	return last
 }
 
-func newSimulation(t *testing.T, classes []Class, gateways, hosts, slots int) *simulation {
-	w := &simulation{hosts: map[string]*simulatedHost{}, now: time.Hour, rng: rand.New(rand.NewPCG(1, 2)),
+func newSimulation(t *testing.T, classes []Class, gatewayCount, hostCount, slots int) *simulation {
+	sim := &simulation{hosts: map[string]*simulatedHost{}, now: time.Hour, rng: rand.New(rand.NewPCG(1, 2)),
 		answeredInTime: make([]int, len(classes)), arrived: make([]int, len(classes)), countedFrom: 2 * time.Hour}
 	list := ServerList{Kind: ListFull}
-	for i := range hosts {
+	for i := range hostCount {
 		name := fmt.Sprintf("s-%08x", uint32(i+1)*2654435761)
 		list.Servers = append(list.Servers, ServerEntry{Name: name, Zone: "a", Cell: i % 3, Size: 1})
-		w.hosts[name] = &simulatedHost{freeAt: make([]time.Duration, slots)}
+		sim.hosts[name] = &simulatedHost{freeAt: make([]time.Duration, slots)}
 	}
-	for me := range gateways {
+	for index := range gatewayCount {
 		s := testSettings()
-		s.Classes, s.Gateways, s.Index = classes, gateways, me
+		s.Classes, s.Gateways, s.Index = classes, gatewayCount, index
 		d := newDriver(t, s)
 		d.handle(list)
-		w.gateways = append(w.gateways, d)
+		sim.gateways = append(sim.gateways, d)
 	}
-	w.serverList = list
-	return w
+	sim.serverList = list
+	return sim
 }
 
 // hostNames are those of all hosts, in the order of the list.
-func (w *simulation) hostNames() (names []string) {
-	for _, e := range w.serverList.Servers {
+func (sim *simulation) hostNames() (names []string) {
+	for _, e := range sim.serverList.Servers {
 		names = append(names, e.Name)
 	}
 	return names
 }
 
 // restartHost has a host begin anew, cold: it is as slow as the settings say that it may be, and every gateway is told.
-func (w *simulation) restartHost(name string, s Settings) {
-	boot := w.now
-	for i, e := range w.serverList.Servers {
+func (sim *simulation) restartHost(name string, s Settings) {
+	boot := sim.now
+	for i, e := range sim.serverList.Servers {
 		if e.Name == name {
-			w.serverList.Servers[i].Boot = boot
+			sim.serverList.Servers[i].Boot = boot
 		}
 	}
-	w.hosts[name].respond = func(took time.Duration) (Outcome, time.Duration) {
-		return OK, time.Duration(float64(took) / estimate.WarmUpShare(w.now, boot, s.WarmUpTime, s.InitialCapacity))
+	sim.hosts[name].respond = func(took time.Duration) (Outcome, time.Duration) {
+		return OK, time.Duration(float64(took) / estimate.WarmUpShare(sim.now, boot, s.WarmUpTime, s.InitialCapacity))
 	}
-	for me := range w.gateways {
-		list := w.serverList
-		list.Servers = append([]ServerEntry(nil), w.serverList.Servers...)
-		w.handle(me, list)
+	for index := range sim.gateways {
+		list := sim.serverList
+		list.Servers = append([]ServerEntry(nil), sim.serverList.Servers...)
+		sim.handle(index, list)
 	}
 }
 
-func (w *simulation) schedule(at time.Duration, fn func()) {
-	w.sequence++
-	heap.Push(&w.events, scheduledEvent{at, w.sequence, fn})
+func (sim *simulation) schedule(at time.Duration, run func()) {
+	sim.sequence++
+	heap.Push(&sim.events, scheduledEvent{at, sim.sequence, run})
 }
 
-func (w *simulation) runUntil(end time.Duration) {
-	for len(w.events) > 0 && w.events[0].at < end {
-		next := heap.Pop(&w.events).(scheduledEvent)
-		w.now = next.at
+func (sim *simulation) runUntil(end time.Duration) {
+	for len(sim.events) > 0 && sim.events[0].at < end {
+		next := heap.Pop(&sim.events).(scheduledEvent)
+		sim.now = next.at
 		next.run()
 	}
-	w.now = end
+	sim.now = end
 }
 
 // handle gives a door an event and carries out what it says.
-func (w *simulation) handle(me int, ev Event) {
-	d := w.gateways[me]
-	for _, a := range append([]Action(nil), d.g.Handle(w.now, ev)...) {
+func (sim *simulation) handle(gateway int, ev Event) {
+	d := sim.gateways[gateway]
+	for _, a := range append([]Action(nil), d.g.Handle(sim.now, ev)...) {
 		switch a := a.(type) {
 		case SetTimer:
-			w.schedule(max(a.At, w.now), func() { w.handle(me, TimerFired{a.Token}) })
+			sim.schedule(max(a.At, sim.now), func() { sim.handle(gateway, TimerFired{a.Token}) })
 		case Send:
-			w.startAttempt(me, a)
+			sim.startAttempt(gateway, a)
 		case Cancel:
-			w.endAttempt(me, a.ID, a.Attempt, Cancelled)
+			sim.endAttempt(gateway, a.ID, a.Attempt, Cancelled)
 		}
 	}
 }
 
-func (w *simulation) startAttempt(me int, a Send) {
-	if w.onSend != nil {
-		w.onSend(a.Server)
+func (sim *simulation) startAttempt(gateway int, send Send) {
+	if sim.onSend != nil {
+		sim.onSend(send.Server)
 	}
-	r := w.gateways[me].g.requests[a.ID]
-	n, class, began := len(r.attempts)-1, r.classIndex, w.now
-	h, work := w.hosts[a.Server], r.class.LatencyTarget/8
+	r := sim.gateways[gateway].g.requests[send.ID]
+	attempt, class, sentAt := len(r.attempts)-1, r.classIndex, sim.now
+	host, meanLatency := sim.hosts[send.Server], r.class.LatencyTarget/8
 	slot := 0
-	for i, free := range h.freeAt {
-		if free < h.freeAt[slot] {
+	for i, free := range host.freeAt {
+		if free < host.freeAt[slot] {
 			slot = i
 		}
 	}
-	o, took := OK, time.Duration(float64(work)*(0.5+w.rng.Float64()))
-	if h.respond != nil {
-		o, took = h.respond(took)
+	outcome, took := OK, time.Duration(float64(meanLatency)*(0.5+sim.rng.Float64()))
+	if host.respond != nil {
+		outcome, took = host.respond(took)
 	}
-	done := w.now + took
-	if o == OK {
-		done = max(w.now, h.freeAt[slot]) + took
-		h.freeAt[slot] = done
+	done := sim.now + took
+	if outcome == OK {
+		done = max(sim.now, host.freeAt[slot]) + took
+		host.freeAt[slot] = done
 	}
-	w.schedule(done, func() {
-		if o == OK && r.attempts[n].isLive && r.arrivedAt >= w.countedFrom && w.now <= r.due {
-			w.answeredInTime[class]++
+	sim.schedule(done, func() {
+		if outcome == OK && r.attempts[attempt].isLive && r.arrivedAt >= sim.countedFrom && sim.now <= r.due {
+			sim.answeredInTime[class]++
 		}
-		w.endAttempt(me, a.ID, n, o)
+		sim.endAttempt(gateway, send.ID, attempt, outcome)
 	})
 	limit := r.deadline
-	if a.Wait > 0 {
-		limit = min(limit, began+a.Wait)
+	if send.Wait > 0 {
+		limit = min(limit, sentAt+send.Wait)
 	}
-	w.schedule(limit, func() { w.endAttempt(me, a.ID, n, TimedOut) })
+	sim.schedule(limit, func() { sim.endAttempt(gateway, send.ID, attempt, TimedOut) })
 }
 
-func (w *simulation) endAttempt(me int, id uint64, n int, o Outcome) {
-	r := w.gateways[me].g.requests[id]
-	if r == nil || !r.attempts[n].isLive {
+func (sim *simulation) endAttempt(gateway int, id uint64, attempt int, outcome Outcome) {
+	r := sim.gateways[gateway].g.requests[id]
+	if r == nil || !r.attempts[attempt].isLive {
 		return
 	}
-	w.handle(me, AttemptEnded{ID: id, Attempt: n, Server: r.attempts[n].server.Name, Outcome: o, Took: w.now - r.attempts[n].sentAt,
-		Done: o == OK || r.isDone})
+	sim.handle(gateway, AttemptEnded{ID: id, Attempt: attempt, Server: r.attempts[attempt].server.Name, Outcome: outcome, Took: sim.now - r.attempts[attempt].sentAt,
+		Done: outcome == OK || r.isDone})
 }
 
 // generateLoad lets requests come for a while, so many a second in all, of classes by their shares.
-func (w *simulation) generateLoad(lasts time.Duration, rate float64, shares []float64) {
-	for end := w.now + lasts; w.now < end; {
-		w.runUntil(w.now + time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)))
-		lot, class := w.rng.Float64(), 0
-		for class < len(shares)-1 && lot >= shares[class] {
-			lot -= shares[class]
+func (sim *simulation) generateLoad(duration time.Duration, rate float64, shares []float64) {
+	for end := sim.now + duration; sim.now < end; {
+		sim.runUntil(sim.now + time.Duration(sim.rng.ExpFloat64()/rate*float64(time.Second)))
+		sample, class := sim.rng.Float64(), 0
+		for class < len(shares)-1 && sample >= shares[class] {
+			sample -= shares[class]
 			class++
 		}
-		if w.now >= w.countedFrom {
-			w.arrived[class]++
+		if sim.now >= sim.countedFrom {
+			sim.arrived[class]++
 		}
-		w.sequence++
-		me := w.rng.IntN(len(w.gateways) + 3*w.busyGateways)
-		if me >= len(w.gateways) {
-			me = (me - len(w.gateways)) % w.busyGateways
+		sim.sequence++
+		gateway := sim.rng.IntN(len(sim.gateways) + 3*sim.busyGateways)
+		if gateway >= len(sim.gateways) {
+			gateway = (gateway - len(sim.gateways)) % sim.busyGateways
 		}
-		w.handle(me, RequestArrived{ID: uint64(w.sequence), Class: class, Plan: unlimitedPlan, Customer: uint64(w.sequence), Units: 1, Gateways: 1,
-			FirstGateway: me, ExpiresIn: w.gateways[0].g.settings.Classes[class].Deadline})
+		sim.handle(gateway, RequestArrived{ID: uint64(sim.sequence), Class: class, Plan: unlimitedPlan, Customer: uint64(sim.sequence), Units: 1, Gateways: 1,
+			FirstGateway: gateway, ExpiresIn: sim.gateways[0].g.settings.Classes[class].Deadline})
 	}
 }
 
@@ -198,18 +198,18 @@
 	classes []Class
 	shares  []float64
 } {
-	class := func(worth float64, aim time.Duration, effect Effect) Class {
-		c := Class{LatencyTarget: aim, Deadline: 2 * aim, Worth: worth, Effect: effect}
+	class := func(worth float64, latencyTarget time.Duration, effect Effect) Class {
+		c := Class{LatencyTarget: latencyTarget, Deadline: 2 * latencyTarget, Worth: worth, Effect: effect}
 		if effect == Keyed {
 			c.Scope, c.RepeatWindow = ScopeCell, 2*time.Second
 		}
 		return c
 	}
-	type k = struct {
+	type classMix = struct {
 		classes []Class
 		shares  []float64
 	}
-	return map[string]k{
+	return map[string]classMix{
 		"one unsafe":            {[]Class{class(1, time.Second, Unsafe)}, []float64{1}},
 		"one hasty":             {[]Class{class(1, 250*ms, Safe)}, []float64{1}},
 		"one keyed":             {[]Class{class(1, 500*ms, Keyed)}, []float64{1}},
@@ -225,7 +225,7 @@
 // Whatever befell the hosts, some time after it is over each class is served again, whichever classes there are beside
 // it: nothing that was learnt meanwhile may keep out what alone could tell that it is over.
 func TestEveryClassRecoversAfterServerFault(t *testing.T) {
-	troubles := map[string]func(time.Duration) (Outcome, time.Duration){
+	faults := map[string]func(time.Duration) (Outcome, time.Duration){
 		"errors":  func(time.Duration) (Outcome, time.Duration) { return Errored, 5 * ms },
 		"resets":  func(time.Duration) (Outcome, time.Duration) { return Broken, 5 * ms },
 		"refused": func(time.Duration) (Outcome, time.Duration) { return Unreachable, ms },
@@ -235,32 +235,32 @@
 		"stuck":   func(took time.Duration) (Outcome, time.Duration) { return OK, 20 * took },
 	}
 	const hosts, slots = 8, 2
-	for kind, k := range classMixes() {
-		t.Run(kind, func(t *testing.T) {
+	for name, mix := range classMixes() {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			work := 0.0
-			for i, c := range k.classes {
-				work += k.shares[i] * c.LatencyTarget.Seconds() / 8
+			meanLatency := 0.0
+			for i, class := range mix.classes {
+				meanLatency += mix.shares[i] * class.LatencyTarget.Seconds() / 8
 			}
-			rate := 0.4 * hosts * slots / work
-			for trouble, how := range troubles {
+			rate := 0.4 * hosts * slots / meanLatency
+			for fault, respond := range faults {
 				for _, gateways := range []int{2, 20} {
-					w := newSimulation(t, k.classes, gateways, hosts, slots)
-					w.generateLoad(3*time.Second, rate, k.shares)
-					for _, h := range w.hosts {
-						h.respond = how
+					sim := newSimulation(t, mix.classes, gateways, hosts, slots)
+					sim.generateLoad(3*time.Second, rate, mix.shares)
+					for _, h := range sim.hosts {
+						h.respond = respond
 					}
-					w.generateLoad(8*time.Second, rate, k.shares)
-					for _, h := range w.hosts {
+					sim.generateLoad(8*time.Second, rate, mix.shares)
+					for _, h := range sim.hosts {
 						h.respond = nil
 						clear(h.freeAt)
 					}
-					w.countedFrom = w.now + 10*time.Second
-					w.generateLoad(20*time.Second, rate, k.shares)
-					w.runUntil(w.now + 10*time.Second)
-					for c := range k.classes {
-						if got := float64(w.answeredInTime[c]) / float64(w.arrived[c]); got < 0.25 {
-							t.Errorf("%s, %d gateways: class %d has %d of %d served", trouble, gateways, c, w.answeredInTime[c], w.arrived[c])
+					sim.countedFrom = sim.now + 10*time.Second
+					sim.generateLoad(20*time.Second, rate, mix.shares)
+					sim.runUntil(sim.now + 10*time.Second)
+					for classIndex := range mix.classes {
+						if share := float64(sim.answeredInTime[classIndex]) / float64(sim.arrived[classIndex]); share < 0.25 {
+							t.Errorf("%s, %d gateways: class %d has %d of %d served", fault, gateways, classIndex, sim.answeredInTime[classIndex], sim.arrived[classIndex])
 						}
 					}
 				}
--- a/admission/worth_test.go
+++ b/admission/worth_test.go
@@ -14,8 +14,8 @@
 
 // classPairs are the classes of deployments in which worth and patience go together, and in which they do not.
 func classPairs() map[string][]Class {
-	class := func(worth float64, aim time.Duration, effect Effect) Class {
-		return Class{LatencyTarget: aim, Deadline: 3 * time.Second, Worth: worth, Effect: effect}
+	class := func(worth float64, latencyTarget time.Duration, effect Effect) Class {
+		return Class{LatencyTarget: latencyTarget, Deadline: 3 * time.Second, Worth: worth, Effect: effect}
 	}
 	return map[string][]Class{
 		"worth is hasty":   {class(1, 1200*ms, Safe), class(3, 800*ms, Unsafe)},
@@ -61,11 +61,11 @@
 			require.Zero(t, d.g.topClassShortage.Value, "those of less worth that find none tell nothing")
 			require.Zero(t, d.fillServers(100, 1))
 			d.answerAll()
-			low := d.fillServers(200, 0)
-			require.GreaterOrEqual(t, low, 2, "one at each server")
-			require.Less(t, low, 6)
+			admitted := d.fillServers(200, 0)
+			require.GreaterOrEqual(t, admitted, 2, "one at each server")
+			require.Less(t, admitted, 6)
 			require.Empty(t, d.g.held, "none waits for room that is not for it")
-			require.Equal(t, 6-low, d.fillServers(300, 1), "the rest is for more worth")
+			require.Equal(t, 6-admitted, d.fillServers(300, 1), "the rest is for more worth")
 			d.answerAll()
 			for id := range uint64(400) {
 				d.arrive(1000+id, 1, unlimitedPlan, 1)
@@ -81,7 +81,7 @@
 	for name, classes := range classPairs() {
 		t.Run(name, func(t *testing.T) {
 			d := newClassDriver(t, classes)
-			answer := func(id uint64, took time.Duration) bool {
+			requestAndAnswer := func(id uint64, took time.Duration) bool {
 				d.arrive(id, 0, unlimitedPlan, 1)
 				sends := actionsOf[Send](d.takeActions())
 				if len(sends) == 0 {
@@ -92,14 +92,14 @@
 				d.takeActions()
 				return true
 			}
-			slow := classes[0].LatencyTarget * 4 / 10 // far over what it is left among others
+			slowLatency := classes[0].LatencyTarget * 4 / 10 // far over what it is left among others
 			for id := range uint64(20) {
 				d.g.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
-				require.True(t, answer(id+1, slow))
+				require.True(t, requestAndAnswer(id+1, slowLatency))
 			}
 			for id := range uint64(400) {
 				d.g.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
-				require.True(t, answer(id+100, 50*ms))
+				require.True(t, requestAndAnswer(id+100, 50*ms))
 			}
 			require.GreaterOrEqual(t, d.fillServers(1000, 0), 2)
 		})
@@ -129,7 +129,7 @@
 // However classes differ in worth and share, where little more than half of all can be admitted the least of them still
 // has half of what an even hand would give it.
 func TestEachClassGetsHalfOfEvenShare(t *testing.T) {
-	const fits = 0.57
+	const admitShare = 0.57
 	for name, c := range map[string]struct{ worth, share []float64 }{
 		"two by halves":                  {[]float64{1, 3}, []float64{0.5, 0.5}},
 		"a rare one of very high worth":  {[]float64{2, 1, 12, 0.5}, []float64{0.23, 0.6, 0.07, 0.1}},
@@ -143,13 +143,13 @@
 		}
 		g := newDriver(t, s, "a", "b").g
 		g.classMix = c.share
-		level, sum := g.classMix.Level(g.admitExponents, fits), 0.0
+		level, sum := g.classMix.Level(g.admitExponents, admitShare), 0.0
 		for i, share := range c.share {
-			let := math.Pow(level, g.admitExponents[i])
-			sum += share * let
-			require.GreaterOrEqual(t, let, fits/2, "%s: class %d", name, i)
+			admitted := math.Pow(level, g.admitExponents[i])
+			sum += share * admitted
+			require.GreaterOrEqual(t, admitted, admitShare/2, "%s: class %d", name, i)
 		}
-		require.InDelta(t, fits, sum, 1e-4, name)
+		require.InDelta(t, admitShare, sum, 1e-4, name)
 	}
 }
 
