--- a/admission/worth_test.go
+++ b/admission/class_worth_test.go
@@ -12,24 +12,26 @@
 	"ferryfront.example/ferryfront/admission/estimate"
 )
 
-// classPairs are the classes of deployments in which worth and patience go together, and in which they do not.
+// classPairs returns pairs of classes, that of lower worth first. In one the class of higher worth has the shorter
+// latency target, in the other the longer one.
 func classPairs() map[string][]Class {
 	class := func(worth float64, latencyTarget time.Duration, effect Effect) Class {
 		return Class{LatencyTarget: latencyTarget, Deadline: 3 * time.Second, Worth: worth, Effect: effect}
 	}
 	return map[string][]Class{
-		"worth is hasty":   {class(1, 1200*ms, Safe), class(3, 800*ms, Unsafe)},
-		"worth is patient": {class(1, 600*ms, Safe), class(3, 1200*ms, Safe)},
+		"the higher worth is urgent":  {class(1, 1200*ms, Safe), class(3, 800*ms, Unsafe)},
+		"the higher worth is patient": {class(1, 600*ms, Safe), class(3, 1200*ms, Safe)},
 	}
 }
 
+// newClassDriver returns a driver with these classes and two servers.
 func newClassDriver(t *testing.T, classes []Class) *driver {
 	s := testSettings()
 	s.Classes = classes
 	return newDriver(t, s, "a", "b")
 }
 
-// fillServers asks until the gateway sends no more, and tells how many went.
+// fillServers makes 20 requests arrive, more than the gateway sends at a time, and returns how many it sends.
 func (d *driver) fillServers(first uint64, class int) (sent int) {
 	for id := first; id < first+20; id++ {
 		d.arrive(id, class, unlimitedPlan, 1)
@@ -38,7 +40,7 @@
 	return sent
 }
 
-// answerAll answers all that is out, and what is sent on for it.
+// answerAll answers all open attempts, and those that are started when a server becomes free.
 func (d *driver) answerAll() {
 	for d.g.liveAttempts > 0 {
 		for _, id := range slices.Sorted(maps.Keys(d.g.requests)) {
@@ -51,32 +53,34 @@
 	d.takeActions()
 }
 
-// Once those of more worth have found no room a class leaves some at every server, however patient it is, and is told
-// so at once. While they find room it has all.
+// While requests of higher worth find no server in time, a class of lower worth must leave capacity at every server
+// for them, however long its own latency target is, and is refused at once instead of being held. When they find
+// servers again, it may use all.
 func TestLowWorthLeavesCapacityForHighWorth(t *testing.T) {
 	for name, classes := range classPairs() {
 		t.Run(name, func(t *testing.T) {
 			d := newClassDriver(t, classes)
-			require.Equal(t, 6, d.fillServers(1, 0), "three at each, nobody else wants any")
-			require.Zero(t, d.g.topClassShortage.Value, "those of less worth that find none tell nothing")
+			require.Equal(t, 6, d.fillServers(1, 0), "three at each server: no class of higher worth lacks a server")
+			require.Zero(t, d.g.topClassShortage.Value, "requests of lower worth do not count as a shortage")
 			require.Zero(t, d.fillServers(100, 1))
 			d.answerAll()
 			admitted := d.fillServers(200, 0)
 			require.GreaterOrEqual(t, admitted, 2, "one at each server")
 			require.Less(t, admitted, 6)
-			require.Empty(t, d.g.held, "none waits for room that is not for it")
-			require.Equal(t, 6-admitted, d.fillServers(300, 1), "the rest is for more worth")
+			require.Empty(t, d.g.held, "no request is held for capacity that it may not use")
+			require.Equal(t, 6-admitted, d.fillServers(300, 1), "the remaining capacity is for the higher worth")
 			d.answerAll()
 			for id := range uint64(400) {
 				d.arrive(1000+id, 1, unlimitedPlan, 1)
 				d.answerAll()
 			}
-			require.GreaterOrEqual(t, d.fillServers(2000, 0), 6, "the need is over")
+			require.GreaterOrEqual(t, d.fillServers(2000, 0), 6, "the shortage is over")
 		})
 	}
 }
 
-// A class that was slow when last heard of is still tried where nothing else is out, so its times come right again.
+// A class whose last latencies were high is still sent to idle servers. Otherwise no answer could show that it has
+// become faster.
 func TestLowWorthIsSentToIdleServers(t *testing.T) {
 	for name, classes := range classPairs() {
 		t.Run(name, func(t *testing.T) {
@@ -92,7 +96,7 @@
 				d.takeActions()
 				return true
 			}
-			slowLatency := classes[0].LatencyTarget * 4 / 10 // far over what it is left among others
+			slowLatency := classes[0].LatencyTarget * 4 / 10 // far above its limit at a server with open attempts
 			for id := range uint64(20) {
 				d.g.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
 				require.True(t, requestAndAnswer(id+1, slowLatency))
@@ -106,15 +110,16 @@
 	}
 }
 
-// What would just make it if all went as expected is turned away while trying elsewhere is still of use.
+// A request whose expected wait only just fits its latency target is refused early, while its client can still try
+// elsewhere: waits vary.
 func TestExpectedWaitNeedsMargin(t *testing.T) {
 	d := newClassDriver(t, []Class{{LatencyTarget: 450 * ms, Deadline: 3 * time.Second, Worth: 1}})
-	require.Equal(t, 6, d.fillServers(1, 0), "three at each: a third is expected to take 300 ms, 390 with what it may vary")
+	require.Equal(t, 6, d.fillServers(1, 0), "three at each server: the third has an expected wait of 300 ms, 390 ms with the margin")
 	d = newClassDriver(t, []Class{{LatencyTarget: 350 * ms, Deadline: 3 * time.Second, Worth: 1}})
-	require.Equal(t, 4, d.fillServers(1, 0), "two at each")
+	require.Equal(t, 4, d.fillServers(1, 0), "two at each server")
 }
 
-// A repeat that may have run can't be refused any more: it is let finish, whatever room is left for others.
+// A repeat of a request that may have run can't be refused, so the capacity left for higher worth does not limit it.
 func TestRepeatThatMayHaveRunIsNotLimitedByShortage(t *testing.T) {
 	d := newClassDriver(t, []Class{{LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Worth: 1, Effect: Keyed, Scope: ScopeZone,
 		RepeatWindow: 3 * time.Second}, {LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Worth: 3}})
@@ -126,15 +131,15 @@
 	}
 }
 
-// However classes differ in worth and share, where little more than half of all can be admitted the least of them still
-// has half of what an even hand would give it.
+// Whatever the worths and shares of the classes: when 0.57 of all requests can be admitted, the class of least worth
+// still gets half of an even share.
 func TestEachClassGetsHalfOfEvenShare(t *testing.T) {
 	const admitShare = 0.57
 	for name, c := range map[string]struct{ worth, share []float64 }{
-		"two by halves":                  {[]float64{1, 3}, []float64{0.5, 0.5}},
-		"a rare one of very high worth":  {[]float64{2, 1, 12, 0.5}, []float64{0.23, 0.6, 0.07, 0.1}},
-		"three of nearly the same":       {[]float64{1.5, 1, 2.5}, []float64{0.35, 0.37, 0.28}},
-		"most of them of the most worth": {[]float64{4, 4, 1}, []float64{0.2, 0.2, 0.6}},
+		"two of equal shares":               {[]float64{1, 3}, []float64{0.5, 0.5}},
+		"a rare class of very high worth":   {[]float64{2, 1, 12, 0.5}, []float64{0.23, 0.6, 0.07, 0.1}},
+		"three of similar worth":            {[]float64{1.5, 1, 2.5}, []float64{0.35, 0.37, 0.28}},
+		"most classes of the highest worth": {[]float64{4, 4, 1}, []float64{0.2, 0.2, 0.6}},
 	} {
 		s := testSettings()
 		s.Classes = nil
@@ -153,7 +158,8 @@
 	}
 }
 
-// Those of most worth may be rare, or gone with other settings: what they lacked a minute ago keeps nobody out.
+// The class of highest worth may be rare, or removed from the settings. A shortage of a minute ago must not limit the
+// other classes.
 func TestShortageOfTopClassIsForgotten(t *testing.T) {
 	for name, classes := range classPairs() {
 		d := newClassDriver(t, classes)
@@ -171,5 +177,5 @@
 	s.Classes = append([]Class(nil), s.Classes...)
 	s.Classes[0].IsRemoved = true
 	d.handle(SettingsChanged{Settings: s})
-	require.Equal(t, 1.0, d.g.admitExponents[1], "the most that is left is the most")
+	require.Equal(t, 1.0, d.g.admitExponents[1], "the highest worth of the remaining classes counts")
 }
--- a/admission/estimate/estimate_test.go
+++ b/admission/estimate/estimate_test.go
@@ -21,7 +21,8 @@
 
 func TestWarmUpShareNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		initial, warmUp := rapid.Float64Range(0, 1).Draw(t, "from"), time.Duration(rapid.IntRange(1, 30).Draw(t, "full"))*time.Second
+		initial, warmUp := rapid.Float64Range(0, 1).Draw(t, "initial share"),
+			time.Duration(rapid.IntRange(1, 30).Draw(t, "warm-up in seconds"))*time.Second
 		last := 0.0
 		for age := time.Duration(0); age <= warmUp; age += warmUp / 16 {
 			share := WarmUpShare(time.Hour+age, time.Hour, warmUp, initial)
@@ -30,7 +31,7 @@
 			last = share
 		}
 		require.Equal(t, 1.0, WarmUpShare(time.Hour+warmUp, time.Hour, warmUp, initial))
-		require.Equal(t, 1.0, WarmUpShare(time.Hour, 0, warmUp, initial), "started long ago")
+		require.Equal(t, 1.0, WarmUpShare(time.Hour, 0, warmUp, initial), "a host that started long ago")
 	})
 }
 
@@ -40,8 +41,8 @@
 	require.Equal(t, []float64{1, 1}, Exponents([]float64{0, 0}, func(f float64) float64 { return f }))
 }
 
-// What keeps a kind of request out is believed less and less, as fast however many are turned away; what does not is
-// left alone.
+// A latency that keeps a kind of request out decays with time, equally fast whether few or many requests are kept
+// out. A latency that keeps nothing out stays.
 func TestDoubtDecaysLatencyByTime(t *testing.T) {
 	seldomDoubted, oftenDoubted := LatencyModel{Latency: 1, Units: 1}, LatencyModel{Latency: 1, Units: 1}
 	for i := range 200 {
@@ -52,21 +53,21 @@
 		}
 	}
 	if seldomDoubted.Latency > 0.21 || seldomDoubted.Latency < 0.15 || oftenDoubted.Latency > 0.21 || oftenDoubted.Latency < 0.15 {
-		t.Errorf("after 20 s %.3f and %.3f are believed", seldomDoubted.Latency, oftenDoubted.Latency)
+		t.Errorf("after 20 s the latencies are %.3f and %.3f, want 0.15 to 0.21", seldomDoubted.Latency, oftenDoubted.Latency)
 	}
 	before := oftenDoubted.Latency
 	if oftenDoubted.Doubt(2*time.Hour, 10, 0.1, 0.2); oftenDoubted.Latency != before {
-		t.Error("doubted without need")
+		t.Error("a latency that keeps nothing out has decayed")
 	}
 	if oftenDoubted.Doubt(2*time.Hour, 10, 1, 0.2); oftenDoubted.Latency < before*0.9 {
-		t.Error("an hour counts for more than a second")
+		t.Error("after an hour without a doubt the latency decays by more than one second's decay")
 	}
 }
 
 func TestLevelAdmitsTheGivenShare(t *testing.T) {
 	mix := Mix{1, 1, 1}
 	for i := range 2000 {
-		mix.Learn(min(2, i%10), 0.02) // a tenth, a tenth, the rest
+		mix.Learn(min(2, i%10), 0.02) // shares of 0.1, 0.1 and 0.8
 	}
 	exponents := []float64{1, 16, 3}
 	for _, share := range []float64{0.01, 0.3, 0.9} {
@@ -76,10 +77,10 @@
 			admitted += count / (mix[0] + mix[1] + mix[2]) * math.Pow(level, exponents[i])
 		}
 		if math.Abs(admitted-share) > 1e-4 {
-			t.Errorf("%.3f let in, wanted %.3f", admitted, share)
+			t.Errorf("a share of %.3f is admitted, want %.3f", admitted, share)
 		}
 	}
 	if mix.Level(exponents, 1) != 1 || mix[2]/(mix[0]+mix[1]+mix[2]) < 0.7 {
-		t.Errorf("mix %v", mix)
+		t.Errorf("the level at a share of 1 is not 1, or the third kind is below 0.7 of the mix: %v", mix)
 	}
 }
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -7,7 +7,8 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// A host drives one gateway: a request within its quota, a counter answer, a refusal, a timer.
+// A host passes events to one gateway: a request within its quota, the counter's answer, a request over its quota
+// that is refused, and a timer that ends the wait for the counter.
 func Example() {
 	const ms = time.Millisecond
 	g, err := admission.New(admission.Settings{
@@ -44,7 +45,7 @@
 	handle(102*ms, admission.CounterAnswered{Name: called, Total: 4, Took: 2 * ms})
 	handle(150*ms, admission.AttemptEnded{ID: 1, Server: "web-1", Took: 48 * ms, Done: true})
 
-	request.ID, request.Units = 2, 2 // the store holds a little over one unit now: no call is needed to know
+	request.ID, request.Units = 2, 2 // a little over one unit of quota is left, so no counter call is needed
 	handle(200*ms, request)
 
 	request.ID, request.Customer = 3, 8 // another customer; the counter does not answer in time
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -8,16 +8,17 @@
 	"ferryfront.example/ferryfront/admission/estimate"
 )
 
-// A fleet is many gateways in one process before plain hosts that answer as told, with all times the same.
+// fleet is many gateways in one process, on a common clock, before hosts whose answers the test determines.
 type fleet struct {
 	gateways       []*driver
 	hosts          []ServerEntry
 	lastRequestID  uint64
-	sendsByHost    map[string]int          // by host, of all doors together
-	gatewaysByHost map[string]map[int]bool // doors that have sent to a host
-	attemptEnds    map[time.Duration][]func()
+	sendsByHost    map[string]int             // attempts of all gateways
+	gatewaysByHost map[string]map[int]bool    // gateways that have sent to the host
+	attemptEnds    map[time.Duration][]func() // reports the ends of attempts, by their time
 }
 
+// newFleet returns gateways that have the list of all hosts. Each customer of ceilingPlan has a quota and a ceiling.
 func newFleet(t *testing.T, gatewayCount, hostCount int) *fleet {
 	f := &fleet{sendsByHost: map[string]int{}, gatewaysByHost: map[string]map[int]bool{}, attemptEnds: map[time.Duration][]func(){}}
 	for i := range hostCount {
@@ -34,7 +35,8 @@
 	return f
 }
 
-// run gives the doors a request each in turn, n in all, so far apart; took tells how and when a host answers.
+// run makes requests arrive at even intervals, one at each gateway in turn. respond returns the outcome of an
+// attempt at a host and after which time it ends.
 func (f *fleet) run(requests int, interval time.Duration, respond func(host string) (Outcome, time.Duration)) {
 	now := f.gateways[0].now
 	for i := range requests {
@@ -53,6 +55,7 @@
 	}
 }
 
+// handle passes an event to a gateway and schedules the ends of the attempts that it starts.
 func (f *fleet) handle(gateway int, now time.Duration, ev Event, respond func(string) (Outcome, time.Duration)) {
 	for _, x := range actionsOf[Send](append([]Action(nil), f.gateways[gateway].g.Handle(now, ev)...)) {
 		f.sendsByHost[x.Server]++
@@ -68,7 +71,8 @@
 	}
 }
 
-// At many doors a full mesh of connections fills every host's table, and no door learns of any host.
+// With many gateways, a full mesh of connections fills the connection table of every host, and no gateway gets
+// enough answers of a host to learn from. Each host must be used by its share of the gateways, and by some.
 func TestEachHostIsUsedByItsShareOfGateways(t *testing.T) {
 	for _, size := range []struct{ gateways, hosts int }{{10, 12}, {80, 60}, {300, 60}} {
 		f := newFleet(t, size.gateways, size.hosts)
@@ -77,25 +81,26 @@
 		share := f.gateways[0].g.subsetSize * size.gateways / size.hosts
 		for _, h := range f.hosts {
 			if n := len(f.gatewaysByHost[h.Name]); n == 0 || n > share*3/2+2 {
-				t.Errorf("%d doors, %d hosts: host %s is used by %d doors, its share is %d", size.gateways, size.hosts,
+				t.Errorf("%d gateways, %d hosts: host %s is used by %d gateways, its share is %d", size.gateways, size.hosts,
 					h.Name, n, share)
 			}
 		}
 	}
 }
 
-// Few doors use all hosts, as ever: what they learn of each is enough.
+// With few gateways each uses all hosts, as it gets enough answers of each to learn from.
 func TestSmallFleetUsesAllHosts(t *testing.T) {
 	f := newFleet(t, 3, 12)
 	f.run(600, 20*ms, func(string) (Outcome, time.Duration) { return OK, 60 * ms })
 	for _, h := range f.hosts {
 		if len(f.gatewaysByHost[h.Name]) != 3 {
-			t.Errorf("host %s is used by %d of 3 doors", h.Name, len(f.gatewaysByHost[h.Name]))
+			t.Errorf("host %s is used by %d of 3 gateways", h.Name, len(f.gatewaysByHost[h.Name]))
 		}
 	}
 }
 
-// Four in five hosts are gone and no list has said so: each door looks for others, and finds them, by few sends.
+// Four in five hosts are unreachable although they are on the list. Each gateway must replace those of its subset
+// by hosts that answer, with few attempts lost.
 func TestSubsetOfDeadHostsIsWidened(t *testing.T) {
 	f := newFleet(t, 80, 60)
 	dead := map[string]bool{}
@@ -118,12 +123,12 @@
 		}
 	}
 	if sent < 15000 || sentToDead > sent/4 {
-		t.Errorf("%d of %d sends went to hosts that are gone, though each door had met some", sentToDead, sent)
+		t.Errorf("%d of %d attempts went to unreachable hosts after each gateway had tried some", sentToDead, sent)
 	}
 }
 
-// Doors of a customer with a hard ceiling, all asked for several times what it allows, with a counter that
-// loses answers and comes back empty: together they never send more than the store holds.
+// A customer with a hard ceiling sends several times what it allows through many gateways, while the counter loses
+// answers and once all its data. Together the gateways must never send more than the ceiling's store holds.
 func TestManyGatewaysKeepCeilingTogether(t *testing.T) {
 	for _, gateways := range []int{3, 26, 80} {
 		f := newFleet(t, gateways, 12)
@@ -161,16 +166,18 @@
 			handle(RequestArrived{ID: uint64(i + 1), Plan: ceilingPlan, Customer: 77, ExpiresIn: time.Second, Units: 1, Gateways: gateways})
 		}
 		if minTokens < -p.CeilingSlack || lostCalls == 0 {
-			t.Errorf("%d doors: the store went to %.1f, its slack is %.1f (%d calls lost)", gateways, minTokens, p.CeilingSlack, lostCalls)
+			t.Errorf("%d gateways: the ceiling's store went down to %.1f, its slack is %.1f (%d calls lost, want some)",
+				gateways, minTokens, p.CeilingSlack, lostCalls)
 		}
-		// Asked for 25 times the quota, most of that is still let in, however small a door's part would be.
+		// With a demand of 25 times the quota at least half of the quota is admitted, however small a gateway's part
+		// would be.
 		if quota := p.Rate * 30; float64(sent) < 0.5*quota {
-			t.Errorf("%d doors sent %d, the quota is %.0f", gateways, sent, quota)
+			t.Errorf("%d gateways sent %d, the quota is %.0f", gateways, sent, quota)
 		}
 	}
 }
 
-// Where there is less capacity than is asked for, what is worth least is refused first.
+// When late answers show that the demand exceeds the capacity, the class of lowest worth is refused first.
 func TestLateAnswersShedTheClassOfLowestWorth(t *testing.T) {
 	s := largeFleetSettings()
 	s.Classes[0].Worth, s.Classes[1].Worth = 1, 3
@@ -187,15 +194,15 @@
 		d.g.held, d.g.liveAttempts, d.g.servers["s1"].outstanding = nil, 0, nil
 	}
 	if admitted[1] < 180 || admitted[0] < 118 || admitted[0] > 143 { // 0.94 and 0.66 of them, 0.8 of all
-		t.Errorf("of 200 each, %d of high and %d of low worth are let in", admitted[1], admitted[0])
+		t.Errorf("of 200 requests each, %d of high and %d of low worth are admitted", admitted[1], admitted[0])
 	}
 	if all := admitted[0] + admitted[1]; all < 306 || all > 334 {
-		t.Errorf("%d of 400 are let in, where 0.8 are to be", all)
+		t.Errorf("%d of 400 requests are admitted at an admit share of 0.8", all)
 	}
 }
 
-// A third of the hosts start cold at one instant. All doors together send such a host more than nothing, and
-// never what would push it over: by the stated slow start it can do less than it may in truth.
+// A third of the hosts restart cold at the same time. All gateways together must send each of them requests, but
+// never as many as overload it: its real capacity may be as low as the slow-start settings say.
 func TestManyGatewaysWarmUpHostsTogether(t *testing.T) {
 	for _, gateways := range []int{3, 80} {
 		f := newFleet(t, gateways, 30)
@@ -207,7 +214,7 @@
 			}
 			d.handle(ServerList{Kind: ListFull, Servers: f.hosts})
 		}
-		const perHost = 12.0 // requests a second that a warm host is meant for, six tenths of what it can do
+		const perHost = 12.0 // requests a second for a warm host, 0.6 of its capacity
 		requests := int(perHost * 30 * 3)
 		f.run(requests, time.Second/(perHost*30), func(string) (Outcome, time.Duration) { return OK, 60 * ms })
 		coldCapacity := perHost / 0.6 * 3 * (s.InitialCapacity + (1-s.InitialCapacity)*1.5/s.WarmUpTime.Seconds())
@@ -215,16 +222,17 @@
 		for _, h := range f.hosts[:10] {
 			sentToCold += f.sendsByHost[h.Name]
 			if float64(f.sendsByHost[h.Name]) > s.ColdOverloadFactor*coldCapacity {
-				t.Errorf("%d doors sent %d to a cold host that can do %.1f", gateways, f.sendsByHost[h.Name], coldCapacity)
+				t.Errorf("%d gateways sent %d requests to a cold host with a capacity for %.1f", gateways, f.sendsByHost[h.Name], coldCapacity)
 			}
 		}
 		if float64(sentToCold) < 6*coldCapacity {
-			t.Errorf("%d doors sent %d to 10 cold hosts that can do %.1f each", gateways, sentToCold, coldCapacity)
+			t.Errorf("%d gateways sent %d requests to 10 cold hosts with a capacity for %.1f each", gateways, sentToCold, coldCapacity)
 		}
 	}
 }
 
-// A host that is slow beside the others is late by itself: only where others are late, too, is that throttled.
+// Late answers of a host that is slow compared to the others are its own fault. Admission is throttled only if most
+// hosts are late.
 func TestOneSlowHostDoesNotThrottleAdmission(t *testing.T) {
 	for _, slowHosts := range []int{1, 8} {
 		s := largeFleetSettings()
@@ -239,13 +247,13 @@
 			d.g.learnFromAttempt(&slowAttempt, r, AttemptEnded{ID: id, Outcome: OK, Took: 400 * ms})
 		}
 		if isOneSlow := slowHosts == 1; isOneSlow && d.g.admitShare < 1 || !isOneSlow && d.g.admitShare > 0.5 {
-			t.Errorf("%d of 8 hosts slow: %.2f is admitted", slowHosts, d.g.admitShare)
+			t.Errorf("%d of 8 hosts are slow: the admit share is %.2f", slowHosts, d.g.admitShare)
 		}
 	}
 }
 
-// Where few are admitted the least worth is turned away first, but not nearly all of it: with four in five of all
-// admitted, nearly all of the best class and two thirds of one worth a third.
+// Under load shedding the class of least worth is refused first, but not nearly all of it: of 0.8 of all requests
+// that are admitted, the best class gets nearly all, and a class of a third of its worth gets two thirds.
 func TestClassesOfLowWorthAreNotStarved(t *testing.T) {
 	s := testSettings()
 	s.Classes = s.Classes[:2:2]
@@ -264,6 +272,6 @@
 		d.takeActions()
 	}
 	if highWorth, lowWorth := float64(sentOfClass[0])/2000, float64(sentOfClass[1])/2000; highWorth < 0.9 || lowWorth < 0.6 || lowWorth > 0.7 {
-		t.Errorf("admitted: %.2f of the best class, %.2f of the least", highWorth, lowWorth)
+		t.Errorf("admitted: %.2f of the class of high worth, %.2f of the class of low worth", highWorth, lowWorth)
 	}
 }
--- a/admission/gateway_test.go
+++ b/admission/gateway_test.go
@@ -10,7 +10,8 @@
 
 const ms = time.Millisecond
 
-// testSettings are settings with everything switched on; a test changes what it is about.
+// testSettings returns settings with every feature of the host and every kind of quota. A test changes what it
+// is about. The plans have the indices unlimitedPlan to ceilingPlan.
 func testSettings() Settings {
 	return Settings{
 		Gateways: 2, Zone: "a", Tick: 2 * ms,
@@ -36,6 +37,7 @@
 	}
 }
 
+// Indices of the plans of testSettings.
 const (
 	unlimitedPlan = iota
 	quotaPlan
@@ -44,14 +46,16 @@
 	ceilingPlan
 )
 
-// A driver is a gateway on a hand clock. It notes all actions since the last look.
+// driver passes events to one gateway, on a clock that only the test advances, and records its actions.
 type driver struct {
 	t       *testing.T
 	g       *Gateway
 	now     time.Duration
-	actions []Action
+	actions []Action // since the last takeActions
 }
 
+// newDriver returns a driver of a new gateway that has been given a list of these servers, all in its zone. The
+// clock starts at one hour.
 func newDriver(t *testing.T, s Settings, servers ...string) *driver {
 	t.Helper()
 	g, err := New(s, 7)
@@ -68,23 +72,27 @@
 	return d
 }
 
+// handle passes an event at the present time and records the actions.
 func (d *driver) handle(ev Event) {
 	d.actions = append(d.actions, d.g.Handle(d.now, ev)...)
 }
 
 func (d *driver) advance(by time.Duration) { d.now += by }
 
+// takeActions returns the recorded actions and forgets them.
 func (d *driver) takeActions() []Action {
 	got := d.actions
 	d.actions = nil
 	return got
 }
 
+// arrive passes a new request of customer 5, who comes through two gateways.
 func (d *driver) arrive(id uint64, class, plan int, units int) {
 	d.handle(RequestArrived{ID: id, Class: class, Plan: plan, Customer: 5, ExpiresIn: d.g.settings.Classes[class].Deadline,
 		Units: units, Gateways: 2})
 }
 
+// actionsOf returns the actions of one type, in order.
 func actionsOf[A Action](got []Action) []A {
 	var all []A
 	for _, a := range got {
@@ -95,7 +103,8 @@
 	return all
 }
 
-// onlyAction returns the only action of its type since the last look.
+// onlyAction takes the recorded actions and returns the only one of its type. It fails the test if there is not
+// exactly one.
 func onlyAction[A Action](d *driver) A {
 	d.t.Helper()
 	got := d.takeActions()
@@ -106,6 +115,7 @@
 	return all[0]
 }
 
+// requireNone fails the test if an action of the type is recorded. The recorded actions stay.
 func requireNone[A Action](d *driver) {
 	d.t.Helper()
 	if all := actionsOf[A](d.actions); len(all) > 0 {
@@ -113,6 +123,7 @@
 	}
 }
 
+// endAttempt reports the end of an attempt after 50 ms. With OK the request is answered.
 func (d *driver) endAttempt(id uint64, attempt int, server string, outcome Outcome) {
 	d.handle(AttemptEnded{ID: id, Attempt: attempt, Server: server, Outcome: outcome, Took: 50 * ms, Done: outcome == OK})
 }
@@ -123,7 +134,7 @@
 	requireNone[Send](d)
 	add := onlyAction[CounterAdd](d)
 	if add.Delta != 3 || add.TTL <= 0 {
-		t.Fatalf("asked %+v", add)
+		t.Fatalf("counter call %+v, want Delta 3 and a positive TTL", add)
 	}
 	d.handle(CounterAnswered{Name: add.Name, Total: 3, Took: 2 * ms, Outcome: OK})
 	if s := onlyAction[Send](d); s.ID != 1 || s.Server != "s1" {
@@ -142,11 +153,11 @@
 	if counter.length != 4*time.Second || counter.windowAt(d.now+refusal.RetryAfter) != counter.window+1 || counter.windowAt(d.now+refusal.RetryAfter-1) != counter.window {
 		t.Fatalf("retry after %v is not the end of the customer's window of %v", refusal.RetryAfter, counter.length)
 	}
-	// The units refused ride back on the next call for that name.
-	d.g.callsPerRequest = 0 // keep it asking
+	// The units of the refused request are taken back with the next call of that name.
+	d.g.callsPerRequest = 0 // so that the next request queries the counter
 	d.arrive(2, 0, quotaPlan, 1)
 	if next := onlyAction[CounterAdd](d); next.Name != add.Name || next.Delta != 1-3 {
-		t.Fatalf("next call %+v after %+v", next, add)
+		t.Fatalf("next call %+v after %+v, want the same name and the refused units taken back", next, add)
 	}
 }
 
@@ -160,10 +171,11 @@
 	d.takeActions()
 	d.arrive(2, 0, quotaPlan, 1)
 	if next := onlyAction[CounterAdd](d); next.Delta != 1+2 {
-		t.Fatalf("next call adds %v", next.Delta)
+		t.Fatalf("next call adds %v, want 1 and the 2 units that were billed beyond the request's 3", next.Delta)
 	}
 }
 
+// A burst at the end of one counter window must not be repeated at the start of the next, whose count is 0.
 func TestNoDoubleAllowanceAtWindowEdge(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1")
 	window := 4 * time.Second
@@ -172,8 +184,8 @@
 	add := onlyAction[CounterAdd](d)
 	d.handle(CounterAnswered{Name: add.Name, Total: 8, Took: 2 * ms, Outcome: OK})
 	onlyAction[Send](d)
-	d.g.callsPerRequest = 0 // keep it asking
-	d.advance(20 * ms)      // a new window, whose count begins at nothing
+	d.g.callsPerRequest = 0 // so that the next request queries the counter
+	d.advance(20 * ms)      // a new window, whose count starts at 0
 	d.arrive(2, 0, quotaPlan, 8)
 	for _, add := range actionsOf[CounterAdd](d.takeActions()) {
 		total := add.Delta
@@ -191,13 +203,15 @@
 	d.arrive(1, 0, quotaPlan, 1)
 	timer := onlyAction[SetTimer](d)
 	if timer.At > d.now+counterWait {
-		t.Fatalf("waits %v", timer.At-d.now)
+		t.Fatalf("waits %v for the counter, longer than counterWait", timer.At-d.now)
 	}
 	d.now = timer.At
 	d.handle(TimerFired{Token: timer.Token})
 	onlyAction[Send](d)
 }
 
+// With the breaker open, each unit is charged for both gateways of the customer. The first answer to a probe
+// closes the breaker.
 func TestLostCounterLimitsToOwnShareUntilRecovery(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1", "s2", "s3", "s4")
 	sent := 0
@@ -210,7 +224,7 @@
 			d.handle(CounterAnswered{Name: add.Name, Outcome: Unreachable})
 		}
 		sent += len(actionsOf[Send](got)) + len(actionsOf[Send](d.takeActions()))
-		if d.g.queryShare = 1; d.g.isBreakerOpen { // every request asks, however crowded
+		if d.g.queryShare = 1; d.g.isBreakerOpen { // every request queries the counter
 			break
 		}
 	}
@@ -224,20 +238,20 @@
 		requireNone[CounterAdd](d)
 		d.takeActions()
 	}
-	if sent < 2 || sent > 6 { // three at full mirror, half of the other five, the last on credit
-		t.Fatalf("sent %d of a burst of 8, with half a share", sent)
+	if sent < 2 || sent > 6 { // three at one unit each, the others at two of the other five units, the last of them overdrawn
+		t.Fatalf("sent %d of a burst of 8, with half of it as own share, want 2 to 6", sent)
 	}
 	d.advance(counterProbeInterval + ms)
 	d.arrive(99, 0, quotaPlan, 1)
 	add := onlyAction[CounterAdd](d)
 	d.handle(CounterAnswered{Name: add.Name, Total: 4, Took: 2 * ms, Outcome: OK})
 	if d.g.isBreakerOpen {
-		t.Fatal("the breaker is open after an answer")
+		t.Fatal("the breaker is still open after an answer")
 	}
 }
 
-// At a door whose own share is under one request, a lost counter must neither mean refusing all nor
-// letting all in: about the part that the totals last showed to fit passes.
+// At a gateway whose equal share is less than one request, a lost counter must not cause all requests to be
+// refused, nor all to be admitted: it admits about the share that fitted by the last totals.
 func TestLostCounterAtSparseGatewayAdmitsShareThatFits(t *testing.T) {
 	for _, isOverQuota := range []bool{false, true} {
 		s := testSettings()
@@ -250,7 +264,7 @@
 			for i, a := range d.actions {
 				if add, ok := a.(CounterAdd); ok && !d.g.isBreakerOpen {
 					total := 1.0
-					if isOverQuota && id%4 > 0 { // a quarter of the demand comes before the window is used up
+					if isOverQuota && id%4 > 0 { // a quarter of the requests arrive before the window's quota is used up
 						total = 30
 					}
 					d.actions = append(d.actions[:i:i], d.actions[i+1:]...)
@@ -274,18 +288,19 @@
 			sent += len(actionsOf[Send](requestAndEnd(id)))
 		}
 		if !isOverQuota && sent < 95 || isOverQuota && (sent < 5 || sent > 60) {
-			t.Errorf("heavy %v: %d of 100 let in without a counter", isOverQuota, sent)
+			t.Errorf("over quota %v: %d of 100 admitted without a counter", isOverQuota, sent)
 		}
 	}
 }
 
+// A total without the earlier units shows that the counter has lost its data. What was used before still counts.
 func TestCounterDataLossGrantsNoQuota(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1")
 	d.arrive(1, 0, quotaPlan, 8)
 	add := onlyAction[CounterAdd](d)
 	d.handle(CounterAnswered{Name: add.Name, Total: 8, Took: 2 * ms, Outcome: OK})
 	d.takeActions()
-	d.g.callsPerRequest = 0 // keep it asking
+	d.g.callsPerRequest = 0 // so that the next request queries the counter
 	d.arrive(2, 0, quotaPlan, 4)
 	add = onlyAction[CounterAdd](d)
 	d.handle(CounterAnswered{Name: add.Name, Total: 4, Took: 2 * ms, Outcome: OK})
@@ -315,7 +330,7 @@
 	d.endAttempt(1, 0, d.g.requests[1].attempts[0].server.Name, OK)
 	answerCalls()
 	if total != 1 {
-		t.Fatalf("the gauge stands at %v with one out", total)
+		t.Fatalf("the in-flight counter is at %v with one request in flight", total)
 	}
 	d.arrive(4, 0, inFlightPlan, 1)
 	answerCalls()
@@ -347,30 +362,31 @@
 			d.advance(5 * ms)
 			d.arrive(id, 0, ceilingPlan, 2)
 			for _, add := range actionsOf[CounterAdd](d.actions) {
-				d.handle(CounterAnswered{Name: add.Name, Total: 0, Took: ms, Outcome: OK}) // a counter that forgets
+				d.handle(CounterAnswered{Name: add.Name, Total: 0, Took: ms, Outcome: OK}) // a counter that keeps losing its data
 			}
 			for _, a := range actionsOf[Send](d.takeActions()) {
 				usedUnits += 2
 				d.endAttempt(a.ID, 0, a.Server, OK)
 			}
-			// Without a counter, all may have been spent in an earlier life; one that has forgotten
-			// all lets in this gateway's part of the store once, and no more.
+			// A previous process may have used the whole part, so without a counter it starts empty. A counter
+			// that has lost its data admits this gateway's part of the ceiling's store once, and no more.
 			limit := p.CeilingRate / 2 * (d.now - start).Seconds()
 			if hasCounter {
 				limit += (p.CeilingBurst + p.CeilingSlack) / 2
 			}
 			if usedUnits > limit+1e-6 {
-				t.Fatalf("sent %v, own part of the refill %v", usedUnits, limit)
+				t.Fatalf("sent %v units, the gateway's part of the ceiling allows %v", usedUnits, limit)
 			}
 		}
 		if usedUnits < 20 {
-			t.Fatalf("sent only %v", usedUnits)
+			t.Fatalf("sent only %v units", usedUnits)
 		}
 	}
 }
 
-// What an earlier life may have spent of a ceiling is back some time after the start, whenever a customer is
-// first seen: else each new one's first request is refused, at every door.
+// A gateway's part of a ceiling fills from the start of the gateway, as a previous process may have used it up,
+// and not from the first request of the customer: otherwise each customer's first request would be refused at
+// every gateway.
 func TestFirstRequestOfCustomerFindsCeilingTokens(t *testing.T) {
 	s := testSettings()
 	s.HasCounter = false
@@ -386,7 +402,7 @@
 		d.arrive(1, 2, unlimitedPlan, 1)
 		send := onlyAction[Send](d)
 		if send.Wait != 0 {
-			t.Fatal("an unsafe attempt has a time-out before the client's")
+			t.Fatal("the attempt of an unsafe request has a time limit before the deadline")
 		}
 		d.advance(20 * ms)
 		d.endAttempt(1, 0, send.Server, outcome)
@@ -394,7 +410,7 @@
 		requireNone[Refuse](d)
 		onlyAction[Fail](d)
 	}
-	for _, outcome := range []Outcome{Full, Unreachable} { // surely never ran
+	for _, outcome := range []Outcome{Full, Unreachable} { // it did not run
 		d := newDriver(t, testSettings(), "s1", "s2")
 		d.arrive(1, 2, unlimitedPlan, 1)
 		send := onlyAction[Send](d)
@@ -414,7 +430,7 @@
 	d = newDriver(t, testSettings(), "s1", "s2")
 	d.arrive(1, 1, unlimitedPlan, 1)
 	send = onlyAction[Send](d)
-	d.advance(299 * ms) // the window is 300 ms
+	d.advance(299 * ms) // the window of 300 ms ends before a repeat would arrive
 	d.endAttempt(1, 0, send.Server, Broken)
 	requireNone[Send](d)
 
@@ -424,11 +440,11 @@
 	d.handle(ServerList{Kind: ListFull, Servers: []ServerEntry{{Name: "s2", Zone: "b"}}})
 	d.endAttempt(1, 0, send.Server, Broken)
 	for len(actionsOf[Fail](d.actions)) == 0 {
-		requireNone[Send](d) // the other zone does not know the key
+		requireNone[Send](d) // servers of another zone do not recognise the key
 		requireNone[Refuse](d)
 		timers := actionsOf[SetTimer](d.takeActions())
 		if len(timers) == 0 {
-			t.Fatal("neither answered nor held")
+			t.Fatal("the request has no answer and no timer")
 		}
 		d.now = timers[0].At
 		d.handle(TimerFired{Token: timers[0].Token})
@@ -440,35 +456,36 @@
 	d.arrive(1, 0, unlimitedPlan, 1)
 	send := onlyAction[Send](d)
 	d.handle(ClientLeft{ID: 1})
-	d.endAttempt(1, 0, send.Server, Unreachable) // late outcome of a finished request
+	d.endAttempt(1, 0, send.Server, Unreachable) // the late end of an attempt of a finished request
 	if len(d.g.requests) != 0 {
-		t.Fatal("kept after its last outcome")
+		t.Fatal("the request is kept after its last attempt")
 	}
 	d.handle(ClientLeft{ID: 1})
 	requireNone[Send](d)
 	requireNone[Refuse](d)
 	requireNone[Fail](d)
 	if len(d.g.requests) != 0 {
-		t.Fatal("the request is still held")
+		t.Fatal("the finished request is back")
 	}
 
-	d.arrive(2, 0, quotaPlan, 1) // left while the counter is asked
+	d.arrive(2, 0, quotaPlan, 1) // its client leaves before the counter answers
 	add := onlyAction[CounterAdd](d)
 	d.handle(ClientLeft{ID: 2})
 	d.handle(CounterAnswered{Name: add.Name, Total: 1, Took: ms, Outcome: OK})
 	requireNone[Send](d)
 	requireNone[Refuse](d)
 	d.arrive(3, 0, quotaPlan, 1)
-	if next := onlyAction[CounterAdd](d); next.Delta != 0 { // what request 2 added is given back
-		t.Fatalf("adds %v", next.Delta)
+	if next := onlyAction[CounterAdd](d); next.Delta != 0 { // the unit of request 2 is taken back
+		t.Fatalf("the next call adds %v, want 0", next.Delta)
 	}
 }
 
+// A deadline shorter than any wait, for the counter or for a server, still gets an answer in time.
 func TestShortDeadlineIsAnsweredInTime(t *testing.T) {
 	for _, timeLeft := range []time.Duration{0, ms, 3 * ms, 8 * ms} {
 		settings := testSettings()
 		settings.AnswerSlack = 4 * ms
-		d := newDriver(t, settings) // no server at all, a silent counter
+		d := newDriver(t, settings) // no servers, and the counter does not answer
 		d.handle(RequestArrived{ID: 1, Class: 0, Plan: quotaPlan, Customer: 5, ExpiresIn: timeLeft, Units: 1, Gateways: 2})
 		due := d.now + timeLeft + d.g.settings.AnswerSlack
 		for n := 0; len(actionsOf[Refuse](d.actions)) == 0; n++ {
@@ -492,7 +509,7 @@
 	for len(actionsOf[Refuse](d.actions)) == 0 {
 		timers := actionsOf[SetTimer](d.takeActions())
 		if len(timers) == 0 || d.now > due {
-			t.Fatal("held past its aim")
+			t.Fatal("the request is held past its latency target")
 		}
 		d.now = timers[0].At
 		d.handle(TimerFired{Token: timers[0].Token})
@@ -513,7 +530,7 @@
 		}
 	}
 	d := newDriver(t, testSettings(), "s1", "s2")
-	d.handle(ServerList{Kind: ListFull, Servers: []ServerEntry{{Name: "s2", Zone: "a"}}}) // s1 missing: gone
+	d.handle(ServerList{Kind: ListFull, Servers: []ServerEntry{{Name: "s2", Zone: "a"}}}) // s1 is not listed: it is gone
 	for id := uint64(1); id < 20; id++ {
 		d.arrive(id, 0, unlimitedPlan, 1)
 	}
@@ -524,7 +541,8 @@
 	}
 }
 
-// runLoad drives a steady runLoad for a while and counts what each server was sent.
+// runLoad makes requests arrive at even intervals, with ids from first on, each answered after 50 ms, and returns
+// how many each server was sent.
 func (d *driver) runLoad(first uint64, requests int, interval time.Duration) map[string]int {
 	sent := map[string]int{}
 	type openAttempt struct {
@@ -556,19 +574,19 @@
 	d.runLoad(1, 200, 10*ms)
 	d.handle(ServerList{Kind: ListChanges, Servers: []ServerEntry{{Name: "s1", Zone: "a", Boot: d.now}}})
 	sent := d.runLoad(1000, 100, 10*ms)
-	// A warm server's share is a third; a cold one has a fifth to 0.3 of that in its first second.
+	// A warm server's share is a third. A cold one has 0.2 to 0.3 of that in its first second.
 	if warm := (sent["s2"] + sent["s3"]) / 2; sent["s1"] == 0 || 2*sent["s1"] > warm {
 		t.Fatalf("sent %v", sent)
 	}
 	d.advance(d.g.settings.WarmUpTime)
 	sent = d.runLoad(5000, 300, 10*ms)
 	if sent["s1"] < 50 {
-		t.Fatalf("still shy of a warm server: %v", sent)
+		t.Fatalf("the server gets too few requests after its warm-up: %v", sent)
 	}
 }
 
-// A cold server's share must hold as a sum: over many gateways that each see a few requests, also
-// when all of them have just started, and when no server is warm.
+// The share of a cold server must hold as a sum over many gateways that each get a few requests, also when all
+// gateways have just started, and when no server is warm.
 func TestColdServerIsNotOverloadedByAllGateways(t *testing.T) {
 	for _, coldServers := range []int{1, 3, 10} {
 		s := testSettings()
@@ -606,9 +624,9 @@
 			}
 		}
 		fair := float64(500*coldServers) / 10 * s.InitialCapacity
-		// Even where a fair share is all that a warm one can do, that is less than pushes a cold one over.
+		// Even if a fair share is the full capacity of a warm server, this is less than overloads a cold one.
 		if toCold == 0 || float64(toCold) > s.ColdOverloadFactor*fair {
-			t.Errorf("%d cold: %d of %d sends went to them, fair is %.0f", coldServers, toCold, sent, fair)
+			t.Errorf("%d cold servers: %d of %d attempts went to them, a fair share is %.0f", coldServers, toCold, sent, fair)
 		}
 	}
 }
@@ -624,16 +642,17 @@
 				if id > 100 {
 					sentToSilent++
 				}
-				continue // takes work, answers nothing
+				continue // it accepts requests and does not answer
 			}
 			d.endAttempt(s.ID, 0, s.Server, OK)
 		}
 	}
 	if sentToSilent > 2 {
-		t.Fatalf("%d more went to a silent server", sentToSilent)
+		t.Fatalf("%d more attempts went to a server that does not answer, want at most 2", sentToSilent)
 	}
 }
 
+// Where every server seems down, the signs are not trusted: one is tried all the same.
 func TestRequestIsSentWhenAllServersFail(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1", "s2")
 	for id := uint64(1); id < 30; id++ {
@@ -653,11 +672,11 @@
 	d.runLoad(1, 100, 10*ms)
 	d.g.eject(d.g.servers["s1"])
 	if sent := d.runLoad(1000, 20, 10*ms); sent["s1"] != 0 {
-		t.Fatalf("ejected, but sent %v", sent)
+		t.Fatalf("an ejected server gets requests: %v", sent)
 	}
 	d.advance(minEjection)
 	if sent := d.runLoad(2000, 100, 10*ms); sent["s1"] == 0 {
-		t.Fatal("never tried again")
+		t.Fatal("the server gets no requests after its ejection")
 	}
 }
 
@@ -678,7 +697,7 @@
 	d.handle(ServerList{Kind: ListFull})
 	g := d.g
 	if len(g.requests)+len(g.customers)+len(g.counterCalls)+len(g.servers)+len(g.serversByName)+len(g.held) != 0 {
-		t.Fatalf("left: %d requests, %d customers, %d calls, %d servers, %d held", len(g.requests),
+		t.Fatalf("still in memory: %d requests, %d customers, %d counter calls, %d servers, %d held", len(g.requests),
 			len(g.customers), len(g.counterCalls), len(g.servers), len(g.held))
 	}
 }
@@ -717,7 +736,8 @@
 	}
 }
 
-// playRandomEvents plays random but legal events against a gateway and checks the rules. It returns all
+// playRandomEvents passes random events, within the host contract, to a gateway and checks the rules for its
+// actions: one final answer in time, and no repeat, refusal or attempt that is not allowed. It returns all
 // actions as text.
 func playRandomEvents(t *testing.T, seed uint64, steps int) []string {
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -727,13 +747,13 @@
 	d := newDriver(t, s, "s1", "s2", "s3")
 	type req struct {
 		class        int
-		due          time.Duration
-		isAnswered   bool
-		openAttempts map[int]string
-		sends        int
-		mayHaveRun   bool
-		mayHaveRunAt time.Duration
-		sentAt       map[int]time.Duration
+		due          time.Duration         // its deadline
+		isAnswered   bool                  // it has its final answer, or its client has left
+		openAttempts map[int]string        // servers, by attempt number
+		sends        int                   // attempts so far
+		mayHaveRun   bool                  // an attempt has ended so that it may have run
+		mayHaveRunAt time.Duration         // send time of the first such attempt
+		sentAt       map[int]time.Duration // send times, by attempt number
 	}
 	reqs := map[uint64]*req{}
 	var openRequests []uint64
@@ -750,16 +770,16 @@
 				r := reqs[a.ID]
 				switch {
 				case r == nil || r.isAnswered:
-					t.Fatalf("seed %d: send for a finished request", seed)
+					t.Fatalf("seed %d: a finished request is sent", seed)
 				case len(r.openAttempts) > 0:
-					t.Fatalf("seed %d: two attempts at once", seed)
+					t.Fatalf("seed %d: two open attempts", seed)
 				case serverStates[a.Server] != Up:
-					t.Fatalf("seed %d: sent to a server that drains or is gone", seed)
+					t.Fatalf("seed %d: sent to a server that is draining or gone", seed)
 				case r.mayHaveRun && s.Classes[r.class].Effect == Unsafe:
-					t.Fatalf("seed %d: unsafe request sent twice", seed)
+					t.Fatalf("seed %d: an unsafe request that may have run is sent again", seed)
 				case r.mayHaveRun && s.Classes[r.class].Effect == Keyed &&
 					d.now > r.mayHaveRunAt+s.Classes[r.class].RepeatWindow:
-					t.Fatalf("seed %d: keyed request repeated past its window", seed)
+					t.Fatalf("seed %d: a keyed request is repeated after its window", seed)
 				case r.sends >= s.MaxAttempts:
 					t.Fatalf("seed %d: too many attempts", seed)
 				}
@@ -768,21 +788,21 @@
 			case Refuse:
 				r := reqs[a.ID]
 				if r == nil || r.isAnswered {
-					t.Fatalf("seed %d: refused twice", seed)
+					t.Fatalf("seed %d: a finished request is refused", seed)
 				}
 				c := s.Classes[r.class]
 				if r.mayHaveRun && (c.Effect == Unsafe || c.Effect == Keyed && c.Scope != ScopeAll) {
-					t.Fatalf("seed %d: refused what may have run", seed)
+					t.Fatalf("seed %d: a request that may have run is refused", seed)
 				}
 				r.isAnswered = true
 			case Fail:
 				if r := reqs[a.ID]; r == nil || r.isAnswered {
-					t.Fatalf("seed %d: failed twice", seed)
+					t.Fatalf("seed %d: a finished request is failed", seed)
 				}
 				reqs[a.ID].isAnswered = true
 			case CounterAdd:
 				if !s.HasCounter {
-					t.Fatalf("seed %d: no counter here", seed)
+					t.Fatalf("seed %d: a counter call without a counter", seed)
 				}
 				openCalls = append(openCalls, a.Name)
 			case SetTimer:
@@ -825,7 +845,7 @@
 					endAttempts(id, TimedOut)
 				}
 				if !r.isAnswered && d.now > r.due+s.AnswerSlack {
-					t.Fatalf("seed %d: request %d of class %d unanswered past its time", seed, id, r.class)
+					t.Fatalf("seed %d: request %d of class %d has no answer after its deadline", seed, id, r.class)
 				}
 			}
 			if !r.isAnswered || len(r.openAttempts) > 0 {
@@ -833,8 +853,8 @@
 			}
 		}
 		openRequests = stillOpen
-		switch k := rng.IntN(20); {
-		case k < 7:
+		switch choice := rng.IntN(20); {
+		case choice < 7:
 			class := rng.IntN(len(s.Classes))
 			r := &req{class: class, openAttempts: map[int]string{}, sentAt: map[int]time.Duration{}}
 			expires := time.Duration(rng.IntN(2000)) * ms
@@ -844,18 +864,18 @@
 			d.handle(RequestArrived{ID: nextID, Class: class, Plan: rng.IntN(len(s.Plans)+1) - 1,
 				Customer: uint64(rng.IntN(4)), ExpiresIn: expires, Units: rng.IntN(9), Gateways: rng.IntN(3)})
 			nextID++
-		case k < 13 && len(openRequests) > 0:
+		case choice < 13 && len(openRequests) > 0:
 			endAttempts(openRequests[rng.IntN(len(openRequests))], Outcome(rng.IntN(int(NotSent))))
-		case k < 17 && len(openCalls) > 0:
+		case choice < 17 && len(openCalls) > 0:
 			name := openCalls[0]
 			openCalls = openCalls[1:]
 			d.handle(CounterAnswered{Name: name, Total: float64(rng.IntN(20)), Took: ms,
 				Outcome: []Outcome{OK, OK, OK, Full, TimedOut, Unreachable}[rng.IntN(6)]})
-		case k == 17 && len(openRequests) > 0:
+		case choice == 17 && len(openRequests) > 0:
 			id := openRequests[rng.IntN(len(openRequests))]
 			reqs[id].isAnswered = true
 			d.handle(ClientLeft{ID: id})
-		case k == 18:
+		case choice == 18:
 			e := ServerEntry{Name: fmt.Sprintf("s%d", 1+rng.IntN(4)), Zone: "a", State: ServerState(rng.IntN(3))}
 			if rng.IntN(2) == 0 {
 				e.State = Up
@@ -879,13 +899,13 @@
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	for seed := range uint64(5) {
 		if a, b := playRandomEvents(t, seed, 2000), playRandomEvents(t, seed, 2000); !reflect.DeepEqual(a, b) {
-			t.Fatalf("seed %d: actions differ", seed)
+			t.Fatalf("seed %d: equal events give different actions", seed)
 		}
 	}
 }
 
-// A counter that is far away answers every call late and none crowded: all the same it is asked, and the
-// breaker closes. One that takes longer than it did is crowded.
+// A counter that is far away answers every call slowly, without being crowded: all requests still query it, and
+// its answers close the breaker. A counter that takes longer than it used to is crowded.
 func TestDistantCounterIsNotTakenForCrowded(t *testing.T) {
 	s := testSettings()
 	s.Gateways = 1
@@ -899,33 +919,33 @@
 			d.handle(CounterAnswered{Name: add.Name, Total: add.Delta, Took: took, Outcome: outcome})
 		}
 	}
-	const baseline = 40 * ms // half of the limit
+	const baseline = 40 * ms // half of the time limit of a call
 	for range 50 {
 		queryCounter(OK, baseline)
 	}
 	if d.g.queryShare < 1 {
-		t.Fatalf("%v of the requests ask a far counter", d.g.queryShare)
+		t.Fatalf("only a share of %v of the requests query a distant counter", d.g.queryShare)
 	}
-	for range 100 { // fewer and fewer ask
+	for range 100 { // fewer and fewer requests query the counter
 		queryCounter(TimedOut, s.CounterTimeout)
 	}
 	if !d.g.isBreakerOpen {
 		t.Fatal("the breaker is closed")
 	}
 	d.advance(2 * counterProbeInterval)
-	queryCounter(OK, baseline) // the probe that is due is made, however few ask
+	queryCounter(OK, baseline) // the probe that is due is made, however small the query share
 	if d.g.isBreakerOpen {
-		t.Fatal("the breaker stays open")
+		t.Fatal("the breaker is still open after an answer")
 	}
 	d.g.queryShare = 1
 	queryCounter(OK, 3*baseline)
 	if d.g.queryShare >= 1 {
-		t.Fatal("a crowded counter is asked as ever")
+		t.Fatal("the query share does not fall when the counter is crowded")
 	}
 }
 
-// A server that limits itself answers the rest as fast as any, and with fewer of ours out: by latency alone
-// it would get the most. What it turns away costs an attempt and the time until it does.
+// A server that rejects some requests answers the others as fast as any server, and holds fewer of them: by
+// latency alone it would get the most. Each rejection costs an attempt and the time until it arrives.
 func TestServerThatRejectsGetsFewerRequests(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1", "s2")
 	sent := map[string]int{}
@@ -948,25 +968,25 @@
 	if sent["s1"] == 0 || sent["s1"] > 50 {
 		t.Fatalf("sent %v", sent)
 	}
-	// Once nothing was sent there for long, it is as good as any again.
+	// The reject share of a server that gets no requests is forgotten.
 	if s := d.g.servers["s1"]; s.rejectShare.Value == 0 || s.rejectShareAt(d.now+time.Minute) > 0.01 {
-		t.Fatalf("turned away is remembered for ever: %v", s.rejectShare)
+		t.Fatalf("the reject share is not forgotten, or was never learned: %v", s.rejectShare)
 	}
 }
 
-// Where the counter takes few calls, most requests are decided by the mirror. What the other doors took
-// between two totals is not on it: it must be foretold, or each door spends the whole quota by itself.
+// Where the counter takes few calls, most requests are decided by the local tokens. What the other gateways use
+// between two totals must be predicted, or each gateway would use the whole quota by itself.
 func TestUseThroughOtherGatewaysIsPredicted(t *testing.T) {
 	s := testSettings()
 	s.Plans[quotaPlan].Rate, s.Plans[quotaPlan].Burst = 10, 20
 	run := func(queryShareAverage float64) (sent int) {
 		d := newDriver(t, s, "s1", "s2", "s3")
 		counterName, total, id := "", 0.0, uint64(0)
-		for step := range 600 { // 30 s, ten a second asked here and five taken elsewhere
+		for step := range 600 { // 30 s: ten requests a second arrive here, five units a second are used elsewhere
 			d.advance(50 * ms)
 			d.g.queryShareAverage, d.g.queryShare = queryShareAverage, 0
 			total += 0.25
-			if step%20 == 0 { // one a second asks
+			if step%20 == 0 { // one request a second queries the counter
 				d.g.queryShare = 1
 			}
 			if step%2 == 1 {
@@ -992,20 +1012,20 @@
 		return sent
 	}
 	unpredicted, predicted := run(1), run(0)
-	// Five a second and the store are what is left here.
+	// Five a second and the burst are left for this gateway.
 	if predicted < 120 || predicted > 180 || unpredicted < predicted+20 {
-		t.Fatalf("of 300 sent %d, blindly %d", predicted, unpredicted)
+		t.Fatalf("of 300 requests %d are sent with prediction and %d without", predicted, unpredicted)
 	}
 }
 
-// A server that fails at once looks like the fastest of all. Errors in a row must keep requests off it; one
-// among good answers is nothing, and the first good answer after it clears the count.
+// A server that fails at once looks like the fastest of all. Errors in a row must eject it. A single error among
+// good answers must not, as the next good answer clears the count.
 func TestServerWithConsecutiveErrorsIsEjected(t *testing.T) {
-	for errorInterval, maxSent := range map[uint64]int{1: 20, 4: 1000} { // each, or one in so many, is an error
+	for errorInterval, maxSent := range map[uint64]int{1: 20, 4: 1000} { // one in so many answers of s1 is an error
 		d := newDriver(t, testSettings(), "s1", "s2")
 		sent := map[string]int{}
 		for id := uint64(1); id <= 200; id++ {
-			d.arrive(id, 2, unlimitedPlan, 1) // unsafe: it is not repeated
+			d.arrive(id, 2, unlimitedPlan, 1) // an unsafe request, which is not repeated
 			send := onlyAction[Send](d)
 			sent[send.Server]++
 			d.advance(10 * ms)
@@ -1018,13 +1038,13 @@
 			d.takeActions()
 		}
 		if sent["s1"] > maxSent || maxSent == 1000 && sent["s1"] < 60 {
-			t.Fatalf("one in %d errs: sent %v", errorInterval, sent)
+			t.Fatalf("one answer in %d is an error: sent %v", errorInterval, sent)
 		}
 	}
 }
 
-// One connection lost, or one answer that can't be read, is no sign that a server is gone: it may come from
-// any. Two in a row are.
+// One lost connection, or one answer that can't be read, may come from any server. Two in a row mean that the
+// server is gone.
 func TestOneBrokenConnectionDoesNotEject(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1")
 	for id := uint64(1); id <= 2; id++ {
@@ -1033,13 +1053,14 @@
 		d.endAttempt(id, 0, "s1", Broken)
 		d.takeActions()
 		if isSuspect := d.g.isSuspect(d.g.servers["s1"]); isSuspect != (id == 2) {
-			t.Fatalf("after %d broken answers: shunned %v", id, isSuspect)
+			t.Fatalf("after %d broken connections: suspect %v", id, isSuspect)
 		}
 	}
 }
 
-// Where the counter takes few calls they go where they decide something: to a customer whose mirror was spent
-// since the last total, rather than to one far from its quota. Where all can ask, all do.
+// Where the counter takes few calls, they are made for customers that have used much of their local tokens since
+// the last total, and not for those far from their quota. Where the counter takes all calls, every request
+// queries it.
 func TestCustomersNearQuotaQueryFirst(t *testing.T) {
 	s := testSettings()
 	s.Plans[quotaPlan].Rate, s.Plans[quotaPlan].Burst = 10, 100
@@ -1060,15 +1081,16 @@
 		return queries
 	}
 	if farFromQuota, nearQuota := countQueries(0.2, 1), countQueries(0.2, 60); nearQuota < 3*farFromQuota || nearQuota < 100 {
-		t.Fatalf("%d calls far from the quota, %d near it", farFromQuota, nearQuota)
+		t.Fatalf("%d counter calls far from the quota, %d near it", farFromQuota, nearQuota)
 	}
 	if n := countQueries(1, 1); n != 200 {
-		t.Fatalf("%d of 200 ask a counter with room", n)
+		t.Fatalf("%d of 200 requests query a counter that takes all calls", n)
 	}
 }
 
-// While the counter is lost, where few could ask before, a door goes by what the others took of late. To count
-// each of its own units for every door refuses a customer that comes through one door nearly alone.
+// While the counter is lost, a gateway that seldom queried it before predicts the use through other gateways from
+// the last totals. Charging each of its own units for every gateway would refuse a customer that comes almost
+// only through this one.
 func TestPredictedUseHoldsThroughOutage(t *testing.T) {
 	s := testSettings()
 	s.Plans[quotaPlan].Rate, s.Plans[quotaPlan].Burst = 10, 20
@@ -1076,7 +1098,7 @@
 		d := newDriver(t, s, "s1", "s2", "s3")
 		c := d.g.ensureCustomer(5, quotaPlan, 2, 0)
 		c.othersRate = 1
-		for id := uint64(1); id <= 160; id++ { // eight a second for 20 s
+		for id := uint64(1); id <= 160; id++ { // eight requests a second for 20 s
 			d.g.isBreakerOpen, d.g.nextCounterProbe, d.g.queryShareAverage = true, d.now+time.Hour, queryShareAverage
 			d.advance(125 * ms)
 			d.arrive(id, 0, quotaPlan, 1)
@@ -1089,6 +1111,6 @@
 		return sent
 	}
 	if predicted, unpredicted := run(0), run(1); predicted < 150 || unpredicted > 130 {
-		t.Fatalf("of 160 within the quota sent %d, blindly %d", predicted, unpredicted)
+		t.Fatalf("of 160 requests within the quota %d are sent with prediction and %d without", predicted, unpredicted)
 	}
 }
--- a/admission/size_test.go
+++ b/admission/large_fleet_test.go
@@ -8,9 +8,10 @@
 	"ferryfront.example/ferryfront/admission/estimate"
 )
 
-// The guards of the day Ldd5a98 and of what came after it, one small test each.
+// Rules that bound what all gateways of a large fleet do together, and estimates from the few observations that
+// one gateway of many has.
 
-// largeFleetSettings are settings of a large fleet with plans that lose by sends beyond their quotas.
+// largeFleetSettings returns testSettings for 400 gateways, where sending a request beyond a quota costs its worth.
 func largeFleetSettings() Settings {
 	s := testSettings()
 	s.Gateways = 400
@@ -19,7 +20,8 @@
 	return s
 }
 
-// observeTotal has the desk learn one total of a customer, at a part of its window, and returns its estimate.
+// observeTotal advances to a share of the customer's next counter window, in which the counter's total is the given
+// one. It returns the estimated demand as a multiple of what fits the quota.
 func (d *driver) observeTotal(customer uint64, windowShare, total float64) float64 {
 	c := d.g.ensureCustomer(customer, quotaPlan, 300, 0)
 	counter := &c.quotaCounter
@@ -33,9 +35,9 @@
 func TestOneEarlyTotalCountsLessThanWindow(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
 	lowDemand, _ := d.observeTotal(1, 0.9, 2), d.g
-	earlyDemand := d.observeTotal(2, 0.02, 2) // two units in a fiftieth of a window: by itself a demand of 12 times the quota
+	earlyDemand := d.observeTotal(2, 0.02, 2) // two units in a fiftieth of a window: taken alone, a demand of 12 times the quota
 	if earlyDemand > 4 {
-		t.Errorf("one early total makes a customer ask %.1f times what fits", earlyDemand)
+		t.Errorf("after one early total the demand is %.1f times what fits, want at most 4", earlyDemand)
 	}
 	for range 4 {
 		lowDemand = d.observeTotal(1, 0.9, 2)
@@ -45,30 +47,35 @@
 		highDemand = d.observeTotal(3, 0.9, 40)
 	}
 	if lowDemand > 0.6 || highDemand < 3 {
-		t.Errorf("a calm customer is taken to ask %.2f, a heavy one %.2f of what fits", lowDemand, highDemand)
+		t.Errorf("the low demand is %.2f times what fits, want at most 0.6; the high one %.2f, want at least 3",
+			lowDemand, highDemand)
 	}
 }
 
+// One answer of the counter at the start must not make all gateways query it at once.
 func TestFirstCounterAnswerRaisesQueryShareLittle(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
 	before := d.g.queryShare
 	d.g.counterSucceeded(ms)
 	if d.g.queryShare > before+2*queryShareGain {
-		t.Errorf("the part that asks went from %.2f to %.2f with one answer", before, d.g.queryShare)
+		t.Errorf("the query share rose from %.2f to %.2f with one answer", before, d.g.queryShare)
 	}
 }
 
+// A crowded counter is queried most for the plan where a wrong decision costs most. A counter that takes all calls
+// is queried for every plan.
 func TestCrowdedCounterIsQueriedForCostliestPlan(t *testing.T) {
 	s := largeFleetSettings()
 	s.Plans[inFlightPlan].OverQuotaCost, s.Plans[inFlightPlan].OverQuotaWorth = 0, 0.3
 	d := newDriver(t, s, "s1")
 	d.g.queryShare = 0.3
 	if costlyPlanShare, cheapPlanShare := d.g.planQueryShare(quotaPlan), d.g.planQueryShare(inFlightPlan); costlyPlanShare != 0.3 || cheapPlanShare >= 0.2 {
-		t.Errorf("asks for %.2f of the dear plan's requests, %.2f of the cheap one's", costlyPlanShare, cheapPlanShare)
+		t.Errorf("%.2f of the costly plan's requests query the counter, want 0.3; %.2f of the cheap one's, want less than 0.2",
+			costlyPlanShare, cheapPlanShare)
 	}
 	d.g.queryShare = 1
 	if cheap := d.g.planQueryShare(inFlightPlan); cheap != 1 {
-		t.Errorf("a counter with room is asked for %.2f", cheap)
+		t.Errorf("%.2f of the cheap plan's requests query a counter that takes all calls, want 1", cheap)
 	}
 }
 
@@ -83,7 +90,8 @@
 	}
 }
 
-// countSent sends requests that all end one way and returns how many of the last hundred were sent on.
+// countSent makes 400 requests arrive, whose attempts all end with an outcome and a latency. It returns how many of
+// the last hundred were sent.
 func (d *driver) countSent(outcome Outcome, took time.Duration) (sent int) {
 	for id := uint64(1); id <= 400; id++ {
 		d.advance(20 * ms)
@@ -108,13 +116,13 @@
 	}
 	d := newDriver(t, largeFleetSettings(), servers...)
 	if n := d.countSent(OK, 50*ms); n < 95 {
-		t.Fatalf("%d of 100 sent on while answers are prompt", n)
+		t.Fatalf("%d of 100 requests sent while answers are prompt", n)
 	}
 	if n := d.countSent(OK, 450*ms); n > 30 {
-		t.Errorf("%d of 100 sent on though all answers are late", n)
+		t.Errorf("%d of 100 requests sent although all answers are late", n)
 	}
 	if n := d.countSent(OK, 50*ms); n < 50 {
-		t.Errorf("%d of 100 sent on after answers were prompt again", n)
+		t.Errorf("%d of 100 requests sent after answers were prompt again", n)
 	}
 }
 
@@ -132,25 +140,26 @@
 		endAttempts(TimedOut, 1)
 	}
 	if d.g.admitShare < 0.9 {
-		t.Errorf("admits %.2f with a quarter of the answers lost", d.g.admitShare)
+		t.Errorf("the admit share is %.2f with a quarter of the answers lost", d.g.admitShare)
 	}
 	endAttempts(TimedOut, 40)
 	if d.g.admitShare > 0.3 {
-		t.Errorf("admits %.2f with no answer at all", d.g.admitShare)
+		t.Errorf("the admit share is %.2f with no answer at all", d.g.admitShare)
 	}
 }
 
+// An attempt has a time limit at the latency target, unless late answers still have worth.
 func TestAttemptEndsWhenItsAnswerIsWorthless(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
 	d.g.retryBudget = 0
 	d.arrive(1, 0, unlimitedPlan, 1)
 	if x := onlyAction[Send](d); x.Wait != 500*ms {
-		t.Errorf("waits %v for an answer that is worth nothing after 500 ms", x.Wait)
+		t.Errorf("the time limit is %v, but an answer has no worth after 500 ms", x.Wait)
 	}
 	d.advance(500 * ms)
 	d.handle(AttemptEnded{ID: 1, Server: "s1", Outcome: TimedOut, Took: 500 * ms})
 	if refusal := onlyAction[Refuse](d); refusal.RetryAfter != time.Second {
-		t.Errorf("given up on after its aim, told to come back after %v", refusal.RetryAfter)
+		t.Errorf("refused after its latency target with a retry-after of %v, want 1s", refusal.RetryAfter)
 	}
 	s := largeFleetSettings()
 	s.Classes[0].LateWorth = 0.2
@@ -158,7 +167,7 @@
 	d.g.retryBudget = 0
 	d.arrive(1, 0, unlimitedPlan, 1)
 	if x := onlyAction[Send](d); x.Wait != 0 {
-		t.Errorf("waits only %v though late answers are worth something", x.Wait)
+		t.Errorf("the time limit is %v although late answers have worth, want none", x.Wait)
 	}
 }
 
@@ -180,11 +189,13 @@
 	cancel := onlyAction[Cancel](d)
 	d.endAttempt(cancel.ID, cancel.Attempt, "s1", Cancelled)
 	if c := d.g.customers[5]; c.inFlight != 0 || c.inFlightCounted != 0 {
-		t.Errorf("still counts %d out and %v on the gauge", c.inFlight, c.inFlightCounted)
+		t.Errorf("still %d requests in flight, and %v on the in-flight counter", c.inFlight, c.inFlightCounted)
 	}
 	requireNone[Send](d)
 }
 
+// The demand that fits an in-flight cap follows from the mean time in flight. It must include requests that are
+// never answered.
 func TestMeanTimeInFlightIncludesTimeouts(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1", "s2", "s3", "s4")
 	d.g.retryBudget = 0
@@ -196,16 +207,18 @@
 			d.handle(AttemptEnded{ID: x.ID, Server: x.Server, Outcome: TimedOut, Took: 500 * ms})
 			d.takeActions()
 		}
-		d.advance(10 * time.Second) // ejections end
+		d.advance(10 * time.Second) // until ejections have ended
 	}
 	if d.g.meanTimeInFlight < 0.2 {
-		t.Errorf("a request is taken to be out for %.2f s, all were for 0.5", d.g.meanTimeInFlight)
+		t.Errorf("the mean time in flight is %.2f s, but all requests were in flight for 0.5 s", d.g.meanTimeInFlight)
 	}
 }
 
+// At a sparse gateway a call also counts for the requests that do not query, which may be more than the burst. The
+// request that queries must be decided by its own units only.
 func TestQueryingRequestIsDecidedByItsOwnUnits(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
-	d.g.queryShare = 0.05 // an asked request stands for ten that did not ask, more than the burst
+	d.g.queryShare = 0.05 // a request that queries also counts for ten that do not, more than the burst
 	for id := uint64(1); ; id++ {
 		d.handle(RequestArrived{ID: id, Class: 0, Plan: quotaPlan, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 300})
 		got := d.takeActions()
@@ -218,17 +231,18 @@
 			continue
 		}
 		if adds[0].Delta <= d.g.settings.Plans[quotaPlan].Burst {
-			t.Fatalf("adds only %v", adds[0].Delta)
+			t.Fatalf("the call adds only %v, want more than the burst", adds[0].Delta)
 		}
 		d.handle(CounterAnswered{Name: adds[0].Name, Total: adds[0].Delta, Took: ms})
 		onlyAction[Send](d)
 		if demand := d.g.demandRatio(d.g.customers[id]); demand > initialQuotaDemand {
-			t.Errorf("alone in its window, a request makes its customer ask %.2f of what fits", demand)
+			t.Errorf("after the only request in its window the demand is %.2f times what fits", demand)
 		}
 		return
 	}
 }
 
+// While the breaker is open, the last observed demand of a customer is not forgotten.
 func TestObservedDemandLastsThroughOutage(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
 	for range 4 {
@@ -237,16 +251,17 @@
 	d.g.isBreakerOpen = true
 	d.g.now += time.Minute
 	if demand := d.g.demandRatio(d.g.customers[3]); demand < 3 {
-		t.Errorf("after a minute without a counter a heavy customer is taken to ask %.2f of what fits", demand)
+		t.Errorf("after a minute without a counter the demand is %.2f times what fits, want at least 3", demand)
 	}
 }
 
+// Full parts of all gateways stay below the ceiling's burst and slack, as clocks differ and values are rounded.
 func TestCeilingKeepsAMargin(t *testing.T) {
 	s := testSettings()
 	s.MaxUnits = 1
 	p := s.Plans[ceilingPlan]
 	sum := 0.0
-	for range 7 { // doors of one customer, all asked for all they can give
+	for range 7 { // gateways of one customer that each use up their full part
 		d := newDriver(t, s, "s1")
 		c := d.g.ensureCustomer(5, ceilingPlan, 2, 0)
 		d.g.now += time.Hour
@@ -256,7 +271,7 @@
 		}
 	}
 	if limit := 7. / 2 * (p.CeilingBurst + p.CeilingSlack); sum > limit-0.1 {
-		t.Errorf("doors take %.1f, the rule is broken at %.1f", sum, limit)
+		t.Errorf("the gateways take %.1f units, the limit of the ceiling is %.1f", sum, limit)
 	}
 }
 
@@ -267,10 +282,10 @@
 		servers = append(servers, fmt.Sprintf("s%02d", i))
 	}
 	d := newDriver(t, s, servers...)
-	for id := uint64(1); id <= 200; id++ { // a flood at a cold start, nothing answered yet
+	for id := uint64(1); id <= 200; id++ { // an overload at the start, before any answer
 		d.arrive(id, 0, unlimitedPlan, 1)
 	}
 	if n := len(actionsOf[Send](d.actions)); float64(n*s.Gateways) > 1.4*minServerAttempts*float64(len(servers)) {
-		t.Errorf("%d gateways may have %d attempts each out at %d servers", s.Gateways, n, len(servers))
+		t.Errorf("%d gateways may have %d open attempts each at %d servers", s.Gateways, n, len(servers))
 	}
 }
--- a/admission/rendezvous/rendezvous_test.go
+++ b/admission/rendezvous/rendezvous_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// hostKeys returns the keys of n hosts.
 func hostKeys(n int) []uint64 {
 	keys := make([]uint64, n)
 	for i := range keys {
@@ -17,11 +18,12 @@
 	return keys
 }
 
-// Chance alone would give one host twice as many doors as another: the bound holds for every size.
+// Weights alone would give one host twice as many gateways as another. The bound on the subsets of a host holds for
+// every number of hosts and gateways.
 func TestNoHostIsInMoreSubsetsThanItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		hosts, gateways := rapid.IntRange(1, 80).Draw(t, "hosts"), rapid.IntRange(1, 90).Draw(t, "doors")
-		subsetSize := rapid.IntRange(1, hosts).Draw(t, "k")
+		hosts, gateways := rapid.IntRange(1, 80).Draw(t, "hosts"), rapid.IntRange(1, 90).Draw(t, "gateways")
+		subsetSize := rapid.IntRange(1, hosts).Draw(t, "subset size")
 		keys, subsets := hostKeys(hosts), make([]int, hosts)
 		for gateway := range gateways {
 			order := Order(keys, gateway, gateways, subsetSize)
@@ -34,12 +36,13 @@
 				subsets[at]++
 			}
 		}
-		// The last doors to choose may find the room left only at hosts they have already: then a host more is taken.
+		// The last gateways to choose may find too few hosts that are not full. The others follow by weight, so the
+		// bound may be exceeded by one.
 		require.LessOrEqual(t, slices.Max(subsets), MaxSubsets(hosts, gateways, subsetSize)+1)
 	})
 }
 
-// A door keeps most of its hosts, and so its connections, when one is replaced.
+// A gateway keeps most of its hosts, and so its connections, when one host is replaced.
 func TestReplacedHostMovesFewOthers(t *testing.T) {
 	before, after := hostKeys(60), hostKeys(61)[1:]
 	slices.Sort(before)
--- a/admission/settings_change_test.go
+++ b/admission/settings_change_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// changedSettings are settings with another change each, at the same places.
+// changedSettings returns testSettings with a change. Classes and plans keep their indices.
 func changedSettings(change func(*Settings)) Settings {
 	s := testSettings()
 	s.Classes, s.Plans = slices.Clone(s.Classes), slices.Clone(s.Plans)
@@ -14,7 +14,7 @@
 	return s
 }
 
-// A class becomes stricter while a request of it is out: that request may still be tried again, a new one not.
+// A class becomes unsafe while one of its requests is in flight: that request may still be repeated, a new one not.
 func TestRequestKeepsItsClassAfterSettingsChange(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1", "s2")
 	d.handle(RequestArrived{ID: 1, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Gateways: 1})
@@ -27,7 +27,7 @@
 		return n
 	}
 	if sent(1) != 1 {
-		t.Fatalf("not sent: %v", d.actions)
+		t.Fatalf("request 1 is not sent: %v", d.actions)
 	}
 	d.handle(SettingsChanged{changedSettings(func(s *Settings) { s.Classes[0].Effect = Unsafe })})
 	d.handle(RequestArrived{ID: 2, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Gateways: 1})
@@ -36,10 +36,11 @@
 		d.handle(AttemptEnded{ID: id, Server: r.attempts[0].server.Name, Outcome: Broken, Took: ms})
 	}
 	if sent(1) != 2 || sent(2) != 1 {
-		t.Errorf("the old one was sent %d times, the new one %d", sent(1), sent(2))
+		t.Errorf("the earlier request was sent %d times, want 2; the new one %d, want 1", sent(1), sent(2))
 	}
 }
 
+// A lower limit of attempts applies to requests that are already in flight.
 func TestLowerAttemptLimitAppliesAtOnce(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1", "s2")
 	d.handle(RequestArrived{ID: 1, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Gateways: 1})
@@ -48,15 +49,16 @@
 	d.handle(AttemptEnded{ID: 1, Server: d.g.requests[1].attempts[0].server.Name, Outcome: Broken, Took: ms})
 	for _, a := range d.actions {
 		if _, isSend := a.(Send); isSend {
-			t.Errorf("sent again beyond the attempts allowed now: %v", d.actions)
+			t.Errorf("sent again beyond the new limit of attempts: %v", d.actions)
 		}
 	}
 	if d.g.requests[1] != nil {
-		t.Error("the request has no end")
+		t.Error("the request is not finished")
 	}
 }
 
-// What is known of customers, servers and the counter goes on; a smaller store is cut, never filled up.
+// What is known of customers, servers and the counter is kept. Local tokens are cut to a smaller burst, never filled
+// up. Invalid settings are ignored.
 func TestStateSurvivesSettingsChange(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1")
 	c := d.g.ensureCustomer(7, quotaPlan, 2, 0)
@@ -67,28 +69,28 @@
 		s.Plans[quotaPlan].WorthFactor = 9
 	})})
 	if got := d.g.ensureCustomer(7, quotaPlan, 2, 0); got != c || c.quotaTokens != 5 || c.quotaCounter.lastTotal != 3 || c.plan.WorthFactor != 9 {
-		t.Errorf("the customer has %+v", got)
+		t.Errorf("the customer has changed: %+v", got)
 	}
 	if d.g.servers["s1"].relativeLatency != 3 || d.g.classLatency[0].Latency != 0.2 || len(d.g.classLatency) != 5 || len(d.g.admitExponents) != 5 {
-		t.Error("what is known of servers and classes is lost")
+		t.Error("what is known of servers or classes is lost")
 	}
 	d.handle(SettingsChanged{changedSettings(func(s *Settings) {
 		s.Classes = append(s.Classes, Class{Name: "new", IsRemoved: true})
 		s.Plans[quotaPlan].Burst = 2
 	})})
 	if c.quotaTokens != 2 || c.quotaCounter.length != time.Second || c.quotaCounter.lastTotal != 0 {
-		t.Errorf("store %v, window %v, seen %v", c.quotaTokens, c.quotaCounter.length, c.quotaCounter.lastTotal)
+		t.Errorf("%v local tokens, want 2; windows of %v, want 1s; last total %v, want 0", c.quotaTokens, c.quotaCounter.length, c.quotaCounter.lastTotal)
 	}
 	before := d.g.settings.MaxAttempts
 	d.handle(SettingsChanged{changedSettings(func(s *Settings) { s.MaxAttempts, s.Gateways = 1, 0 })})
 	if d.g.settings.MaxAttempts != before {
-		t.Error("settings that can't be worked with are taken")
+		t.Error("invalid settings are applied")
 	}
 }
 
-// Settings that follow each other quickly change the length of the counter's windows each time. A total of a window that
-// has just begun shows little, and must not let in anew what a ceiling's windows may show: until those of the former
-// length are over it shows nothing.
+// Settings that change often may change the length of the counter's windows each time. The total of a new window
+// starts at 0, so totals would admit the ceiling's share of a window once for each change. They must admit nothing
+// until the windows of the former length are over.
 func TestTotalsAdmitNothingWhileWindowLengthsChange(t *testing.T) {
 	s := changedSettings(func(s *Settings) {
 		s.Gateways, s.MaxUnits = 40, 1
@@ -100,8 +102,8 @@
 		d.advance(ms)
 		d.handle(RequestArrived{ID: id, Class: 0, Plan: totalsPlan, ExpiresIn: time.Second, Units: 1, Customer: 9, Gateways: 40})
 		for _, a := range d.takeActions() {
-			if k, ok := a.(CounterAdd); ok {
-				d.handle(CounterAnswered{Name: k.Name, Total: k.Delta, Took: ms, Outcome: OK})
+			if add, ok := a.(CounterAdd); ok {
+				d.handle(CounterAnswered{Name: add.Name, Total: add.Delta, Took: ms, Outcome: OK})
 			}
 		}
 		for _, a := range d.takeActions() {
@@ -113,7 +115,7 @@
 		}
 		return false
 	}
-	// some tells whether any of many requests was let in: which of them ask the counter is a matter of chance.
+	// Only a random sample of the requests queries the counter, so many are tried.
 	lastID := uint64(1)
 	isAnyAdmitted := func() bool {
 		for range 60 {
@@ -124,7 +126,7 @@
 		return false
 	}
 	if !isAnyAdmitted() {
-		t.Fatal("a total that shows room lets nobody in")
+		t.Fatal("no request is admitted by a total under the ceiling")
 	}
 	for i := range 4 {
 		s.Plans = slices.Clone(s.Plans)
@@ -132,16 +134,17 @@
 		d.handle(SettingsChanged{s})
 		d.takeActions()
 		if isAnyAdmitted() {
-			t.Fatalf("let in after %d changes, within the former window", i+1)
+			t.Fatalf("a request is admitted after %d changes, within the former window", i+1)
 		}
 	}
 	d.advance(s.Plans[totalsPlan].windowLength())
 	if !isAnyAdmitted() {
-		t.Error("nobody is let in once the windows are of one length")
+		t.Error("no request is admitted after the former windows are over")
 	}
 }
 
-// A server that restarts after its clock was set back says an earlier start than before; it is cold all the same.
+// A server that restarts after its clock was set back reports an earlier start than before. It is cold all the same.
+// A start of 0 means long ago, and is no restart.
 func TestServerRestartWithEarlierBootTime(t *testing.T) {
 	d := newDriver(t, testSettings())
 	announceBoot := func(boot time.Duration) {
@@ -149,15 +152,15 @@
 	}
 	announceBoot(d.now - time.Minute)
 	if share := d.g.capacityShare(d.g.servers["s1"]); share != 1 {
-		t.Fatalf("warmth %v a minute after its start", share)
+		t.Fatalf("capacity share %v a minute after the start, want 1", share)
 	}
 	d.g.servers["s1"].failures = 3
 	announceBoot(d.now - 2*time.Minute)
 	if s := d.g.servers["s1"]; s.failures != 0 || s.startedAt != d.now-2*time.Minute {
-		t.Errorf("not taken for a restart: %+v", s)
+		t.Errorf("an earlier start is not taken for a restart: %+v", s)
 	}
 	announceBoot(0)
 	if s := d.g.servers["s1"]; s.startedAt != d.now-2*time.Minute {
-		t.Error("that its start is long ago is no restart")
+		t.Error("a start of 0 is taken for a restart")
 	}
 }
--- a/admission/cold_test.go
+++ b/admission/slow_start_test.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// A coldServer has just started; it notes every attempt that is sent to it.
+// coldServer records the attempts that are sent to a server after its restart.
 type coldServer struct {
 	startedAt time.Duration
-	sentAt    []time.Duration
+	sentAt    []time.Duration // in order
 }
 
-// maxExcess tells by how many attempts the most crowded window of the settings' length was maxExcess what a cold server bears:
-// N + 2 x root of N + 2, N being what the settings allow it in that window, which is their multiple of what it can do.
+// maxExcess returns the largest excess of attempts over what the server survives, in any window of
+// ColdOverloadTime during its warm-up. It survives N + 2 sqrt(N) + 2 attempts, where N is ColdOverloadFactor times
+// what it can answer in that window. The capacity of the warm server is in requests a second.
 func (c *coldServer) maxExcess(s Settings, capacity float64) float64 {
 	maxOver, first := math.Inf(-1), 0
 	for last, at := range c.sentAt {
 		for c.sentAt[first] <= at-s.ColdOverloadTime {
 			first++
 		}
-		middle := c.sentAt[first] + s.ColdOverloadTime/2 - c.startedAt // the capacity comes up evenly
+		middle := c.sentAt[first] + s.ColdOverloadTime/2 - c.startedAt // the capacity rises evenly, so this is its mean
 		if middle >= s.WarmUpTime {
 			break
 		}
@@ -33,9 +34,9 @@
 	return maxOver
 }
 
-// Twenty to thirty gateways together, each seeing a part of the traffic, of which some see several times the mean. New
-// servers join and others come back cold, one after the other and many at once, under a burst, while some fail what they
-// get so that it is tried again elsewhere. No cold server gets more than it bears, and each gets something.
+// Servers restart cold, one after the other and several at once, before a burst of requests, while two others fail
+// all they get and cause retries. Each of 20 to 30 gateways sees a part of the traffic, some of them four times
+// that of the others. Together they must not overload a cold server, and each cold server must get requests.
 func TestColdServersSurviveLoadOfManyGateways(t *testing.T) {
 	for _, gateways := range []int{20, 25, 30} {
 		for _, coldHosts := range []int{1, 4, 7} {
@@ -52,14 +53,15 @@
 	}
 }
 
+// testColdServers restarts coldHosts of 12 servers under load and checks what they are sent.
 func testColdServers(t *testing.T, gateways, coldHosts, slots int, seed uint64) {
 	const servers = 12
 	class := Class{LatencyTarget: 500 * ms, Deadline: time.Second, Worth: 1, Effect: Safe}
-	capacity := float64(slots) / (class.LatencyTarget / 8).Seconds() // see town.send
+	capacity := float64(slots) / (class.LatencyTarget / 8).Seconds() // see simulation.startAttempt
 	sim := newSimulation(t, []Class{class}, gateways, servers, slots)
 	sim.busyGateways, sim.rng = gateways/6, rand.New(rand.NewPCG(seed, 2))
 	for index, d := range sim.gateways {
-		*d.g.source = *rand.NewPCG(seed<<8+uint64(index), 0) // as in a fleet, each draws for itself
+		*d.g.source = *rand.NewPCG(seed<<8+uint64(index), 0) // each gateway has random draws of its own
 		d.g.settings.WarmUpTime, d.g.settings.InitialCapacity = 16*time.Second, 0.15
 		d.g.settings.ColdOverloadFactor, d.g.settings.ColdOverloadTime = 2, 3*time.Second
 	}
@@ -73,23 +75,23 @@
 	}
 	names := sim.hostNames()
 	for i, name := range names[:coldHosts] {
-		if i%3 != 2 { // else at the same instant as the one before
+		if i%3 != 2 { // otherwise it restarts together with the one before
 			sim.generateLoad(400*ms, rate, shares)
 		}
 		coldServers[name] = &coldServer{startedAt: sim.now}
 		sim.restartHost(name, s)
 	}
-	for _, name := range names[servers-2:] { // fail at once what they get
+	for _, name := range names[servers-2:] { // these fail every request at once
 		sim.hosts[name].respond = func(time.Duration) (Outcome, time.Duration) { return Errored, 5 * ms }
 	}
 	sim.generateLoad(6*time.Second, 1.5*rate, shares)
 	sim.generateLoad(8*time.Second, rate, shares)
 	for name, c := range coldServers {
 		if excess := c.maxExcess(s, capacity); excess > 0 {
-			t.Errorf("%s got %.1f attempts more than it bears in %v", name, excess, s.ColdOverloadTime)
+			t.Errorf("%s got %.1f attempts more than it survives in %v", name, excess, s.ColdOverloadTime)
 		}
 		if minSent := 0.1 * capacity * 14; float64(len(c.sentAt)) < minSent {
-			t.Errorf("%s got %d attempts in all, want %.0f", name, len(c.sentAt), minSent)
+			t.Errorf("%s got %d attempts in all, want at least %.0f", name, len(c.sentAt), minSent)
 		}
 	}
 }
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// handoverSettings are settings in which every part of the module has something to do.
+// handoverSettings returns settings with classes of every effect, quotas, a ceiling and an in-flight cap, so that a
+// handover covers all state.
 func handoverSettings() Settings {
 	return Settings{Gateways: 3, Index: 1, Zone: "a", Tick: ms, HasCounter: true, CounterTimeout: 30 * ms, MaxUnits: 1,
 		MaxAttempts: 3, MaxRetryAfter: time.Second, CanSendRetryAfter: true, CanCancel: true, WarmUpTime: 5 * time.Second, InitialCapacity: 0.2,
@@ -23,17 +24,19 @@
 			{Name: "open", MaxInFlight: 2, WorthFactor: 1}}}
 }
 
-// process drives a gateway: it knows what is out and so what may happen next.
+// process is the host process of a gateway. It tracks open attempts, counter calls and timers, so that it draws only
+// events that the host contract allows.
 type process struct {
 	g             *Gateway
 	now           time.Duration
-	lastID        uint64
-	openAttempts  []AttemptEnded
-	openCalls     []string
-	timers        []SetTimer
-	attemptCounts map[uint64]int
+	lastID        uint64         // id of the last request
+	openAttempts  []AttemptEnded // the event of each open attempt, without its outcome
+	openCalls     []string       // counter names of the calls without an answer
+	timers        []SetTimer     // not fired yet, in the order they were set
+	attemptCounts map[uint64]int // by request id
 }
 
+// record tracks what the actions start and returns a copy of them.
 func (p *process) record(actions []Action) []Action {
 	recorded := slices.Clone(actions)
 	for _, a := range recorded {
@@ -50,10 +53,11 @@
 	return recorded
 }
 
-// drawEvent makes up the next event.
+// drawEvent advances the clock by up to 100 ms and returns a random event: a counter answer, the end of an attempt, a
+// timer, a client that leaves, a change of the server list or a new request.
 func (p *process) drawEvent(t *rapid.T) Event {
 	p.now += time.Duration(rapid.IntRange(0, 400_000).Draw(t, "us")) * time.Microsecond / 4
-	kind := rapid.IntRange(0, 9).Draw(t, "what")
+	kind := rapid.IntRange(0, 9).Draw(t, "kind")
 	switch {
 	case kind < 2 && len(p.openCalls) > 0:
 		i := rapid.IntRange(0, len(p.openCalls)-1).Draw(t, "add")
@@ -86,6 +90,7 @@
 		Customer: rapid.Uint64Range(1, 3).Draw(t, "customer")*10 + uint64(plan+1), ExpiresIn: time.Second, Units: 1, Gateways: 2}
 }
 
+// newProcess returns a process whose gateway has a list of four servers in two cells.
 func newProcess(t require.TestingT) *process {
 	g, err := New(handoverSettings(), 7)
 	require.NoError(t, err)
@@ -98,6 +103,8 @@
 	return p
 }
 
+// restoredCopy returns a new gateway with the state and the customers of g. The random source is part of the state,
+// so the seed must not matter.
 func restoredCopy(t require.TestingT, g *Gateway, seed uint64) *Gateway {
 	state, err := g.State()
 	require.NoError(t, err)
@@ -137,8 +144,8 @@
 	})
 }
 
-// Customers that are copied ahead need to be copied again only if something of them was open then, or they have
-// asked since.
+// A customer that is copied ahead of a handover needs another copy only if it was active at that time, or has sent a
+// request since.
 func TestInactiveCustomerChangesOnlyByRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newProcess(t)
@@ -167,8 +174,8 @@
 	})
 }
 
-// However a hand-over falls, and whatever becomes of what was open, both sides together send a dealer with a
-// ceiling no more than one process might.
+// Whenever a handover happens, and however the open requests end, predecessor and successor together send no more
+// requests of a customer with a ceiling than one process may.
 func TestSuccessorAndPredecessorKeepCeilingTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newProcess(t)
@@ -184,7 +191,7 @@
 					sent++
 				}
 			}
-			limit := plan.CeilingRate / 2 * (p.now - start).Seconds() // a part begins empty
+			limit := plan.CeilingRate / 2 * (p.now - start).Seconds() // the part starts empty
 			require.LessOrEqual(t, sent, limit+1e-6)
 			return p.record(actions)
 		}
@@ -202,7 +209,7 @@
 			p.record(p.g.Adopt(p.now))
 			predecessor.Retire()
 			lastPredecessorID := p.lastID
-			// What was open over there is decided over there, while new requests come in here.
+			// The predecessor decides its open requests while new ones arrive at the successor.
 			for _, name := range p.openCalls {
 				p.now += time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * ms
 				for _, a := range recordAndCheck(predecessor.Handle(p.now, CounterAnswered{Name: name, Total: 1, Took: ms})) {
@@ -244,7 +251,7 @@
 	require.Zero(t, successor.PredecessorRequests())
 }
 
-// A reclaimed gateway does not know what its successor has sent: it must not send that again.
+// A reclaimed gateway does not know what its successor has sent, so its parts of ceilings start empty.
 func TestReclaimedGatewayStartsWithEmptyCeilings(t *testing.T) {
 	p := newProcess(t)
 	arrive := func(id uint64) []Action {
@@ -257,10 +264,11 @@
 	require.IsType(t, Refuse{}, arrive(3)[0])
 }
 
-// A repeat of an order whose first sending may have run goes to that cell, or nowhere.
+// A keyed request whose key may have run before goes to the cell where it may have run, and to no other. After the
+// repeat window it fails.
 func TestKeyThatMayHaveRunIsSentOnlyToItsCell(t *testing.T) {
 	p := newProcess(t)
-	for id := range uint64(4) { // as many as the cell's two servers are let hold
+	for id := range uint64(4) { // as many as the cell's two servers may hold
 		got := p.record(p.g.Handle(p.now, RequestArrived{ID: id + 1, Class: 1, Plan: -1, ExpiresIn: time.Second, Units: 1,
 			PriorAttempt: &PriorAttempt{Server: "gone", Zone: "a", Cell: 1, SentAt: p.now - 500*ms}}))
 		require.IsType(t, Send{}, got[0])
@@ -269,5 +277,5 @@
 	p.now += time.Second
 	got := p.record(p.g.Handle(p.now, RequestArrived{ID: 90, Class: 1, Plan: -1, ExpiresIn: time.Second, Units: 1,
 		PriorAttempt: &PriorAttempt{Server: "s2", Zone: "a", Cell: 1, SentAt: p.now - time.Second}}))
-	require.IsType(t, Fail{}, got[0], "the window is over")
+	require.IsType(t, Fail{}, got[0], "the repeat window is over")
 }
--- a/admission/starve_test.go
+++ b/admission/starve_test.go
@@ -10,34 +10,38 @@
 	"ferryfront.example/ferryfront/admission/estimate"
 )
 
-// A simulation is a fleet of gateways before hosts that work on a few requests at a time, the others waiting in line, with
-// all that the gateways ask for carried out: timers, time limits, cancels. Each attempt ends once.
+// simulation runs a fleet of gateways and its hosts in virtual time. It carries out the actions of the gateways:
+// sends, time limits, cancels and timers. A host serves a few requests at a time, and the others wait in its queue.
+// Each attempt ends once. Requests have no quota.
 type simulation struct {
 	gateways       []*driver
-	hosts          map[string]*simulatedHost
+	hosts          map[string]*simulatedHost // by name
 	now            time.Duration
 	events         eventQueue
-	sequence       int
+	sequence       int // last number given to an event or a request
 	rng            *rand.Rand
-	answeredInTime []int // by class, answered before the aim, of those that came after from
-	arrived        []int
-	countedFrom    time.Duration
-	serverList     ServerList
-	onSend         func(server string) // told of each attempt, if a test wants that
-	busyGateways   int                 // so many gateways see four times what each other does
+	answeredInTime []int               // by class: requests answered within the latency target, of those counted in arrived
+	arrived        []int               // by class: requests that arrived from countedFrom on
+	countedFrom    time.Duration       // requests that arrive earlier are not counted
+	serverList     ServerList          // the list that all gateways have
+	onSend         func(server string) // called for each attempt; nil: not called
+	busyGateways   int                 // number of gateways that get four times the requests of each other one
 }
 
+// simulatedHost serves as many requests at a time as it has slots.
 type simulatedHost struct {
-	freeAt  []time.Duration // when each of its slots is
-	respond func(took time.Duration) (Outcome, time.Duration)
+	freeAt  []time.Duration                                   // when each slot is free
+	respond func(took time.Duration) (Outcome, time.Duration) // changes an answer after the service time took; nil: no change
 }
 
+// scheduledEvent is a function that is called at a time of the simulation.
 type scheduledEvent struct {
 	at       time.Duration
-	sequence int
+	sequence int // orders events of the same time
 	run      func()
 }
 
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -52,6 +56,8 @@
 	return last
 }
 
+// newSimulation returns gateways and warm hosts in three cells of one zone. It starts at one hour, and counts
+// requests from two hours on unless a test sets countedFrom.
 func newSimulation(t *testing.T, classes []Class, gatewayCount, hostCount, slots int) *simulation {
 	sim := &simulation{hosts: map[string]*simulatedHost{}, now: time.Hour, rng: rand.New(rand.NewPCG(1, 2)),
 		answeredInTime: make([]int, len(classes)), arrived: make([]int, len(classes)), countedFrom: 2 * time.Hour}
@@ -72,7 +78,7 @@
 	return sim
 }
 
-// hostNames are those of all hosts, in the order of the list.
+// hostNames returns the names of all hosts, in the order of the list.
 func (sim *simulation) hostNames() (names []string) {
 	for _, e := range sim.serverList.Servers {
 		names = append(names, e.Name)
@@ -80,7 +86,8 @@
 	return names
 }
 
-// restartHost has a host begin anew, cold: it is as slow as the settings say that it may be, and every gateway is told.
+// restartHost restarts a host now and sends the new list to every gateway. While the host warms up, it is as slow
+// as the settings allow.
 func (sim *simulation) restartHost(name string, s Settings) {
 	boot := sim.now
 	for i, e := range sim.serverList.Servers {
@@ -98,11 +105,13 @@
 	}
 }
 
+// schedule plans a call of run.
 func (sim *simulation) schedule(at time.Duration, run func()) {
 	sim.sequence++
 	heap.Push(&sim.events, scheduledEvent{at, sim.sequence, run})
 }
 
+// runUntil runs the events before a time, in order, and advances the clock to it.
 func (sim *simulation) runUntil(end time.Duration) {
 	for len(sim.events) > 0 && sim.events[0].at < end {
 		next := heap.Pop(&sim.events).(scheduledEvent)
@@ -112,7 +121,7 @@
 	sim.now = end
 }
 
-// handle gives a door an event and carries out what it says.
+// handle passes an event to a gateway and carries out its actions.
 func (sim *simulation) handle(gateway int, ev Event) {
 	d := sim.gateways[gateway]
 	for _, a := range append([]Action(nil), d.g.Handle(sim.now, ev)...) {
@@ -127,20 +136,22 @@
 	}
 }
 
+// startAttempt sends a request to a host. The mean service time is an eighth of the latency target. The attempt
+// ends with the host's answer, or at its time limit or the request's deadline if that is earlier.
 func (sim *simulation) startAttempt(gateway int, send Send) {
 	if sim.onSend != nil {
 		sim.onSend(send.Server)
 	}
 	r := sim.gateways[gateway].g.requests[send.ID]
 	attempt, class, sentAt := len(r.attempts)-1, r.classIndex, sim.now
-	host, meanLatency := sim.hosts[send.Server], r.class.LatencyTarget/8
+	host, meanServiceTime := sim.hosts[send.Server], r.class.LatencyTarget/8
 	slot := 0
 	for i, free := range host.freeAt {
 		if free < host.freeAt[slot] {
 			slot = i
 		}
 	}
-	outcome, took := OK, time.Duration(float64(meanLatency)*(0.5+sim.rng.Float64()))
+	outcome, took := OK, time.Duration(float64(meanServiceTime)*(0.5+sim.rng.Float64()))
 	if host.respond != nil {
 		outcome, took = host.respond(took)
 	}
@@ -162,16 +173,18 @@
 	sim.schedule(limit, func() { sim.endAttempt(gateway, send.ID, attempt, TimedOut) })
 }
 
+// endAttempt reports the end of an attempt to its gateway, unless it has ended before.
 func (sim *simulation) endAttempt(gateway int, id uint64, attempt int, outcome Outcome) {
 	r := sim.gateways[gateway].g.requests[id]
 	if r == nil || !r.attempts[attempt].isLive {
 		return
 	}
-	sim.handle(gateway, AttemptEnded{ID: id, Attempt: attempt, Server: r.attempts[attempt].server.Name, Outcome: outcome, Took: sim.now - r.attempts[attempt].sentAt,
-		Done: outcome == OK || r.isDone})
+	sim.handle(gateway, AttemptEnded{ID: id, Attempt: attempt, Server: r.attempts[attempt].server.Name,
+		Outcome: outcome, Took: sim.now - r.attempts[attempt].sentAt, Done: outcome == OK || r.isDone})
 }
 
-// generateLoad lets requests come for a while, so many a second in all, of classes by their shares.
+// generateLoad makes requests arrive for some time, with exponential intervals: rate is their mean number a
+// second over all gateways, shares are the shares of the classes.
 func (sim *simulation) generateLoad(duration time.Duration, rate float64, shares []float64) {
 	for end := sim.now + duration; sim.now < end; {
 		sim.runUntil(sim.now + time.Duration(sim.rng.ExpFloat64()/rate*float64(time.Second)))
@@ -188,12 +201,13 @@
 		if gateway >= len(sim.gateways) {
 			gateway = (gateway - len(sim.gateways)) % sim.busyGateways
 		}
-		sim.handle(gateway, RequestArrived{ID: uint64(sim.sequence), Class: class, Plan: unlimitedPlan, Customer: uint64(sim.sequence), Units: 1, Gateways: 1,
-			FirstGateway: gateway, ExpiresIn: sim.gateways[0].g.settings.Classes[class].Deadline})
+		sim.handle(gateway, RequestArrived{ID: uint64(sim.sequence), Class: class, Plan: unlimitedPlan,
+			Customer: uint64(sim.sequence), Units: 1, Gateways: 1, FirstGateway: gateway,
+			ExpiresIn: sim.gateways[0].g.settings.Classes[class].Deadline})
 	}
 }
 
-// classMixes of deployments: their classes, and the shares of these.
+// classMixes returns the request classes of several deployments, and the share of each class.
 func classMixes() map[string]struct {
 	classes []Class
 	shares  []float64
@@ -210,20 +224,20 @@
 		shares  []float64
 	}
 	return map[string]classMix{
-		"one unsafe":            {[]Class{class(1, time.Second, Unsafe)}, []float64{1}},
-		"one hasty":             {[]Class{class(1, 250*ms, Safe)}, []float64{1}},
-		"one keyed":             {[]Class{class(1, 500*ms, Keyed)}, []float64{1}},
-		"nearly all unsafe":     {[]Class{class(2, 800*ms, Unsafe), class(1, 300*ms, Safe)}, []float64{0.95, 0.05}},
-		"unsafe beside keyed":   {[]Class{class(1, time.Second, Unsafe), class(3, 400*ms, Keyed)}, []float64{0.5, 0.5}},
-		"a rare one of worth":   {[]Class{class(1, 700*ms, Safe), class(12, 300*ms, Unsafe)}, []float64{0.93, 0.07}},
-		"hasty beside patient":  {[]Class{class(3, 200*ms, Safe), class(1, 5*time.Second, Unsafe)}, []float64{0.6, 0.4}},
-		"patient of most worth": {[]Class{class(4, 3*time.Second, Keyed), class(1, 250*ms, Unsafe)}, []float64{0.4, 0.6}},
-		"four":                  {[]Class{class(2, 350*ms, Unsafe), class(1, 250*ms, Safe), class(12, 500*ms, Keyed), class(0.5, 200*ms, Safe)}, []float64{0.23, 0.6, 0.07, 0.1}},
+		"one unsafe":               {[]Class{class(1, time.Second, Unsafe)}, []float64{1}},
+		"one urgent":               {[]Class{class(1, 250*ms, Safe)}, []float64{1}},
+		"one keyed":                {[]Class{class(1, 500*ms, Keyed)}, []float64{1}},
+		"nearly all unsafe":        {[]Class{class(2, 800*ms, Unsafe), class(1, 300*ms, Safe)}, []float64{0.95, 0.05}},
+		"unsafe and keyed":         {[]Class{class(1, time.Second, Unsafe), class(3, 400*ms, Keyed)}, []float64{0.5, 0.5}},
+		"a rare one of high worth": {[]Class{class(1, 700*ms, Safe), class(12, 300*ms, Unsafe)}, []float64{0.93, 0.07}},
+		"urgent and patient":       {[]Class{class(3, 200*ms, Safe), class(1, 5*time.Second, Unsafe)}, []float64{0.6, 0.4}},
+		"patient of highest worth": {[]Class{class(4, 3*time.Second, Keyed), class(1, 250*ms, Unsafe)}, []float64{0.4, 0.6}},
+		"four":                     {[]Class{class(2, 350*ms, Unsafe), class(1, 250*ms, Safe), class(12, 500*ms, Keyed), class(0.5, 200*ms, Safe)}, []float64{0.23, 0.6, 0.07, 0.1}},
 	}
 }
 
-// Whatever befell the hosts, some time after it is over each class is served again, whichever classes there are beside
-// it: nothing that was learnt meanwhile may keep out what alone could tell that it is over.
+// Ten seconds after any fault of all hosts, each class is served again, whatever other classes there are. The
+// failure: what was learned during the fault keeps out the very requests that could show that it is over.
 func TestEveryClassRecoversAfterServerFault(t *testing.T) {
 	faults := map[string]func(time.Duration) (Outcome, time.Duration){
 		"errors":  func(time.Duration) (Outcome, time.Duration) { return Errored, 5 * ms },
@@ -238,11 +252,11 @@
 	for name, mix := range classMixes() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			meanLatency := 0.0
+			meanServiceTime := 0.0
 			for i, class := range mix.classes {
-				meanLatency += mix.shares[i] * class.LatencyTarget.Seconds() / 8
+				meanServiceTime += mix.shares[i] * class.LatencyTarget.Seconds() / 8
 			}
-			rate := 0.4 * hosts * slots / meanLatency
+			rate := 0.4 * hosts * slots / meanServiceTime
 			for fault, respond := range faults {
 				for _, gateways := range []int{2, 20} {
 					sim := newSimulation(t, mix.classes, gateways, hosts, slots)
@@ -260,7 +274,8 @@
 					sim.runUntil(sim.now + 10*time.Second)
 					for classIndex := range mix.classes {
 						if share := float64(sim.answeredInTime[classIndex]) / float64(sim.arrived[classIndex]); share < 0.25 {
-							t.Errorf("%s, %d gateways: class %d has %d of %d served", fault, gateways, classIndex, sim.answeredInTime[classIndex], sim.arrived[classIndex])
+							t.Errorf("%s, %d gateways: class %d: %d of %d requests are answered in time, want a quarter",
+								fault, gateways, classIndex, sim.answeredInTime[classIndex], sim.arrived[classIndex])
 						}
 					}
 				}
