--- a/admission/attempts_test.go
+++ b/admission/attempts_test.go
@@ -66,14 +66,14 @@
 	send := onlyAction[Send](d)
 	d.handle(ClientLeft{ID: 1})
 	d.endAttempt(1, 0, send.Server, Unreachable) // the late end of an attempt of a finished request
-	if len(d.g.requests) != 0 {
+	if len(d.gateway.requests) != 0 {
 		t.Fatal("the request is kept after its last attempt")
 	}
 	d.handle(ClientLeft{ID: 1})
 	requireNone[Send](d)
 	requireNone[Refuse](d)
 	requireNone[Fail](d)
-	if len(d.g.requests) != 0 {
+	if len(d.gateway.requests) != 0 {
 		t.Fatal("the finished request is back")
 	}
 
@@ -96,13 +96,13 @@
 		settings.AnswerSlack = 4 * ms
 		d := newDriver(t, settings) // no servers, and the counter does not answer
 		d.handle(RequestArrived{ID: 1, Class: 0, Plan: quotaPlan, Customer: 5, ExpiresIn: timeLeft, Units: 1, Gateways: 2})
-		due := d.now + timeLeft + d.g.settings.AnswerSlack
+		due := d.now + timeLeft + d.gateway.settings.AnswerSlack
 		for n := 0; len(actionsOf[Refuse](d.actions)) == 0; n++ {
 			timers := actionsOf[SetTimer](d.takeActions())
 			if len(timers) == 0 || n > 10 {
 				t.Fatalf("%v left: no answer and no timer", timeLeft)
 			}
-			d.now = max(d.now+d.g.settings.Tick, timers[0].At)
+			d.now = max(d.now+d.gateway.settings.Tick, timers[0].At)
 			if d.now > due {
 				t.Fatalf("%v left: answered too late", timeLeft)
 			}
--- a/admission/class_recovery_test.go
+++ b/admission/class_recovery_test.go
@@ -30,12 +30,15 @@
 		"a rare one of high worth": {[]Class{class(1, 700*ms, Safe), class(12, 300*ms, Unsafe)}, []float64{0.93, 0.07}},
 		"urgent and patient":       {[]Class{class(3, 200*ms, Safe), class(1, 5*time.Second, Unsafe)}, []float64{0.6, 0.4}},
 		"patient of highest worth": {[]Class{class(4, 3*time.Second, Keyed), class(1, 250*ms, Unsafe)}, []float64{0.4, 0.6}},
-		"four":                     {[]Class{class(2, 350*ms, Unsafe), class(1, 250*ms, Safe), class(12, 500*ms, Keyed), class(0.5, 200*ms, Safe)}, []float64{0.23, 0.6, 0.07, 0.1}},
+		"four": {
+			[]Class{class(2, 350*ms, Unsafe), class(1, 250*ms, Safe), class(12, 500*ms, Keyed), class(0.5, 200*ms, Safe)},
+			[]float64{0.23, 0.6, 0.07, 0.1},
+		},
 	}
 }
 
-// Ten seconds after any fault of all hosts, each class is served again, whatever other classes there are. The
-// failure: what was learned during the fault keeps out the very requests that could show that it is over.
+// Ten seconds after any fault of all hosts, each class is served again, whatever other classes there are. What was
+// learned during the fault must not keep out the only requests that could show that it is over.
 func TestEveryClassRecoversAfterServerFault(t *testing.T) {
 	faults := map[string]func(time.Duration) (Outcome, time.Duration){
 		"errors":  func(time.Duration) (Outcome, time.Duration) { return Errored, 5 * ms },
--- a/admission/class_worth_test.go
+++ b/admission/class_worth_test.go
@@ -42,9 +42,9 @@
 
 // answerAll answers all open attempts, and those that are started when a server becomes free.
 func (d *driver) answerAll() {
-	for d.g.liveAttempts > 0 {
-		for _, id := range slices.Sorted(maps.Keys(d.g.requests)) {
-			if r := d.g.requests[id]; r != nil && r.liveAttempts > 0 {
+	for d.gateway.liveAttempts > 0 {
+		for _, id := range slices.Sorted(maps.Keys(d.gateway.requests)) {
+			if r := d.gateway.requests[id]; r != nil && r.liveAttempts > 0 {
 				d.advance(5 * ms)
 				d.handle(AttemptEnded{ID: id, Attempt: len(r.attempts) - 1, Outcome: OK, Took: 100 * ms, Done: true})
 			}
@@ -61,13 +61,13 @@
 		t.Run(name, func(t *testing.T) {
 			d := newClassDriver(t, classes)
 			require.Equal(t, 6, d.fillServers(1, 0), "three at each server: no class of higher worth lacks a server")
-			require.Zero(t, d.g.topClassShortage.Value, "requests of lower worth do not count as a shortage")
+			require.Zero(t, d.gateway.topClassShortage.Value, "requests of lower worth do not count as a shortage")
 			require.Zero(t, d.fillServers(100, 1))
 			d.answerAll()
 			admitted := d.fillServers(200, 0)
 			require.GreaterOrEqual(t, admitted, 2, "one at each server")
 			require.Less(t, admitted, 6)
-			require.Empty(t, d.g.held, "no request is held for capacity that it may not use")
+			require.Empty(t, d.gateway.held, "no request is held for capacity that it may not use")
 			require.Equal(t, 6-admitted, d.fillServers(300, 1), "the remaining capacity is for the higher worth")
 			d.answerAll()
 			for id := range uint64(400) {
@@ -98,11 +98,11 @@
 			}
 			slowLatency := classes[0].LatencyTarget * 4 / 10 // far above its limit at a server with open attempts
 			for id := range uint64(20) {
-				d.g.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
+				d.gateway.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
 				require.True(t, requestAndAnswer(id+1, slowLatency))
 			}
 			for id := range uint64(400) {
-				d.g.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
+				d.gateway.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
 				require.True(t, requestAndAnswer(id+100, 50*ms))
 			}
 			require.GreaterOrEqual(t, d.fillServers(1000, 0), 2)
@@ -114,19 +114,23 @@
 // elsewhere: waits vary.
 func TestExpectedWaitNeedsMargin(t *testing.T) {
 	d := newClassDriver(t, []Class{{LatencyTarget: 450 * ms, Deadline: 3 * time.Second, Worth: 1}})
-	require.Equal(t, 6, d.fillServers(1, 0), "three at each server: the third has an expected wait of 300 ms, 390 ms with the margin")
+	require.Equal(t, 6, d.fillServers(1, 0),
+		"three at each server: the third has an expected wait of 300 ms, 390 ms with the margin")
 	d = newClassDriver(t, []Class{{LatencyTarget: 350 * ms, Deadline: 3 * time.Second, Worth: 1}})
 	require.Equal(t, 4, d.fillServers(1, 0), "two at each server")
 }
 
 // A repeat of a request that may have run can't be refused, so the capacity left for higher worth does not limit it.
 func TestRepeatThatMayHaveRunIsNotLimitedByShortage(t *testing.T) {
-	d := newClassDriver(t, []Class{{LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Worth: 1, Effect: Keyed, Scope: ScopeZone,
-		RepeatWindow: 3 * time.Second}, {LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Worth: 3}})
+	d := newClassDriver(t, []Class{
+		{LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Worth: 1, Effect: Keyed, Scope: ScopeZone,
+			RepeatWindow: 3 * time.Second},
+		{LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Worth: 3},
+	})
 	for id := range uint64(6) {
-		d.g.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
-		d.handle(RequestArrived{ID: id + 1, Plan: unlimitedPlan, Customer: 5, ExpiresIn: 3 * time.Second, Units: 1, Gateways: 2,
-			PriorAttempt: &PriorAttempt{Server: "gone", Zone: "a", SentAt: d.now}})
+		d.gateway.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
+		d.handle(RequestArrived{ID: id + 1, Plan: unlimitedPlan, Customer: 5, ExpiresIn: 3 * time.Second, Units: 1,
+			Gateways: 2, PriorAttempt: &PriorAttempt{Server: "gone", Zone: "a", SentAt: d.now}})
 		onlyAction[Send](d)
 	}
 }
@@ -138,7 +142,7 @@
 	for name, c := range map[string]struct{ worth, share []float64 }{
 		"two of equal shares":               {[]float64{1, 3}, []float64{0.5, 0.5}},
 		"a rare class of very high worth":   {[]float64{2, 1, 12, 0.5}, []float64{0.23, 0.6, 0.07, 0.1}},
-		"three of similar worth":            {[]float64{1.5, 1, 2.5}, []float64{0.35, 0.37, 0.28}},
+		"three of similar shares":           {[]float64{1.5, 1, 2.5}, []float64{0.35, 0.37, 0.28}},
 		"most classes of the highest worth": {[]float64{4, 4, 1}, []float64{0.2, 0.2, 0.6}},
 	} {
 		s := testSettings()
@@ -146,7 +150,7 @@
 		for _, w := range c.worth {
 			s.Classes = append(s.Classes, Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Worth: w})
 		}
-		g := newDriver(t, s, "a", "b").g
+		g := newDriver(t, s, "a", "b").gateway
 		g.classMix = c.share
 		level, sum := g.classMix.Level(g.admitExponents, admitShare), 0.0
 		for i, share := range c.share {
@@ -163,7 +167,7 @@
 func TestShortageOfTopClassIsForgotten(t *testing.T) {
 	for name, classes := range classPairs() {
 		d := newClassDriver(t, classes)
-		d.g.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
+		d.gateway.topClassShortage = estimate.FadingAverage{Value: 1, At: d.now}
 		require.Less(t, d.fillServers(1, 0), 6, name)
 		d.answerAll()
 		d.advance(time.Minute)
@@ -173,9 +177,9 @@
 	d := newClassDriver(t, s.Classes)
 	s.Classes[0].Worth = 5
 	d.handle(SettingsChanged{Settings: s})
-	require.Greater(t, d.g.admitExponents[1], 1.0)
+	require.Greater(t, d.gateway.admitExponents[1], 1.0)
 	s.Classes = append([]Class(nil), s.Classes...)
 	s.Classes[0].IsRemoved = true
 	d.handle(SettingsChanged{Settings: s})
-	require.Equal(t, 1.0, d.g.admitExponents[1], "the highest worth of the remaining classes counts")
+	require.Equal(t, 1.0, d.gateway.admitExponents[1], "the highest worth of the remaining classes counts")
 }
--- a/admission/counter_test.go
+++ b/admission/counter_test.go
@@ -19,11 +19,11 @@
 			d.handle(CounterAnswered{Name: add.Name, Outcome: Unreachable})
 		}
 		sent += len(actionsOf[Send](got)) + len(actionsOf[Send](d.takeActions()))
-		if d.g.queryShare = 1; d.g.isBreakerOpen { // every request queries the counter
+		if d.gateway.queryShare = 1; d.gateway.isBreakerOpen { // every request queries the counter
 			break
 		}
 	}
-	if !d.g.isBreakerOpen {
+	if !d.gateway.isBreakerOpen {
 		t.Fatal("the breaker is closed")
 	}
 	for range 20 {
@@ -33,14 +33,15 @@
 		requireNone[CounterAdd](d)
 		d.takeActions()
 	}
-	if sent < 2 || sent > 6 { // three at one unit each, the others at two of the other five units, the last of them overdrawn
+	// Three are charged one unit each, the others two of the other five units, the last of them overdrawn.
+	if sent < 2 || sent > 6 {
 		t.Fatalf("sent %d of a burst of 8, with half of it as own share, want 2 to 6", sent)
 	}
 	d.advance(counterProbeInterval + ms)
 	d.arrive(99, 0, quotaPlan, 1)
 	add := onlyAction[CounterAdd](d)
 	d.handle(CounterAnswered{Name: add.Name, Total: 4, Took: 2 * ms, Outcome: OK})
-	if d.g.isBreakerOpen {
+	if d.gateway.isBreakerOpen {
 		t.Fatal("the breaker is still open after an answer")
 	}
 }
@@ -54,10 +55,11 @@
 		d := newDriver(t, s, "s1", "s2", "s3", "s4")
 		requestAndEnd := func(id uint64) []Action {
 			d.advance(5 * time.Second)
-			d.g.queryShare = 1
-			d.handle(RequestArrived{ID: id, Class: 0, Plan: quotaPlan, Customer: 5, ExpiresIn: time.Second, Units: 1, Gateways: 80})
+			d.gateway.queryShare = 1
+			d.handle(RequestArrived{ID: id, Class: 0, Plan: quotaPlan, Customer: 5, ExpiresIn: time.Second, Units: 1,
+				Gateways: 80})
 			for i, a := range d.actions {
-				if add, ok := a.(CounterAdd); ok && !d.g.isBreakerOpen {
+				if add, ok := a.(CounterAdd); ok && !d.gateway.isBreakerOpen {
 					total := 1.0
 					if isOverQuota && id%4 > 0 { // a quarter of the requests arrive before the window's quota is used up
 						total = 30
@@ -77,7 +79,7 @@
 		for id := uint64(1); id <= 40; id++ {
 			requestAndEnd(id)
 		}
-		d.g.isBreakerOpen, d.g.nextCounterProbe = true, 24*time.Hour
+		d.gateway.isBreakerOpen, d.gateway.nextCounterProbe = true, 24*time.Hour
 		sent := 0
 		for id := uint64(100); id < 200; id++ {
 			sent += len(actionsOf[Send](requestAndEnd(id)))
@@ -107,23 +109,23 @@
 	for range 50 {
 		queryCounter(OK, baseline)
 	}
-	if d.g.queryShare < 1 {
-		t.Fatalf("only a share of %v of the requests query a distant counter", d.g.queryShare)
+	if d.gateway.queryShare < 1 {
+		t.Fatalf("only a share of %v of the requests query a distant counter", d.gateway.queryShare)
 	}
 	for range 100 { // fewer and fewer requests query the counter
 		queryCounter(TimedOut, s.CounterTimeout)
 	}
-	if !d.g.isBreakerOpen {
+	if !d.gateway.isBreakerOpen {
 		t.Fatal("the breaker is closed")
 	}
 	d.advance(2 * counterProbeInterval)
 	queryCounter(OK, baseline) // the probe that is due is made, however small the query share
-	if d.g.isBreakerOpen {
+	if d.gateway.isBreakerOpen {
 		t.Fatal("the breaker is still open after an answer")
 	}
-	d.g.queryShare = 1
+	d.gateway.queryShare = 1
 	queryCounter(OK, 3*baseline)
-	if d.g.queryShare >= 1 {
+	if d.gateway.queryShare >= 1 {
 		t.Fatal("the query share does not fall when the counter is crowded")
 	}
 }
@@ -136,10 +138,11 @@
 	s.Plans[quotaPlan].Rate, s.Plans[quotaPlan].Burst = 10, 20
 	run := func(queryShareAverage float64) (sent int) {
 		d := newDriver(t, s, "s1", "s2", "s3")
-		c := d.g.ensureCustomer(5, quotaPlan, 2, 0)
+		c := d.gateway.ensureCustomer(5, quotaPlan, 2, 0)
 		c.othersRate = 1
 		for id := uint64(1); id <= 160; id++ { // eight requests a second for 20 s
-			d.g.isBreakerOpen, d.g.nextCounterProbe, d.g.queryShareAverage = true, d.now+time.Hour, queryShareAverage
+			d.gateway.isBreakerOpen, d.gateway.nextCounterProbe, d.gateway.queryShareAverage =
+				true, d.now+time.Hour, queryShareAverage
 			d.advance(125 * ms)
 			d.arrive(id, 0, quotaPlan, 1)
 			for _, send := range actionsOf[Send](d.takeActions()) {
--- a/admission/driver_test.go
+++ b/admission/driver_test.go
@@ -46,7 +46,7 @@
 // driver passes events to one gateway, on a clock that only the test advances, and records its actions.
 type driver struct {
 	t       *testing.T
-	g       *Gateway
+	gateway *Gateway
 	now     time.Duration
 	actions []Action // since the last takeActions
 }
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &driver{t: t, g: g, now: time.Hour}
+	d := &driver{t: t, gateway: g, now: time.Hour}
 	list := ServerList{Kind: ListCached}
 	for _, n := range servers {
 		list.Servers = append(list.Servers, ServerEntry{Name: n, Zone: "a", Size: 1})
@@ -71,7 +71,7 @@
 
 // handle passes an event at the present time and records the actions.
 func (d *driver) handle(ev Event) {
-	d.actions = append(d.actions, d.g.Handle(d.now, ev)...)
+	d.actions = append(d.actions, d.gateway.Handle(d.now, ev)...)
 }
 
 // advance moves the clock on.
@@ -79,21 +79,21 @@
 
 // takeActions returns the recorded actions and forgets them.
 func (d *driver) takeActions() []Action {
-	got := d.actions
+	actions := d.actions
 	d.actions = nil
-	return got
+	return actions
 }
 
 // arrive passes a new request of customer 5, who comes through two gateways.
 func (d *driver) arrive(id uint64, class, plan int, units int) {
-	d.handle(RequestArrived{ID: id, Class: class, Plan: plan, Customer: 5, ExpiresIn: d.g.settings.Classes[class].Deadline,
-		Units: units, Gateways: 2})
+	d.handle(RequestArrived{ID: id, Class: class, Plan: plan, Customer: 5,
+		ExpiresIn: d.gateway.settings.Classes[class].Deadline, Units: units, Gateways: 2})
 }
 
 // actionsOf returns the actions of one type, in order.
-func actionsOf[A Action](got []Action) []A {
+func actionsOf[A Action](actions []Action) []A {
 	var all []A
-	for _, a := range got {
+	for _, a := range actions {
 		if a, ok := a.(A); ok {
 			all = append(all, a)
 		}
@@ -105,19 +105,19 @@
 // exactly one.
 func onlyAction[A Action](d *driver) A {
 	d.t.Helper()
-	got := d.takeActions()
-	all := actionsOf[A](got)
-	if len(all) != 1 {
-		d.t.Fatalf("want one %T, got %d in %#v", *new(A), len(all), got)
+	actions := d.takeActions()
+	matching := actionsOf[A](actions)
+	if len(matching) != 1 {
+		d.t.Fatalf("want one %T, got %d in %#v", *new(A), len(matching), actions)
 	}
-	return all[0]
+	return matching[0]
 }
 
 // requireNone fails the test if an action of the type is recorded. The recorded actions stay.
 func requireNone[A Action](d *driver) {
 	d.t.Helper()
-	if all := actionsOf[A](d.actions); len(all) > 0 {
-		d.t.Fatalf("want no %T, got %#v", *new(A), all)
+	if matching := actionsOf[A](d.actions); len(matching) > 0 {
+		d.t.Fatalf("want no %T, got %#v", *new(A), matching)
 	}
 }
 
--- a/admission/estimate/estimate_test.go
+++ b/admission/estimate/estimate_test.go
@@ -52,7 +52,8 @@
 			seldomDoubted.Doubt(now, 10, seldomDoubted.Latency, 0.2)
 		}
 	}
-	if seldomDoubted.Latency > 0.21 || seldomDoubted.Latency < 0.15 || oftenDoubted.Latency > 0.21 || oftenDoubted.Latency < 0.15 {
+	if seldomDoubted.Latency > 0.21 || seldomDoubted.Latency < 0.15 || oftenDoubted.Latency > 0.21 ||
+		oftenDoubted.Latency < 0.15 {
 		t.Errorf("after 20 s the latencies are %.3f and %.3f, want 0.15 to 0.21", seldomDoubted.Latency, oftenDoubted.Latency)
 	}
 	before := oftenDoubted.Latency
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -10,7 +10,7 @@
 
 // fleet is many gateways in one process, on a common clock, before hosts whose answers the test determines.
 type fleet struct {
-	gateways       []*driver
+	drivers        []*driver
 	hosts          []ServerEntry
 	lastRequestID  uint64
 	sendsByHost    map[string]int             // attempts of all gateways
@@ -20,7 +20,8 @@
 
 // newFleet returns gateways that have the list of all hosts. Each customer of ceilingPlan has a quota and a ceiling.
 func newFleet(t *testing.T, gatewayCount, hostCount int) *fleet {
-	f := &fleet{sendsByHost: map[string]int{}, gatewaysByHost: map[string]map[int]bool{}, attemptEnds: map[time.Duration][]func(){}}
+	f := &fleet{sendsByHost: map[string]int{}, gatewaysByHost: map[string]map[int]bool{},
+		attemptEnds: map[time.Duration][]func(){}}
 	for i := range hostCount {
 		f.hosts = append(f.hosts, ServerEntry{Name: fmt.Sprintf("s-%08x", uint32(i+1)*2654435761), Zone: "a", Size: 1})
 	}
@@ -30,7 +31,7 @@
 		s.Plans[ceilingPlan] = Plan{Name: "hard", Rate: 8, Burst: 20, CeilingRate: 18, CeilingBurst: 45, CeilingSlack: 4.5}
 		d := newDriver(t, s)
 		d.handle(ServerList{Kind: ListFull, Servers: f.hosts})
-		f.gateways = append(f.gateways, d)
+		f.drivers = append(f.drivers, d)
 	}
 	return f
 }
@@ -38,7 +39,7 @@
 // run makes requests arrive at even intervals, one at each gateway in turn. respond returns the outcome of an
 // attempt at a host and after which time it ends.
 func (f *fleet) run(requests int, interval time.Duration, respond func(host string) (Outcome, time.Duration)) {
-	now := f.gateways[0].now
+	now := f.drivers[0].now
 	for i := range requests {
 		for end := now + interval; now < end; now += ms {
 			due := f.attemptEnds[now]
@@ -48,16 +49,16 @@
 			}
 		}
 		f.lastRequestID++
-		f.handle(i%len(f.gateways), now, RequestArrived{ID: f.lastRequestID, Plan: -1, ExpiresIn: time.Second, Units: 1}, respond)
+		f.handle(i%len(f.drivers), now, RequestArrived{ID: f.lastRequestID, Plan: -1, ExpiresIn: time.Second, Units: 1}, respond)
 	}
-	for _, d := range f.gateways {
+	for _, d := range f.drivers {
 		d.now = now
 	}
 }
 
 // handle passes an event to a gateway and schedules the ends of the attempts that it starts.
 func (f *fleet) handle(gateway int, now time.Duration, ev Event, respond func(string) (Outcome, time.Duration)) {
-	for _, x := range actionsOf[Send](append([]Action(nil), f.gateways[gateway].g.Handle(now, ev)...)) {
+	for _, x := range actionsOf[Send](append([]Action(nil), f.drivers[gateway].gateway.Handle(now, ev)...)) {
 		f.sendsByHost[x.Server]++
 		if f.gatewaysByHost[x.Server] == nil {
 			f.gatewaysByHost[x.Server] = map[int]bool{}
@@ -65,7 +66,7 @@
 		f.gatewaysByHost[x.Server][gateway] = true
 		outcome, after := respond(x.Server)
 		end := AttemptEnded{ID: x.ID, Server: x.Server, Outcome: outcome, Took: after, Done: outcome == OK,
-			Attempt: len(f.gateways[gateway].g.requests[x.ID].attempts) - 1}
+			Attempt: len(f.drivers[gateway].gateway.requests[x.ID].attempts) - 1}
 		at := now + max(ms, after)
 		f.attemptEnds[at] = append(f.attemptEnds[at], func() { f.handle(gateway, at, end, respond) })
 	}
@@ -78,7 +79,7 @@
 		f := newFleet(t, size.gateways, size.hosts)
 		f.run(40*size.gateways, max(ms, 1000*ms/time.Duration(10*size.gateways)),
 			func(string) (Outcome, time.Duration) { return OK, 60 * ms })
-		share := f.gateways[0].g.subsetSize * size.gateways / size.hosts
+		share := f.drivers[0].gateway.subsetSize * size.gateways / size.hosts
 		for _, h := range f.hosts {
 			if n := len(f.gatewaysByHost[h.Name]); n == 0 || n > share*3/2+2 {
 				t.Errorf("%d gateways, %d hosts: host %s is used by %d gateways, its share is %d", size.gateways, size.hosts,
@@ -132,10 +133,10 @@
 func TestManyGatewaysKeepCeilingTogether(t *testing.T) {
 	for _, gateways := range []int{3, 26, 80} {
 		f := newFleet(t, gateways, 12)
-		s := f.gateways[0].g.settings
+		s := f.drivers[0].gateway.settings
 		p := s.Plans[ceilingPlan]
 		tokens, minTokens, sent, lostCalls := p.CeilingBurst, 0.0, 0, 0
-		totals, lastSentAt := map[string]float64{}, f.gateways[0].now
+		totals, lastSentAt := map[string]float64{}, f.drivers[0].now
 		start := lastSentAt
 		for i := range 6000 {
 			now := start + time.Duration(i)*5*ms
@@ -143,7 +144,7 @@
 				clear(totals)
 			}
 			index := i * 7 % gateways
-			g := f.gateways[index].g
+			g := f.drivers[index].gateway
 			var handle func(ev Event)
 			handle = func(ev Event) {
 				for _, a := range append([]Action(nil), g.Handle(now, ev)...) {
@@ -163,7 +164,8 @@
 					}
 				}
 			}
-			handle(RequestArrived{ID: uint64(i + 1), Plan: ceilingPlan, Customer: 77, ExpiresIn: time.Second, Units: 1, Gateways: gateways})
+			handle(RequestArrived{ID: uint64(i + 1), Plan: ceilingPlan, Customer: 77, ExpiresIn: time.Second, Units: 1,
+				Gateways: gateways})
 		}
 		if minTokens < -p.CeilingSlack || lostCalls == 0 {
 			t.Errorf("%d gateways: the ceiling's store went down to %.1f, its slack is %.1f (%d calls lost, want some)",
@@ -177,23 +179,23 @@
 	}
 }
 
-// When late answers show that the demand exceeds the capacity, the class of lowest worth is refused first.
+// When the demand exceeds the capacity, here at an admit share of 0.8, the class of lowest worth is refused first.
 func TestLateAnswersShedTheClassOfLowestWorth(t *testing.T) {
 	s := largeFleetSettings()
 	s.Classes[0].Worth, s.Classes[1].Worth = 1, 3
 	d := newDriver(t, s, "s1")
-	d.g.admitShare = 0.8
+	d.gateway.admitShare = 0.8
 	admitted := [2]int{}
 	for id := uint64(1); id <= 400; id++ {
 		class := int(id % 2)
 		d.arrive(id, class, unlimitedPlan, 1)
-		admitted[class] += len(actionsOf[Send](d.actions)) + len(d.g.held)
+		admitted[class] += len(actionsOf[Send](d.actions)) + len(d.gateway.held)
 		for _, x := range actionsOf[Send](d.takeActions()) {
-			delete(d.g.requests, x.ID)
+			delete(d.gateway.requests, x.ID)
 		}
-		d.g.held, d.g.liveAttempts, d.g.servers["s1"].outstanding = nil, 0, nil
+		d.gateway.held, d.gateway.liveAttempts, d.gateway.servers["s1"].outstanding = nil, 0, nil
 	}
-	if admitted[1] < 180 || admitted[0] < 118 || admitted[0] > 143 { // 0.94 and 0.66 of them, 0.8 of all
+	if admitted[1] < 180 || admitted[0] < 118 || admitted[0] > 143 { // expected: shares of 0.94 and 0.66, 0.8 of all
 		t.Errorf("of 200 requests each, %d of high and %d of low worth are admitted", admitted[1], admitted[0])
 	}
 	if all := admitted[0] + admitted[1]; all < 306 || all > 334 {
@@ -206,9 +208,9 @@
 func TestManyGatewaysWarmUpHostsTogether(t *testing.T) {
 	for _, gateways := range []int{3, 80} {
 		f := newFleet(t, gateways, 30)
-		s := f.gateways[0].g.settings
-		boot := f.gateways[0].now
-		for _, d := range f.gateways {
+		s := f.drivers[0].gateway.settings
+		boot := f.drivers[0].now
+		for _, d := range f.drivers {
 			for i := range f.hosts[:10] {
 				f.hosts[i].Boot = boot
 			}
@@ -222,32 +224,34 @@
 		for _, h := range f.hosts[:10] {
 			sentToCold += f.sendsByHost[h.Name]
 			if float64(f.sendsByHost[h.Name]) > s.ColdOverloadFactor*coldCapacity {
-				t.Errorf("%d gateways sent %d requests to a cold host with a capacity for %.1f", gateways, f.sendsByHost[h.Name], coldCapacity)
+				t.Errorf("%d gateways sent %d requests to a cold host with a capacity for %.1f", gateways,
+					f.sendsByHost[h.Name], coldCapacity)
 			}
 		}
 		if float64(sentToCold) < 6*coldCapacity {
-			t.Errorf("%d gateways sent %d requests to 10 cold hosts with a capacity for %.1f each", gateways, sentToCold, coldCapacity)
+			t.Errorf("%d gateways sent %d requests to 10 cold hosts with a capacity for %.1f each", gateways, sentToCold,
+				coldCapacity)
 		}
 	}
 }
 
-// Late answers of a host that is slow compared to the others are its own fault. Admission is throttled only if most
-// hosts are late.
+// Late answers of a host that is slow compared to the others are its own fault. Admission is throttled only if the
+// others are late, too.
 func TestOneSlowHostDoesNotThrottleAdmission(t *testing.T) {
 	for _, slowHosts := range []int{1, 8} {
 		s := largeFleetSettings()
 		d := newDriver(t, s, "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
-		d.g.classLatency[0] = estimate.LatencyModel{Latency: 0.05, Units: 1}
+		d.gateway.classLatency[0] = estimate.LatencyModel{Latency: 0.05, Units: 1}
 		for i := range slowHosts {
-			d.g.preferred[i].relativeLatency, d.g.preferred[i].lastResponseAt = 4, d.now
+			d.gateway.preferred[i].relativeLatency, d.gateway.preferred[i].lastResponseAt = 4, d.now
 		}
 		for id := uint64(1); id <= 20; id++ {
 			r := &request{id: id, class: &s.Classes[0], arrivedAt: d.now, due: d.now + 500*ms}
-			slowAttempt := attempt{server: d.g.preferred[int(id)%slowHosts], sentAt: d.now}
-			d.g.learnFromAttempt(&slowAttempt, r, AttemptEnded{ID: id, Outcome: OK, Took: 400 * ms})
+			slowAttempt := attempt{server: d.gateway.preferred[int(id)%slowHosts], sentAt: d.now}
+			d.gateway.learnFromAttempt(&slowAttempt, r, AttemptEnded{ID: id, Outcome: OK, Took: 400 * ms})
 		}
-		if isOneSlow := slowHosts == 1; isOneSlow && d.g.admitShare < 1 || !isOneSlow && d.g.admitShare > 0.5 {
-			t.Errorf("%d of 8 hosts are slow: the admit share is %.2f", slowHosts, d.g.admitShare)
+		if isOneSlow := slowHosts == 1; isOneSlow && d.gateway.admitShare < 1 || !isOneSlow && d.gateway.admitShare > 0.5 {
+			t.Errorf("%d of 8 hosts are slow: the admit share is %.2f", slowHosts, d.gateway.admitShare)
 		}
 	}
 }
@@ -261,9 +265,10 @@
 	d := newDriver(t, s, "s1")
 	sentOfClass := [2]int{}
 	for id := range uint64(4000) {
-		d.g.admitShare = 0.8
+		d.gateway.admitShare = 0.8
 		class := int(id % 2)
-		d.handle(RequestArrived{ID: id + 1, Class: class, Plan: unlimitedPlan, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 1})
+		d.handle(RequestArrived{ID: id + 1, Class: class, Plan: unlimitedPlan, Customer: id, ExpiresIn: time.Second,
+			Units: 1, Gateways: 1})
 		for _, send := range actionsOf[Send](d.takeActions()) {
 			sentOfClass[class]++
 			d.handle(AttemptEnded{ID: send.ID, Server: send.Server, Outcome: OK, Took: ms, Done: true})
@@ -271,7 +276,8 @@
 		d.advance(5 * ms)
 		d.takeActions()
 	}
-	if highWorth, lowWorth := float64(sentOfClass[0])/2000, float64(sentOfClass[1])/2000; highWorth < 0.9 || lowWorth < 0.6 || lowWorth > 0.7 {
+	if highWorth, lowWorth := float64(sentOfClass[0])/2000, float64(sentOfClass[1])/2000; highWorth < 0.9 ||
+		lowWorth < 0.6 || lowWorth > 0.7 {
 		t.Errorf("admitted: %.2f of the class of high worth, %.2f of the class of low worth", highWorth, lowWorth)
 	}
 }
--- a/admission/gateway_test.go
+++ b/admission/gateway_test.go
@@ -9,7 +9,8 @@
 	d := newDriver(t, testSettings(), "s1", "s2")
 	for id := uint64(1); id < 500; id++ {
 		d.advance(100 * ms)
-		d.handle(RequestArrived{ID: id, Class: 0, Plan: quotaPlan, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 2})
+		d.handle(RequestArrived{ID: id, Class: 0, Plan: quotaPlan, Customer: id, ExpiresIn: time.Second, Units: 1,
+			Gateways: 2})
 		for _, add := range actionsOf[CounterAdd](d.actions) {
 			d.handle(CounterAnswered{Name: add.Name, Total: add.Delta, Took: ms, Outcome: OK})
 		}
@@ -20,7 +21,7 @@
 	d.advance(2 * customerTTL)
 	d.handle(TimerFired{Token: timerExpiry})
 	d.handle(ServerList{Kind: ListFull})
-	g := d.g
+	g := d.gateway
 	if len(g.requests)+len(g.customers)+len(g.counterCalls)+len(g.servers)+len(g.serversByName)+len(g.held) != 0 {
 		t.Fatalf("still in memory: %d requests, %d customers, %d counter calls, %d servers, %d held", len(g.requests),
 			len(g.customers), len(g.counterCalls), len(g.servers), len(g.held))
@@ -51,7 +52,7 @@
 	d.endAttempt(9, 0, "s1", OK)
 	d.handle(ClientLeft{ID: 9})
 	d.handle(TimerFired{Token: 12345})
-	d.handle(CounterAnswered{Name: "unknown", Outcome: OK})
+	d.handle(CounterAnswered{Name: "nobody's", Outcome: OK})
 	d.handle(ProbeEnded{Server: "s1"})
 	d.handle(PeerMessage{From: 1})
 	d.handle(StreamOpened{ID: 9})
--- a/admission/invariants_test.go
+++ b/admission/invariants_test.go
@@ -17,7 +17,7 @@
 	s.HasCounter = rng.IntN(4) > 0
 	s.CanSendRetryAfter = rng.IntN(2) > 0
 	d := newDriver(t, s, "s1", "s2", "s3")
-	type req struct {
+	type clientRequest struct {
 		class        int
 		due          time.Duration         // its deadline
 		isAnswered   bool                  // it has its final answer, or its client has left
@@ -27,7 +27,7 @@
 		mayHaveRunAt time.Duration         // send time of the first such attempt
 		sentAt       map[int]time.Duration // send times, by attempt number
 	}
-	reqs := map[uint64]*req{}
+	requests := map[uint64]*clientRequest{}
 	var openRequests []uint64
 	var openCalls []string
 	var timers []SetTimer
@@ -39,7 +39,7 @@
 			log = append(log, fmt.Sprintf("%d %T%+v", d.now, a, a))
 			switch a := a.(type) {
 			case Send:
-				r := reqs[a.ID]
+				r := requests[a.ID]
 				switch {
 				case r == nil || r.isAnswered:
 					t.Fatalf("seed %d: a finished request is sent", seed)
@@ -58,7 +58,7 @@
 				r.openAttempts[r.sends], r.sentAt[r.sends] = a.Server, d.now
 				r.sends++
 			case Refuse:
-				r := reqs[a.ID]
+				r := requests[a.ID]
 				if r == nil || r.isAnswered {
 					t.Fatalf("seed %d: a finished request is refused", seed)
 				}
@@ -68,10 +68,10 @@
 				}
 				r.isAnswered = true
 			case Fail:
-				if r := reqs[a.ID]; r == nil || r.isAnswered {
+				if r := requests[a.ID]; r == nil || r.isAnswered {
 					t.Fatalf("seed %d: a finished request is failed", seed)
 				}
-				reqs[a.ID].isAnswered = true
+				requests[a.ID].isAnswered = true
 			case CounterAdd:
 				if !s.HasCounter {
 					t.Fatalf("seed %d: a counter call without a counter", seed)
@@ -83,7 +83,7 @@
 		}
 	}
 	endAttempts := func(id uint64, outcome Outcome) {
-		r := reqs[id]
+		r := requests[id]
 		for n, server := range r.openAttempts {
 			delete(r.openAttempts, n)
 			if outcome != OK && outcome != Full && outcome != Unreachable && !r.mayHaveRun {
@@ -111,7 +111,7 @@
 		}
 		stillOpen := openRequests[:0]
 		for _, id := range openRequests { // the host ends attempts at the deadline
-			r := reqs[id]
+			r := requests[id]
 			if d.now >= r.due && !r.isAnswered {
 				if len(r.openAttempts) > 0 {
 					endAttempts(id, TimedOut)
@@ -128,10 +128,10 @@
 		switch choice := rng.IntN(20); {
 		case choice < 7:
 			class := rng.IntN(len(s.Classes))
-			r := &req{class: class, openAttempts: map[int]string{}, sentAt: map[int]time.Duration{}}
+			r := &clientRequest{class: class, openAttempts: map[int]string{}, sentAt: map[int]time.Duration{}}
 			expires := time.Duration(rng.IntN(2000)) * ms
 			r.due = d.now + expires
-			reqs[nextID] = r
+			requests[nextID] = r
 			openRequests = append(openRequests, nextID)
 			d.handle(RequestArrived{ID: nextID, Class: class, Plan: rng.IntN(len(s.Plans)+1) - 1,
 				Customer: uint64(rng.IntN(4)), ExpiresIn: expires, Units: rng.IntN(9), Gateways: rng.IntN(3)})
@@ -145,7 +145,7 @@
 				Outcome: []Outcome{OK, OK, OK, Full, TimedOut, Unreachable}[rng.IntN(6)]})
 		case choice == 17 && len(openRequests) > 0:
 			id := openRequests[rng.IntN(len(openRequests))]
-			reqs[id].isAnswered = true
+			requests[id].isAnswered = true
 			d.handle(ClientLeft{ID: id})
 		case choice == 18:
 			e := ServerEntry{Name: fmt.Sprintf("s%d", 1+rng.IntN(4)), Zone: "a", State: ServerState(rng.IntN(3))}
--- a/admission/large_fleet_test.go
+++ b/admission/large_fleet_test.go
@@ -11,7 +11,8 @@
 // Rules that bound what all gateways of a large fleet do together, and estimates from the few observations that
 // one gateway of many has.
 
-// largeFleetSettings returns testSettings for 400 gateways, where sending a request beyond a quota costs its worth.
+// largeFleetSettings returns testSettings for 400 gateways, where a request that is sent beyond its quota or in-flight
+// cap costs as much as its worth.
 func largeFleetSettings() Settings {
 	s := testSettings()
 	s.Gateways = 400
@@ -23,19 +24,21 @@
 // observeTotal advances to a share of the customer's next counter window, in which the counter's total is the given
 // one. It returns the estimated demand as a multiple of what fits the quota.
 func (d *driver) observeTotal(customer uint64, windowShare, total float64) float64 {
-	c := d.g.ensureCustomer(customer, quotaPlan, 300, 0)
+	c := d.gateway.ensureCustomer(customer, quotaPlan, 300, 0)
 	counter := &c.quotaCounter
 	d.now += counter.length - counter.elapsed(d.now) + time.Duration(windowShare*float64(counter.length))
-	d.g.now = d.now
-	d.g.rollWindow(c, counter)
-	d.g.learnDemand(c, counter, &counterCall{customer: c, counter: counter, window: counter.window, delta: 1}, total+1)
-	return d.g.demandRatio(c)
+	d.gateway.now = d.now
+	d.gateway.rollWindow(c, counter)
+	d.gateway.learnDemand(c, counter, &counterCall{customer: c, counter: counter, window: counter.window, delta: 1},
+		total+1)
+	return d.gateway.demandRatio(c)
 }
 
 func TestOneEarlyTotalCountsLessThanWindow(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
-	lowDemand, _ := d.observeTotal(1, 0.9, 2), d.g
-	earlyDemand := d.observeTotal(2, 0.02, 2) // two units in a fiftieth of a window: taken alone, a demand of 12 times the quota
+	lowDemand, _ := d.observeTotal(1, 0.9, 2), d.gateway
+	// Two units in a fiftieth of a window: taken alone, a demand of 12 times the quota.
+	earlyDemand := d.observeTotal(2, 0.02, 2)
 	if earlyDemand > 4 {
 		t.Errorf("after one early total the demand is %.1f times what fits, want at most 4", earlyDemand)
 	}
@@ -55,10 +58,10 @@
 // One answer of the counter at the start must not make all gateways query it at once.
 func TestFirstCounterAnswerRaisesQueryShareLittle(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
-	before := d.g.queryShare
-	d.g.counterSucceeded(ms)
-	if d.g.queryShare > before+2*queryShareGain {
-		t.Errorf("the query share rose from %.2f to %.2f with one answer", before, d.g.queryShare)
+	before := d.gateway.queryShare
+	d.gateway.counterSucceeded(ms)
+	if d.gateway.queryShare > before+2*queryShareGain {
+		t.Errorf("the query share rose from %.2f to %.2f with one answer", before, d.gateway.queryShare)
 	}
 }
 
@@ -68,13 +71,14 @@
 	s := largeFleetSettings()
 	s.Plans[inFlightPlan].OverQuotaCost, s.Plans[inFlightPlan].OverQuotaWorth = 0, 0.3
 	d := newDriver(t, s, "s1")
-	d.g.queryShare = 0.3
-	if costlyPlanShare, cheapPlanShare := d.g.planQueryShare(quotaPlan), d.g.planQueryShare(inFlightPlan); costlyPlanShare != 0.3 || cheapPlanShare >= 0.2 {
+	d.gateway.queryShare = 0.3
+	if costlyPlanShare, cheapPlanShare := d.gateway.planQueryShare(quotaPlan),
+		d.gateway.planQueryShare(inFlightPlan); costlyPlanShare != 0.3 || cheapPlanShare >= 0.2 {
 		t.Errorf("%.2f of the costly plan's requests query the counter, want 0.3; %.2f of the cheap one's, want less than 0.2",
 			costlyPlanShare, cheapPlanShare)
 	}
-	d.g.queryShare = 1
-	if cheap := d.g.planQueryShare(inFlightPlan); cheap != 1 {
+	d.gateway.queryShare = 1
+	if cheap := d.gateway.planQueryShare(inFlightPlan); cheap != 1 {
 		t.Errorf("%.2f of the cheap plan's requests query a counter that takes all calls, want 1", cheap)
 	}
 }
@@ -83,7 +87,7 @@
 	s := largeFleetSettings()
 	sum := 0.0
 	for range s.Gateways {
-		sum += newDriver(t, s, "s1").g.retryBudget
+		sum += newDriver(t, s, "s1").gateway.retryBudget
 	}
 	if sum > initialFleetRetries+1e-6 {
 		t.Errorf("%d gateways start with %.0f retries", s.Gateways, sum)
@@ -128,30 +132,30 @@
 
 func TestFewLostAnswersDoNotThrottle(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
-	r := &request{class: &d.g.settings.Classes[0], arrivedAt: d.now, due: d.now + 500*ms}
+	r := &request{class: &d.gateway.settings.Classes[0], arrivedAt: d.now, due: d.now + 500*ms}
 	endAttempts := func(o Outcome, n int) {
 		for range n {
 			s := &server{}
-			d.g.learnFromAttempt(&attempt{server: s, sentAt: d.now}, r, AttemptEnded{Outcome: o, Took: 60 * ms})
+			d.gateway.learnFromAttempt(&attempt{server: s, sentAt: d.now}, r, AttemptEnded{Outcome: o, Took: 60 * ms})
 		}
 	}
 	for range 20 {
 		endAttempts(OK, 3)
 		endAttempts(TimedOut, 1)
 	}
-	if d.g.admitShare < 0.9 {
-		t.Errorf("the admit share is %.2f with a quarter of the answers lost", d.g.admitShare)
+	if d.gateway.admitShare < 0.9 {
+		t.Errorf("the admit share is %.2f with a quarter of the answers lost", d.gateway.admitShare)
 	}
 	endAttempts(TimedOut, 40)
-	if d.g.admitShare > 0.3 {
-		t.Errorf("the admit share is %.2f with no answer at all", d.g.admitShare)
+	if d.gateway.admitShare > 0.3 {
+		t.Errorf("the admit share is %.2f with no answer at all", d.gateway.admitShare)
 	}
 }
 
 // An attempt has a time limit at the latency target, unless late answers still have worth.
 func TestAttemptEndsWhenItsAnswerIsWorthless(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
-	d.g.retryBudget = 0
+	d.gateway.retryBudget = 0
 	d.arrive(1, 0, unlimitedPlan, 1)
 	if x := onlyAction[Send](d); x.Wait != 500*ms {
 		t.Errorf("the time limit is %v, but an answer has no worth after 500 ms", x.Wait)
@@ -164,7 +168,7 @@
 	s := largeFleetSettings()
 	s.Classes[0].LateWorth = 0.2
 	d = newDriver(t, s, "s1")
-	d.g.retryBudget = 0
+	d.gateway.retryBudget = 0
 	d.arrive(1, 0, unlimitedPlan, 1)
 	if x := onlyAction[Send](d); x.Wait != 0 {
 		t.Errorf("the time limit is %v although late answers have worth, want none", x.Wait)
@@ -173,7 +177,7 @@
 
 func TestRequestThatCannotMeetDeadlineIsRefused(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
-	d.g.classLatency[0] = estimate.LatencyModel{Latency: 0.3, Units: 1}
+	d.gateway.classLatency[0] = estimate.LatencyModel{Latency: 0.3, Units: 1}
 	d.handle(RequestArrived{ID: 1, Class: 0, Plan: unlimitedPlan, Customer: 5, ExpiresIn: 200 * ms, Units: 1, Gateways: 2})
 	requireNone[Send](d)
 	onlyAction[Refuse](d)
@@ -188,7 +192,7 @@
 	d.handle(ClientLeft{ID: 1})
 	cancel := onlyAction[Cancel](d)
 	d.endAttempt(cancel.ID, cancel.Attempt, "s1", Cancelled)
-	if c := d.g.customers[5]; c.inFlight != 0 || c.inFlightCounted != 0 {
+	if c := d.gateway.customers[5]; c.inFlight != 0 || c.inFlightCounted != 0 {
 		t.Errorf("still %d requests in flight, and %v on the in-flight counter", c.inFlight, c.inFlightCounted)
 	}
 	requireNone[Send](d)
@@ -198,9 +202,9 @@
 // never answered.
 func TestMeanTimeInFlightIncludesTimeouts(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1", "s2", "s3", "s4")
-	d.g.retryBudget = 0
+	d.gateway.retryBudget = 0
 	for id := uint64(1); id <= 60; id++ {
-		d.g.retryBudget = 0
+		d.gateway.retryBudget = 0
 		d.arrive(id, 0, unlimitedPlan, 1)
 		for _, x := range actionsOf[Send](d.takeActions()) {
 			d.advance(500 * ms)
@@ -209,8 +213,8 @@
 		}
 		d.advance(10 * time.Second) // until ejections have ended
 	}
-	if d.g.meanTimeInFlight < 0.2 {
-		t.Errorf("the mean time in flight is %.2f s, but all requests were in flight for 0.5 s", d.g.meanTimeInFlight)
+	if d.gateway.meanTimeInFlight < 0.2 {
+		t.Errorf("the mean time in flight is %.2f s, but all requests were in flight for 0.5 s", d.gateway.meanTimeInFlight)
 	}
 }
 
@@ -218,9 +222,10 @@
 // request that queries must be decided by its own units only.
 func TestQueryingRequestIsDecidedByItsOwnUnits(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
-	d.g.queryShare = 0.05 // a request that queries also counts for ten that do not, more than the burst
+	d.gateway.queryShare = 0.05 // a request that queries also counts for ten that do not, more than the burst
 	for id := uint64(1); ; id++ {
-		d.handle(RequestArrived{ID: id, Class: 0, Plan: quotaPlan, Customer: id, ExpiresIn: time.Second, Units: 1, Gateways: 300})
+		d.handle(RequestArrived{ID: id, Class: 0, Plan: quotaPlan, Customer: id, ExpiresIn: time.Second, Units: 1,
+			Gateways: 300})
 		got := d.takeActions()
 		adds := actionsOf[CounterAdd](got)
 		if len(adds) == 0 {
@@ -230,12 +235,12 @@
 			d.takeActions()
 			continue
 		}
-		if adds[0].Delta <= d.g.settings.Plans[quotaPlan].Burst {
+		if adds[0].Delta <= d.gateway.settings.Plans[quotaPlan].Burst {
 			t.Fatalf("the call adds only %v, want more than the burst", adds[0].Delta)
 		}
 		d.handle(CounterAnswered{Name: adds[0].Name, Total: adds[0].Delta, Took: ms})
 		onlyAction[Send](d)
-		if demand := d.g.demandRatio(d.g.customers[id]); demand > initialQuotaDemand {
+		if demand := d.gateway.demandRatio(d.gateway.customers[id]); demand > initialQuotaDemand {
 			t.Errorf("after the only request in its window the demand is %.2f times what fits", demand)
 		}
 		return
@@ -248,9 +253,9 @@
 	for range 4 {
 		d.observeTotal(3, 0.9, 40)
 	}
-	d.g.isBreakerOpen = true
-	d.g.now += time.Minute
-	if demand := d.g.demandRatio(d.g.customers[3]); demand < 3 {
+	d.gateway.isBreakerOpen = true
+	d.gateway.now += time.Minute
+	if demand := d.gateway.demandRatio(d.gateway.customers[3]); demand < 3 {
 		t.Errorf("after a minute without a counter the demand is %.2f times what fits, want at least 3", demand)
 	}
 }
@@ -263,9 +268,9 @@
 	sum := 0.0
 	for range 7 { // gateways of one customer that each use up their full part
 		d := newDriver(t, s, "s1")
-		c := d.g.ensureCustomer(5, ceilingPlan, 2, 0)
-		d.g.now += time.Hour
-		for c.hasCeilingTokens(d.g.now, 0.5) {
+		c := d.gateway.ensureCustomer(5, ceilingPlan, 2, 0)
+		d.gateway.now += time.Hour
+		for c.hasCeilingTokens(d.gateway.now, 0.5) {
 			c.ceilingTokens -= 0.5
 			sum += 0.5
 		}
--- a/admission/membership_test.go
+++ b/admission/membership_test.go
@@ -10,8 +10,8 @@
 // counter is called for them.
 func newCeilingFleet(t *testing.T, gateways int) *fleet {
 	f := newFleet(t, gateways, 4)
-	for _, d := range f.gateways {
-		d.g.settings.Plans[ceilingPlan] = Plan{Name: "hard", CeilingRate: 18, CeilingBurst: 45, CeilingSlack: 4.5}
+	for _, d := range f.drivers {
+		d.gateway.settings.Plans[ceilingPlan] = Plan{Name: "hard", CeilingRate: 18, CeilingBurst: 45, CeilingSlack: 4.5}
 	}
 	return f
 }
@@ -20,15 +20,16 @@
 // and returns how many of them are sent.
 func countSentUnderCeiling(f *fleet, from, to time.Duration, skipped int) (sent int) {
 	for now := from; now < to; now += 5 * ms {
-		for index, d := range f.gateways {
+		for index, d := range f.drivers {
 			if index == skipped {
 				continue
 			}
 			f.lastRequestID++
-			ev := RequestArrived{ID: f.lastRequestID, Plan: ceilingPlan, Customer: 7, ExpiresIn: time.Second, Units: 1, Gateways: len(f.gateways)}
-			for _, s := range actionsOf[Send](append([]Action(nil), d.g.Handle(now, ev)...)) {
+			ev := RequestArrived{ID: f.lastRequestID, Plan: ceilingPlan, Customer: 7, ExpiresIn: time.Second, Units: 1,
+				Gateways: len(f.drivers)}
+			for _, s := range actionsOf[Send](append([]Action(nil), d.gateway.Handle(now, ev)...)) {
 				sent++
-				d.g.Handle(now, AttemptEnded{ID: s.ID, Server: s.Server, Outcome: OK, Took: ms, Done: true})
+				d.gateway.Handle(now, AttemptEnded{ID: s.ID, Server: s.Server, Outcome: OK, Took: ms, Done: true})
 			}
 		}
 	}
@@ -38,7 +39,7 @@
 // changeMembership passes a membership to the gateways with these indices.
 func changeMembership(f *fleet, now time.Duration, ev FleetChanged, gateways ...int) {
 	for _, index := range gateways {
-		f.gateways[index].g.Handle(now, ev)
+		f.drivers[index].gateway.Handle(now, ev)
 	}
 }
 
@@ -47,9 +48,9 @@
 	for _, absent := range [][]int{nil, {0}, {2}, {1, 3}, {0, 1, 2}} {
 		f := newFleet(t, 4, 4)
 		burstSum, rateSum := 0.0, 0.0
-		for index, d := range f.gateways {
-			d.g.Handle(d.now, FleetChanged{Absent: absent})
-			c := d.g.ensureCustomer(7, ceilingPlan, 4, 1)
+		for index, d := range f.drivers {
+			d.gateway.Handle(d.now, FleetChanged{Absent: absent})
+			c := d.gateway.ensureCustomer(7, ceilingPlan, 4, 1)
 			if c.gateways != float64(4-len(absent)) {
 				t.Errorf("absent %v: the customer has %v gateways", absent, c.gateways)
 			}
@@ -61,9 +62,11 @@
 				burstSum, rateSum = burstSum+c.ceilingBurst, rateSum+c.ceilingRate
 			}
 		}
-		p := f.gateways[0].g.settings.Plans[ceilingPlan]
-		if whole := p.CeilingBurst + usedSlackShare*p.CeilingSlack; math.Abs(burstSum-whole) > 1e-6 || math.Abs(rateSum-p.CeilingRate) > 1e-6 {
-			t.Errorf("absent %v: the parts add up to a burst of %v, want %v, and a rate of %v, want %v", absent, burstSum, whole, rateSum, p.CeilingRate)
+		p := f.drivers[0].gateway.settings.Plans[ceilingPlan]
+		if whole := p.CeilingBurst + usedSlackShare*p.CeilingSlack; math.Abs(burstSum-whole) > 1e-6 ||
+			math.Abs(rateSum-p.CeilingRate) > 1e-6 {
+			t.Errorf("absent %v: the parts add up to a burst of %v, want %v, and a rate of %v, want %v", absent, burstSum,
+				whole, rateSum, p.CeilingRate)
 		}
 	}
 }
@@ -72,14 +75,14 @@
 // empty.
 func TestUncertainGatewayHasNoPartOfCeiling(t *testing.T) {
 	f := newCeilingFleet(t, 2)
-	now := f.gateways[0].now
+	now := f.drivers[0].now
 	changeMembership(f, now, FleetChanged{IsUncertain: true}, 0, 1)
 	if n := countSentUnderCeiling(f, now+time.Second, now+3*time.Second, -1); n != 0 {
 		t.Errorf("uncertain gateways sent %d requests, want 0", n)
 	}
 	changeMembership(f, now+3*time.Second, FleetChanged{}, 0, 1)
-	for index, d := range f.gateways { // the same for a customer whose first request comes now
-		if c := d.g.ensureCustomer(8, ceilingPlan, 2, 0); c.hasCeilingTokens(now+3*time.Second+ms, 1) {
+	for index, d := range f.drivers { // the same for a customer whose first request comes now
+		if c := d.gateway.ensureCustomer(8, ceilingPlan, 2, 0); c.hasCeilingTokens(now+3*time.Second+ms, 1) {
 			t.Errorf("gateway %d has ceiling tokens at once, want an empty part", index)
 		}
 	}
@@ -92,7 +95,7 @@
 // returns, they have their former parts.
 func TestPresentGatewaysTakeOverCeilingOfAbsentOne(t *testing.T) {
 	f := newCeilingFleet(t, 3)
-	now := f.gateways[0].now
+	now := f.drivers[0].now
 	spent := countSentUnderCeiling(f, now+time.Second, now+20*time.Second, -1) // afterwards the parts are empty
 	if spent < 18*17 {
 		t.Fatalf("%d requests sent in 19 s, want 18 a second for at least 17 s", spent)
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -25,13 +25,14 @@
 	add := onlyAction[CounterAdd](d)
 	d.handle(CounterAnswered{Name: add.Name, Total: 11, Took: 2 * ms, Outcome: OK})
 	requireNone[Send](d)
-	counter := d.g.customers[5].quotaCounter
+	counter := d.gateway.customers[5].quotaCounter
 	refusal := onlyAction[Refuse](d)
-	if counter.length != 4*time.Second || counter.windowAt(d.now+refusal.RetryAfter) != counter.window+1 || counter.windowAt(d.now+refusal.RetryAfter-1) != counter.window {
+	if counter.length != 4*time.Second || counter.windowAt(d.now+refusal.RetryAfter) != counter.window+1 ||
+		counter.windowAt(d.now+refusal.RetryAfter-1) != counter.window {
 		t.Fatalf("retry after %v is not the end of the customer's window of %v", refusal.RetryAfter, counter.length)
 	}
 	// The units of the refused request are taken back with the next call of that name.
-	d.g.callsPerRequest = 0 // so that the next request queries the counter
+	d.gateway.callsPerRequest = 0 // so that the next request queries the counter
 	d.arrive(2, 0, quotaPlan, 1)
 	if next := onlyAction[CounterAdd](d); next.Name != add.Name || next.Delta != 1-3 {
 		t.Fatalf("next call %+v after %+v, want the same name and the refused units taken back", next, add)
@@ -61,8 +62,8 @@
 	add := onlyAction[CounterAdd](d)
 	d.handle(CounterAnswered{Name: add.Name, Total: 8, Took: 2 * ms, Outcome: OK})
 	onlyAction[Send](d)
-	d.g.callsPerRequest = 0 // so that the next request queries the counter
-	d.advance(20 * ms)      // a new window, whose count starts at 0
+	d.gateway.callsPerRequest = 0 // so that the next request queries the counter
+	d.advance(20 * ms)            // a new window, whose count starts at 0
 	d.arrive(2, 0, quotaPlan, 8)
 	for _, add := range actionsOf[CounterAdd](d.takeActions()) {
 		total := add.Delta
@@ -94,7 +95,7 @@
 	add := onlyAction[CounterAdd](d)
 	d.handle(CounterAnswered{Name: add.Name, Total: 8, Took: 2 * ms, Outcome: OK})
 	d.takeActions()
-	d.g.callsPerRequest = 0 // so that the next request queries the counter
+	d.gateway.callsPerRequest = 0 // so that the next request queries the counter
 	d.arrive(2, 0, quotaPlan, 4)
 	add = onlyAction[CounterAdd](d)
 	d.handle(CounterAnswered{Name: add.Name, Total: 4, Took: 2 * ms, Outcome: OK})
@@ -121,7 +122,7 @@
 	requireNone[Send](d)
 	answerCalls()
 	d.advance(40 * ms)
-	d.endAttempt(1, 0, d.g.requests[1].attempts[0].server.Name, OK)
+	d.endAttempt(1, 0, d.gateway.requests[1].attempts[0].server.Name, OK)
 	answerCalls()
 	if total != 1 {
 		t.Fatalf("the in-flight counter is at %v with one request in flight", total)
@@ -154,10 +155,10 @@
 		counterName, total, id := "", 0.0, uint64(0)
 		for step := range 600 { // 30 s: ten requests a second arrive here, five units a second are used elsewhere
 			d.advance(50 * ms)
-			d.g.queryShareAverage, d.g.queryShare = queryShareAverage, 0
+			d.gateway.queryShareAverage, d.gateway.queryShare = queryShareAverage, 0
 			total += 0.25
 			if step%20 == 0 { // one request a second queries the counter
-				d.g.queryShare = 1
+				d.gateway.queryShare = 1
 			}
 			if step%2 == 1 {
 				continue
@@ -168,7 +169,7 @@
 				actions := d.takeActions()
 				for _, add := range actionsOf[CounterAdd](actions) {
 					if counterName != add.Name { // a new window
-						counterName, total = add.Name, 5*d.g.customers[5].quotaCounter.elapsed(d.now).Seconds()
+						counterName, total = add.Name, 5*d.gateway.customers[5].quotaCounter.elapsed(d.now).Seconds()
 					}
 					total += add.Delta
 					d.handle(CounterAnswered{Name: counterName, Total: total, Took: 2 * ms, Outcome: OK})
@@ -197,9 +198,9 @@
 	countQueries := func(queryShare, usedUnits float64) (queries int) {
 		d := newDriver(t, s, "s1", "s2")
 		for id := uint64(1); id <= 200; id++ {
-			d.g.queryShareAverage, d.g.queryShare = queryShare, queryShare
-			c := d.g.ensureCustomer(5, quotaPlan, 2, 0)
-			d.g.rollWindow(c, &c.quotaCounter)
+			d.gateway.queryShareAverage, d.gateway.queryShare = queryShare, queryShare
+			c := d.gateway.ensureCustomer(5, quotaPlan, 2, 0)
+			d.gateway.rollWindow(c, &c.quotaCounter)
 			c.quotaTokens, c.quotaTokensAt, c.quotaCounter.pending = 100-usedUnits, d.now, usedUnits
 			d.arrive(id, 0, quotaPlan, 1)
 			if queries += len(actionsOf[CounterAdd](d.actions)); len(actionsOf[Send](d.takeActions())) > 0 {
@@ -210,7 +211,8 @@
 		}
 		return queries
 	}
-	if farFromQuota, nearQuota := countQueries(0.2, 1), countQueries(0.2, 60); nearQuota < 3*farFromQuota || nearQuota < 100 {
+	if farFromQuota, nearQuota := countQueries(0.2, 1), countQueries(0.2, 60); nearQuota < 3*farFromQuota ||
+		nearQuota < 100 {
 		t.Fatalf("%d counter calls far from the quota, %d near it", farFromQuota, nearQuota)
 	}
 	if n := countQueries(1, 1); n != 200 {
--- a/admission/servers_test.go
+++ b/admission/servers_test.go
@@ -68,7 +68,7 @@
 	if warm := (sent["s2"] + sent["s3"]) / 2; sent["s1"] == 0 || 2*sent["s1"] > warm {
 		t.Fatalf("sent %v", sent)
 	}
-	d.advance(d.g.settings.WarmUpTime)
+	d.advance(d.gateway.settings.WarmUpTime)
 	sent = d.runLoad(5000, 300, 10*ms)
 	if sent["s1"] < 50 {
 		t.Fatalf("the server gets too few requests after its warm-up: %v", sent)
@@ -87,7 +87,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d := &driver{t: t, g: g, now: time.Hour}
+			d := &driver{t: t, gateway: g, now: time.Hour}
 			list := ServerList{Kind: ListCached}
 			for i := range 10 {
 				e := ServerEntry{Name: fmt.Sprintf("s%d", i), Zone: "a", Size: 1}
@@ -160,7 +160,7 @@
 func TestEjectedServerIsUsedAgain(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1", "s2", "s3")
 	d.runLoad(1, 100, 10*ms)
-	d.g.eject(d.g.servers["s1"])
+	d.gateway.eject(d.gateway.servers["s1"])
 	if sent := d.runLoad(1000, 20, 10*ms); sent["s1"] != 0 {
 		t.Fatalf("an ejected server gets requests: %v", sent)
 	}
@@ -195,7 +195,7 @@
 		t.Fatalf("sent %v", sent)
 	}
 	// The reject share of a server that gets no requests is forgotten.
-	if s := d.g.servers["s1"]; s.rejectShare.Value == 0 || s.rejectShareAt(d.now+time.Minute) > 0.01 {
+	if s := d.gateway.servers["s1"]; s.rejectShare.Value == 0 || s.rejectShareAt(d.now+time.Minute) > 0.01 {
 		t.Fatalf("the reject share is not forgotten, or was never learned: %v", s.rejectShare)
 	}
 }
@@ -234,7 +234,7 @@
 		onlyAction[Send](d)
 		d.endAttempt(id, 0, "s1", Broken)
 		d.takeActions()
-		if isSuspect := d.g.isSuspect(d.g.servers["s1"]); isSuspect != (id == 2) {
+		if isSuspect := d.gateway.isSuspect(d.gateway.servers["s1"]); isSuspect != (id == 2) {
 			t.Fatalf("after %d broken connections: suspect %v", id, isSuspect)
 		}
 	}
--- a/admission/settings_change_test.go
+++ b/admission/settings_change_test.go
@@ -32,7 +32,7 @@
 	d.handle(SettingsChanged{changedSettings(func(s *Settings) { s.Classes[0].Effect = Unsafe })})
 	d.handle(RequestArrived{ID: 2, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Gateways: 1})
 	for _, id := range []uint64{1, 2} {
-		r := d.g.requests[id]
+		r := d.gateway.requests[id]
 		d.handle(AttemptEnded{ID: id, Server: r.attempts[0].server.Name, Outcome: Broken, Took: ms})
 	}
 	if sent(1) != 2 || sent(2) != 1 {
@@ -46,13 +46,13 @@
 	d.handle(RequestArrived{ID: 1, Class: 0, ExpiresIn: 2 * time.Second, Units: 1, Customer: 1, Gateways: 1})
 	d.handle(SettingsChanged{changedSettings(func(s *Settings) { s.MaxAttempts = 1 })})
 	d.actions = nil
-	d.handle(AttemptEnded{ID: 1, Server: d.g.requests[1].attempts[0].server.Name, Outcome: Broken, Took: ms})
+	d.handle(AttemptEnded{ID: 1, Server: d.gateway.requests[1].attempts[0].server.Name, Outcome: Broken, Took: ms})
 	for _, a := range d.actions {
 		if _, isSend := a.(Send); isSend {
 			t.Errorf("sent again beyond the new limit of attempts: %v", d.actions)
 		}
 	}
-	if d.g.requests[1] != nil {
+	if d.gateway.requests[1] != nil {
 		t.Error("the request is not finished")
 	}
 }
@@ -61,17 +61,20 @@
 // up. Invalid settings are ignored.
 func TestStateSurvivesSettingsChange(t *testing.T) {
 	d := newDriver(t, testSettings(), "s1")
-	c := d.g.ensureCustomer(7, quotaPlan, 2, 0)
-	c.quotaTokens, c.quotaCounter.window, c.quotaCounter.lastTotal = 5, d.g.customers[7].quotaCounter.windowAt(d.now), 3
-	d.g.servers["s1"].relativeLatency, d.g.classLatency[0].Latency = 3, 0.2
+	c := d.gateway.ensureCustomer(7, quotaPlan, 2, 0)
+	c.quotaTokens, c.quotaCounter.window, c.quotaCounter.lastTotal =
+		5, d.gateway.customers[7].quotaCounter.windowAt(d.now), 3
+	d.gateway.servers["s1"].relativeLatency, d.gateway.classLatency[0].Latency = 3, 0.2
 	d.handle(SettingsChanged{changedSettings(func(s *Settings) {
 		s.Classes = append(s.Classes, Class{Name: "new", LatencyTarget: ms, Deadline: time.Second, Worth: 1})
 		s.Plans[quotaPlan].WorthFactor = 9
 	})})
-	if got := d.g.ensureCustomer(7, quotaPlan, 2, 0); got != c || c.quotaTokens != 5 || c.quotaCounter.lastTotal != 3 || c.plan.WorthFactor != 9 {
+	if got := d.gateway.ensureCustomer(7, quotaPlan, 2, 0); got != c || c.quotaTokens != 5 ||
+		c.quotaCounter.lastTotal != 3 || c.plan.WorthFactor != 9 {
 		t.Errorf("the customer has changed: %+v", got)
 	}
-	if d.g.servers["s1"].relativeLatency != 3 || d.g.classLatency[0].Latency != 0.2 || len(d.g.classLatency) != 5 || len(d.g.admitExponents) != 5 {
+	if d.gateway.servers["s1"].relativeLatency != 3 || d.gateway.classLatency[0].Latency != 0.2 ||
+		len(d.gateway.classLatency) != 5 || len(d.gateway.admitExponents) != 5 {
 		t.Error("what is known of servers or classes is lost")
 	}
 	d.handle(SettingsChanged{changedSettings(func(s *Settings) {
@@ -79,11 +82,12 @@
 		s.Plans[quotaPlan].Burst = 2
 	})})
 	if c.quotaTokens != 2 || c.quotaCounter.length != time.Second || c.quotaCounter.lastTotal != 0 {
-		t.Errorf("%v local tokens, want 2; windows of %v, want 1s; last total %v, want 0", c.quotaTokens, c.quotaCounter.length, c.quotaCounter.lastTotal)
+		t.Errorf("%v local tokens, want 2; windows of %v, want 1s; last total %v, want 0", c.quotaTokens,
+			c.quotaCounter.length, c.quotaCounter.lastTotal)
 	}
-	before := d.g.settings.MaxAttempts
+	before := d.gateway.settings.MaxAttempts
 	d.handle(SettingsChanged{changedSettings(func(s *Settings) { s.MaxAttempts, s.Gateways = 1, 0 })})
-	if d.g.settings.MaxAttempts != before {
+	if d.gateway.settings.MaxAttempts != before {
 		t.Error("invalid settings are applied")
 	}
 }
@@ -94,13 +98,15 @@
 func TestTotalsAdmitNothingWhileWindowLengthsChange(t *testing.T) {
 	s := changedSettings(func(s *Settings) {
 		s.Gateways, s.MaxUnits = 40, 1
-		s.Plans = append(s.Plans, Plan{Name: "joint", Rate: 4, Burst: 8, CeilingRate: 8, CeilingBurst: 16, CeilingSlack: 1, OverQuotaCost: 1})
+		s.Plans = append(s.Plans, Plan{Name: "joint", Rate: 4, Burst: 8, CeilingRate: 8, CeilingBurst: 16,
+			CeilingSlack: 1, OverQuotaCost: 1})
 	})
 	totalsPlan := len(s.Plans) - 1
 	d := newDriver(t, s, "s1")
 	isAdmitted := func(id uint64) bool {
 		d.advance(ms)
-		d.handle(RequestArrived{ID: id, Class: 0, Plan: totalsPlan, ExpiresIn: time.Second, Units: 1, Customer: 9, Gateways: 40})
+		d.handle(RequestArrived{ID: id, Class: 0, Plan: totalsPlan, ExpiresIn: time.Second, Units: 1, Customer: 9,
+			Gateways: 40})
 		for _, a := range d.takeActions() {
 			if add, ok := a.(CounterAdd); ok {
 				d.handle(CounterAnswered{Name: add.Name, Total: add.Delta, Took: ms, Outcome: OK})
@@ -151,16 +157,16 @@
 		d.handle(ServerList{Kind: ListChanges, Servers: []ServerEntry{{Name: "s1", Zone: "a", Size: 1, Boot: boot}}})
 	}
 	announceBoot(d.now - time.Minute)
-	if share := d.g.capacityShare(d.g.servers["s1"]); share != 1 {
+	if share := d.gateway.capacityShare(d.gateway.servers["s1"]); share != 1 {
 		t.Fatalf("capacity share %v a minute after the start, want 1", share)
 	}
-	d.g.servers["s1"].failures = 3
+	d.gateway.servers["s1"].failures = 3
 	announceBoot(d.now - 2*time.Minute)
-	if s := d.g.servers["s1"]; s.failures != 0 || s.startedAt != d.now-2*time.Minute {
+	if s := d.gateway.servers["s1"]; s.failures != 0 || s.startedAt != d.now-2*time.Minute {
 		t.Errorf("an earlier start is not taken for a restart: %+v", s)
 	}
 	announceBoot(0)
-	if s := d.g.servers["s1"]; s.startedAt != d.now-2*time.Minute {
+	if s := d.gateway.servers["s1"]; s.startedAt != d.now-2*time.Minute {
 		t.Error("a start of 0 is taken for a restart")
 	}
 }
--- a/admission/simulation_test.go
+++ b/admission/simulation_test.go
@@ -14,7 +14,7 @@
 // sends, time limits, cancels and timers. A host serves a few requests at a time, and the others wait in its queue.
 // Each attempt ends once. Requests have no quota.
 type simulation struct {
-	gateways       []*driver
+	drivers        []*driver
 	hosts          map[string]*simulatedHost // by name
 	now            time.Duration
 	events         eventQueue
@@ -31,7 +31,7 @@
 // simulatedHost serves as many requests at a time as it has slots.
 type simulatedHost struct {
 	freeAt  []time.Duration                                   // when each slot is free
-	respond func(took time.Duration) (Outcome, time.Duration) // changes an answer after the service time took; nil: no change
+	respond func(took time.Duration) (Outcome, time.Duration) // outcome and time, from the service time; nil: OK after it
 }
 
 // scheduledEvent is a function that is called at a time of the simulation.
@@ -72,7 +72,7 @@
 		s.Classes, s.Gateways, s.Index = classes, gatewayCount, index
 		d := newDriver(t, s)
 		d.handle(list)
-		sim.gateways = append(sim.gateways, d)
+		sim.drivers = append(sim.drivers, d)
 	}
 	sim.serverList = list
 	return sim
@@ -98,7 +98,7 @@
 	sim.hosts[name].respond = func(took time.Duration) (Outcome, time.Duration) {
 		return OK, time.Duration(float64(took) / estimate.WarmUpShare(sim.now, boot, s.WarmUpTime, s.InitialCapacity))
 	}
-	for index := range sim.gateways {
+	for index := range sim.drivers {
 		list := sim.serverList
 		list.Servers = append([]ServerEntry(nil), sim.serverList.Servers...)
 		sim.handle(index, list)
@@ -123,8 +123,8 @@
 
 // handle passes an event to a gateway and carries out its actions.
 func (sim *simulation) handle(gateway int, ev Event) {
-	d := sim.gateways[gateway]
-	for _, a := range append([]Action(nil), d.g.Handle(sim.now, ev)...) {
+	d := sim.drivers[gateway]
+	for _, a := range append([]Action(nil), d.gateway.Handle(sim.now, ev)...) {
 		switch a := a.(type) {
 		case SetTimer:
 			sim.schedule(max(a.At, sim.now), func() { sim.handle(gateway, TimerFired{a.Token}) })
@@ -142,7 +142,7 @@
 	if sim.onSend != nil {
 		sim.onSend(send.Server)
 	}
-	r := sim.gateways[gateway].g.requests[send.ID]
+	r := sim.drivers[gateway].gateway.requests[send.ID]
 	attempt, class, sentAt := len(r.attempts)-1, r.classIndex, sim.now
 	host, meanServiceTime := sim.hosts[send.Server], r.class.LatencyTarget/8
 	slot := 0
@@ -175,7 +175,7 @@
 
 // endAttempt reports the end of an attempt to its gateway, unless it has ended before.
 func (sim *simulation) endAttempt(gateway int, id uint64, attempt int, outcome Outcome) {
-	r := sim.gateways[gateway].g.requests[id]
+	r := sim.drivers[gateway].gateway.requests[id]
 	if r == nil || !r.attempts[attempt].isLive {
 		return
 	}
@@ -197,12 +197,12 @@
 			sim.arrived[class]++
 		}
 		sim.sequence++
-		gateway := sim.rng.IntN(len(sim.gateways) + 3*sim.busyGateways)
-		if gateway >= len(sim.gateways) {
-			gateway = (gateway - len(sim.gateways)) % sim.busyGateways
+		gateway := sim.rng.IntN(len(sim.drivers) + 3*sim.busyGateways)
+		if gateway >= len(sim.drivers) {
+			gateway = (gateway - len(sim.drivers)) % sim.busyGateways
 		}
 		sim.handle(gateway, RequestArrived{ID: uint64(sim.sequence), Class: class, Plan: unlimitedPlan,
 			Customer: uint64(sim.sequence), Units: 1, Gateways: 1, FirstGateway: gateway,
-			ExpiresIn: sim.gateways[0].g.settings.Classes[class].Deadline})
+			ExpiresIn: sim.drivers[0].gateway.settings.Classes[class].Deadline})
 	}
 }
--- a/admission/slow_start_test.go
+++ b/admission/slow_start_test.go
@@ -60,12 +60,12 @@
 	capacity := float64(slots) / (class.LatencyTarget / 8).Seconds() // see simulation.startAttempt
 	sim := newSimulation(t, []Class{class}, gateways, servers, slots)
 	sim.busyGateways, sim.rng = gateways/6, rand.New(rand.NewPCG(seed, 2))
-	for index, d := range sim.gateways {
-		*d.g.source = *rand.NewPCG(seed<<8+uint64(index), 0) // each gateway has random draws of its own
-		d.g.settings.WarmUpTime, d.g.settings.InitialCapacity = 16*time.Second, 0.15
-		d.g.settings.ColdOverloadFactor, d.g.settings.ColdOverloadTime = 2, 3*time.Second
+	for index, d := range sim.drivers {
+		*d.gateway.source = *rand.NewPCG(seed<<8+uint64(index), 0) // each gateway has random draws of its own
+		d.gateway.settings.WarmUpTime, d.gateway.settings.InitialCapacity = 16*time.Second, 0.15
+		d.gateway.settings.ColdOverloadFactor, d.gateway.settings.ColdOverloadTime = 2, 3*time.Second
 	}
-	s, shares, rate := sim.gateways[0].g.settings, []float64{1}, 0.6*servers*capacity
+	s, shares, rate := sim.drivers[0].gateway.settings, []float64{1}, 0.6*servers*capacity
 	sim.generateLoad(5*time.Second, rate, shares)
 	coldServers := map[string]*coldServer{}
 	sim.onSend = func(server string) {
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -14,20 +14,23 @@
 // handover covers all state.
 func handoverSettings() Settings {
 	return Settings{Gateways: 3, Index: 1, Zone: "a", Tick: ms, HasCounter: true, CounterTimeout: 30 * ms, MaxUnits: 1,
-		MaxAttempts: 3, MaxRetryAfter: time.Second, CanSendRetryAfter: true, CanCancel: true, WarmUpTime: 5 * time.Second, InitialCapacity: 0.2,
+		MaxAttempts: 3, MaxRetryAfter: time.Second, CanSendRetryAfter: true, CanCancel: true,
+		WarmUpTime: 5 * time.Second, InitialCapacity: 0.2,
 		Classes: []Class{
 			{Name: "stock", LatencyTarget: 300 * ms, Deadline: time.Second, Worth: 3, Effect: Safe},
-			{Name: "order", LatencyTarget: 300 * ms, Deadline: time.Second, Worth: 2, Effect: Keyed, Scope: ScopeCell, RepeatWindow: time.Second},
+			{Name: "order", LatencyTarget: 300 * ms, Deadline: time.Second, Worth: 2, Effect: Keyed, Scope: ScopeCell,
+				RepeatWindow: time.Second},
 			{Name: "pay", LatencyTarget: 300 * ms, Deadline: time.Second, Worth: 2, Effect: Unsafe}},
 		Plans: []Plan{{Name: "boutique", Rate: 2, Burst: 8, WorthFactor: 1, OverQuotaWorth: 0.1},
-			{Name: "distributeur", Rate: 5, Burst: 10, WorthFactor: 1, OverQuotaCost: 1, CeilingRate: 10, CeilingBurst: 20, CeilingSlack: 2},
+			{Name: "distributeur", Rate: 5, Burst: 10, WorthFactor: 1, OverQuotaCost: 1, CeilingRate: 10,
+				CeilingBurst: 20, CeilingSlack: 2},
 			{Name: "open", MaxInFlight: 2, WorthFactor: 1}}}
 }
 
 // process is the host process of a gateway. It tracks open attempts, counter calls and timers, so that it draws only
 // events that the host contract allows.
 type process struct {
-	g             *Gateway
+	gateway       *Gateway
 	now           time.Duration
 	lastID        uint64         // id of the last request
 	openAttempts  []AttemptEnded // the event of each open attempt, without its outcome
@@ -87,14 +90,15 @@
 	p.lastID++
 	plan := rapid.IntRange(-1, 2).Draw(t, "plan")
 	return RequestArrived{ID: p.lastID, Class: rapid.IntRange(0, 2).Draw(t, "class"), Plan: plan,
-		Customer: rapid.Uint64Range(1, 3).Draw(t, "customer")*10 + uint64(plan+1), ExpiresIn: time.Second, Units: 1, Gateways: 2}
+		Customer: rapid.Uint64Range(1, 3).Draw(t, "customer")*10 + uint64(plan+1), ExpiresIn: time.Second, Units: 1,
+		Gateways: 2}
 }
 
 // newProcess returns a process whose gateway has a list of four servers in two cells.
 func newProcess(t require.TestingT) *process {
 	g, err := New(handoverSettings(), 7)
 	require.NoError(t, err)
-	p := &process{g: g, now: time.Hour, attemptCounts: map[uint64]int{}}
+	p := &process{gateway: g, now: time.Hour, attemptCounts: map[uint64]int{}}
 	var list []ServerEntry
 	for i := range 4 {
 		list = append(list, ServerEntry{Name: fmt.Sprint("s", i), Zone: "a", Cell: i / 2})
@@ -124,19 +128,19 @@
 		p := newProcess(t)
 		before := rapid.IntRange(0, 60).Draw(t, "before")
 		for range before {
-			p.record(p.g.Handle(p.now, p.drawEvent(t)))
+			p.record(p.gateway.Handle(p.now, p.drawEvent(t)))
 		}
-		restored := restoredCopy(t, p.g, 99)
+		restored := restoredCopy(t, p.gateway, 99)
 		for range 40 {
 			ev := p.drawEvent(t)
-			want := p.record(p.g.Handle(p.now, ev))
+			want := p.record(p.gateway.Handle(p.now, ev))
 			got := restored.Handle(p.now, ev)
 			require.Len(t, got, len(want), "%T", ev)
 			for i := range want {
 				require.Equal(t, want[i], got[i], "%T", ev)
 			}
 		}
-		wantState, err := p.g.State()
+		wantState, err := p.gateway.State()
 		require.NoError(t, err)
 		gotState, err := restored.State()
 		require.NoError(t, err)
@@ -150,24 +154,24 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newProcess(t)
 		for range rapid.IntRange(0, 60).Draw(t, "before") {
-			p.record(p.g.Handle(p.now, p.drawEvent(t)))
+			p.record(p.gateway.Handle(p.now, p.drawEvent(t)))
 		}
 		p.now++
 		since, before := p.now, map[uint64]CustomerState{}
-		for _, id := range p.g.Customers(0) {
-			before[id], _ = p.g.Customer(id)
+		for _, id := range p.gateway.Customers(0) {
+			before[id], _ = p.gateway.Customer(id)
 		}
-		for _, id := range p.g.ActiveCustomers() {
+		for _, id := range p.gateway.ActiveCustomers() {
 			delete(before, id)
 		}
 		for range 40 {
-			p.record(p.g.Handle(p.now, p.drawEvent(t)))
+			p.record(p.gateway.Handle(p.now, p.drawEvent(t)))
 		}
-		for _, id := range p.g.Customers(since) {
+		for _, id := range p.gateway.Customers(since) {
 			delete(before, id)
 		}
 		for id, want := range before {
-			if got, ok := p.g.Customer(id); ok {
+			if got, ok := p.gateway.Customer(id); ok {
 				require.Equal(t, want, got)
 			}
 		}
@@ -179,7 +183,7 @@
 func TestSuccessorAndPredecessorKeepCeilingTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newProcess(t)
-		plan := p.g.settings.Plans[1]
+		plan := p.gateway.settings.Plans[1]
 		start, sent := p.now, 0.0
 		arrive := func() Event {
 			p.lastID++
@@ -198,15 +202,15 @@
 		for range 3 {
 			for range rapid.IntRange(0, 50).Draw(t, "calls") {
 				p.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "ms")) * ms
-				recordAndCheck(p.g.Handle(p.now, arrive()))
+				recordAndCheck(p.gateway.Handle(p.now, arrive()))
 				if len(p.openCalls) > 0 && rapid.Bool().Draw(t, "answered") {
-					recordAndCheck(p.g.Handle(p.now, CounterAnswered{Name: p.openCalls[0], Total: 1, Took: ms}))
+					recordAndCheck(p.gateway.Handle(p.now, CounterAnswered{Name: p.openCalls[0], Total: 1, Took: ms}))
 					p.openCalls = p.openCalls[1:]
 				}
 			}
-			predecessor := p.g
-			p.g = restoredCopy(t, predecessor, 5)
-			p.record(p.g.Adopt(p.now))
+			predecessor := p.gateway
+			p.gateway = restoredCopy(t, predecessor, 5)
+			p.record(p.gateway.Adopt(p.now))
 			predecessor.Retire()
 			lastPredecessorID := p.lastID
 			// The predecessor decides its open requests while new ones arrive at the successor.
@@ -215,20 +219,20 @@
 				for _, a := range recordAndCheck(predecessor.Handle(p.now, CounterAnswered{Name: name, Total: 1, Took: ms})) {
 					switch a := a.(type) {
 					case Send:
-						p.g.PredecessorSent(p.now, a.ID, a.Server)
+						p.gateway.PredecessorSent(p.now, a.ID, a.Server)
 					case Refuse:
-						p.record(p.g.PredecessorDone(p.now, a.ID))
+						p.record(p.gateway.PredecessorDone(p.now, a.ID))
 					}
 				}
-				recordAndCheck(p.g.Handle(p.now, arrive()))
+				recordAndCheck(p.gateway.Handle(p.now, arrive()))
 			}
 			for _, s := range p.openAttempts {
 				if s.ID <= lastPredecessorID {
-					p.g.PredecessorAttemptEnded(p.now, AttemptEnded{ID: s.ID, Attempt: s.Attempt, Outcome: OK, Took: 20 * ms})
+					p.gateway.PredecessorAttemptEnded(p.now, AttemptEnded{ID: s.ID, Attempt: s.Attempt, Outcome: OK, Took: 20 * ms})
 				}
 			}
-			p.record(p.g.PredecessorGone(p.now))
-			require.Zero(t, p.g.PredecessorRequests())
+			p.record(p.gateway.PredecessorGone(p.now))
+			require.Zero(t, p.gateway.PredecessorRequests())
 			p.openCalls, p.openAttempts = nil, nil
 		}
 	})
@@ -236,10 +240,10 @@
 
 func TestPredecessorAttemptsCountUntilTheyEnd(t *testing.T) {
 	p := newProcess(t)
-	p.record(p.g.Handle(p.now, RequestArrived{ID: 1, Class: 0, Plan: -1, ExpiresIn: time.Second, Units: 1}))
+	p.record(p.gateway.Handle(p.now, RequestArrived{ID: 1, Class: 0, Plan: -1, ExpiresIn: time.Second, Units: 1}))
 	require.Len(t, p.openAttempts, 1)
 	server := p.openAttempts[0].Server
-	successor := restoredCopy(t, p.g, 3)
+	successor := restoredCopy(t, p.gateway, 3)
 	successor.Adopt(p.now)
 	require.Len(t, successor.servers[server].outstanding, 1)
 	require.Equal(t, 1.0, successor.liveAttempts)
@@ -255,12 +259,13 @@
 func TestReclaimedGatewayStartsWithEmptyCeilings(t *testing.T) {
 	p := newProcess(t)
 	arrive := func(id uint64) []Action {
-		return p.record(p.g.Handle(p.now, RequestArrived{ID: id, Class: 0, Plan: 1, Customer: 9, ExpiresIn: time.Second, Units: 1, Gateways: 3}))
+		return p.record(p.gateway.Handle(p.now, RequestArrived{ID: id, Class: 0, Plan: 1, Customer: 9,
+			ExpiresIn: time.Second, Units: 1, Gateways: 3}))
 	}
 	arrive(1)
 	p.now += 10 * time.Second
 	require.IsType(t, CounterAdd{}, arrive(2)[0])
-	p.g.Reclaim(p.now)
+	p.gateway.Reclaim(p.now)
 	require.IsType(t, Refuse{}, arrive(3)[0])
 }
 
@@ -269,13 +274,13 @@
 func TestKeyThatMayHaveRunIsSentOnlyToItsCell(t *testing.T) {
 	p := newProcess(t)
 	for id := range uint64(4) { // as many as the cell's two servers may hold
-		got := p.record(p.g.Handle(p.now, RequestArrived{ID: id + 1, Class: 1, Plan: -1, ExpiresIn: time.Second, Units: 1,
-			PriorAttempt: &PriorAttempt{Server: "gone", Zone: "a", Cell: 1, SentAt: p.now - 500*ms}}))
+		got := p.record(p.gateway.Handle(p.now, RequestArrived{ID: id + 1, Class: 1, Plan: -1, ExpiresIn: time.Second,
+			Units: 1, PriorAttempt: &PriorAttempt{Server: "gone", Zone: "a", Cell: 1, SentAt: p.now - 500*ms}}))
 		require.IsType(t, Send{}, got[0])
 		require.Contains(t, []string{"s2", "s3"}, got[0].(Send).Server)
 	}
 	p.now += time.Second
-	got := p.record(p.g.Handle(p.now, RequestArrived{ID: 90, Class: 1, Plan: -1, ExpiresIn: time.Second, Units: 1,
+	got := p.record(p.gateway.Handle(p.now, RequestArrived{ID: 90, Class: 1, Plan: -1, ExpiresIn: time.Second, Units: 1,
 		PriorAttempt: &PriorAttempt{Server: "s2", Zone: "a", Cell: 1, SentAt: p.now - time.Second}}))
 	require.IsType(t, Fail{}, got[0], "the repeat window is over")
 }
