--- a/admission/class_worth_test.go
+++ b/admission/class_worth_test.go
@@ -120,7 +120,8 @@
 	require.Equal(t, 4, d.fillServers(1, 0), "two at each server")
 }
 
-// A repeat of a request that may have run can't be refused, so the capacity left for higher worth does not limit it.
+// A repeat of a request that may have run can't be refused. It is allowed to finish, whatever capacity is to be left
+// for higher worth.
 func TestRepeatThatMayHaveRunIsNotLimitedByShortage(t *testing.T) {
 	d := newClassDriver(t, []Class{
 		{LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Worth: 1, Effect: Keyed, Scope: ScopeZone,
--- a/admission/driver_test.go
+++ b/admission/driver_test.go
@@ -8,7 +8,7 @@
 const ms = time.Millisecond
 
 // testSettings returns settings for two gateways with a counter, classes of every effect and plans of every kind. A
-// test changes what it is about.
+// test changes what it is about. Tests give classes by their index: 0 safe, 1 keyed, 2 unsafe, 3 keyed in its zone.
 func testSettings() Settings {
 	return Settings{
 		Gateways: 2, Zone: "a", Tick: 2 * ms,
--- a/admission/servers_test.go
+++ b/admission/servers_test.go
@@ -15,7 +15,7 @@
 		}
 		for _, s := range actionsOf[Send](d.takeActions()) {
 			if s.Server != "s2" {
-				t.Fatalf("sent to %s", s.Server)
+				t.Fatalf("a request is sent to %s, want s2", s.Server)
 			}
 		}
 	}
@@ -26,7 +26,7 @@
 	}
 	for _, s := range actionsOf[Send](d.takeActions()) {
 		if s.Server != "s2" {
-			t.Fatalf("sent to %s", s.Server)
+			t.Fatalf("a request is sent to %s, want s2", s.Server)
 		}
 	}
 }
@@ -36,14 +36,14 @@
 func (d *driver) runLoad(first uint64, requests int, interval time.Duration) map[string]int {
 	sent := map[string]int{}
 	type openAttempt struct {
-		at time.Duration
-		s  Send
+		endsAt time.Duration
+		send   Send
 	}
 	var open []openAttempt
 	for id := first; id < first+uint64(requests); id++ {
 		d.advance(interval)
-		for len(open) > 0 && open[0].at <= d.now {
-			d.endAttempt(open[0].s.ID, 0, open[0].s.Server, OK)
+		for len(open) > 0 && open[0].endsAt <= d.now {
+			d.endAttempt(open[0].send.ID, 0, open[0].send.Server, OK)
 			open = open[1:]
 		}
 		d.arrive(id, 0, unlimitedPlan, 1)
@@ -53,8 +53,8 @@
 		}
 	}
 	for _, o := range open {
-		d.now = max(d.now, o.at)
-		d.endAttempt(o.s.ID, 0, o.s.Server, OK)
+		d.now = max(d.now, o.endsAt)
+		d.endAttempt(o.send.ID, 0, o.send.Server, OK)
 	}
 	return sent
 }
