--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -15,125 +15,135 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Progress is what who asked for an upgrade is told.
+// Progress is a message of the control socket about a command that takes time. An upgrade sends one for each phase and
+// one with the result; other commands, and commands that are refused, send only the result.
 type Progress struct {
-	Text string `json:"text,omitempty"`
-	// Of the last one.
-	Done      bool   `json:"done,omitempty"`
-	OK        bool   `json:"ok,omitempty"`
-	Pid       int    `json:"pid,omitempty"` // of the process that serves now
-	FreezeUS  int64  `json:"freeze_us,omitempty"`
-	Customers uint64 `json:"customers,omitempty"`
-	Clients   int    `json:"clients,omitempty"`   // connections handed over
-	Upstreams int    `json:"upstreams,omitempty"` // idle ones handed over
+	Text string `json:"text,omitempty"` // name of the phase, or why the command failed
+
+	// The fields below are set in the result only, and those below Pid by an upgrade that succeeded.
+
+	IsDone              bool   `json:"done,omitempty"` // this is the result
+	Succeeded           bool   `json:"ok,omitempty"`
+	Pid                 int    `json:"pid,omitempty"`       // of the process that serves now
+	FreezeMicroseconds  int64  `json:"freeze_us,omitempty"` // for which neither process read from clients
+	Customers           uint64 `json:"customers,omitempty"` // customers whose state was handed over
+	ClientConnections   int    `json:"clients,omitempty"`   // client connections handed over so far
+	UpstreamConnections int    `json:"upstreams,omitempty"` // idle upstream connections handed over so far
 }
 
-// predecessor carries out what the old process's machine wants.
-type predecessor struct {
-	d       *Daemon
-	machine phase.Old
-	timer   *loop.Timer
-	tell    func(Progress)
+// predecessorRole is a process's side of the handovers to its successors. It carries out the actions of the state
+// machine phase.Old and belongs to the loop's goroutine.
+type predecessorRole struct {
+	daemon     *Daemon
+	machine    phase.Old
+	phaseTimer *loop.Timer    // ends the present phase
+	onProgress func(Progress) // nil: nobody waits for the result
 
-	peer      *peer
-	ids       []uint64      // of customers still to be copied ahead
-	since     time.Duration // who has asked since then is copied again,
-	unsettled []uint64      // as are those of whom something was open then
-	freezing  bool          // the snapshot is taken when this turn's events are handled
-	frozenAt  time.Duration
-	report    Progress
+	successor         *successorProcess // nil: there is none
+	customersToCopy   []uint64          // ids of customers still to be copied before the snapshot
+	copyStartedAt     time.Duration     // customers with requests since then are sent again with the snapshot
+	activeAtCopyStart []uint64          // ids of customers with open requests then: they are sent again, too
+	isSnapshotDue     bool              // the snapshot is taken once this turn's events are handled
+	frozenAt          time.Duration     // when this process stopped reading from clients
+	result            Progress          // of the present handover
 }
 
-// upgrade begins one, and tells why it does not.
-func (d *Daemon) upgrade(tell func(Progress)) string {
+// upgrade begins an upgrade: it starts the binary that is at the path of this one now and hands over to it. If it can't,
+// it returns the reason, else an empty string. report is called on the loop with each phase and with the result.
+func (d *Daemon) upgrade(report func(Progress)) string {
 	switch {
-	case d.trial():
+	case d.isTakingOver():
 		return "the upgrade that started this process is not over"
-	case d.draining:
+	case d.isDraining:
 		return "the ingress is ending"
-	case d.pred.machine.UnderWay():
+	case d.asPredecessor.machine.UnderWay():
 		return "an upgrade is under way"
-	case d.group == nil && d.members != nil && !d.members.Node().Settled(d.loop.Now()):
+	case d.controlGroup == nil && d.members != nil && !d.members.Node().Settled(d.loop.Now()):
 		return "the membership has not settled"
-	case len(d.o.Command) == 0:
+	case len(d.options.UpgradeCommand) == 0:
 		return "the path of the binary is not known"
 	}
-	p := d.pred
-	p.tell, p.report = tell, Progress{}
+	p := d.asPredecessor
+	p.onProgress, p.result = report, Progress{}
 	p.machine.Beside = false
-	d.log.Info("upgrade begun", "binary", d.o.Command[0])
+	d.log.Info("upgrade begun", "binary", d.options.UpgradeCommand[0])
 	p.handle(phase.Asked{})
 	return ""
 }
 
-func (p *predecessor) handle(ev phase.Event) {
-	was := p.machine.State
+// handle passes an event to the state machine, reports a new phase and carries out the actions.
+func (p *predecessorRole) handle(ev phase.Event) {
+	previous := p.machine.State
 	actions := p.machine.Handle(ev)
-	if is := p.machine.State; is != was && is != phase.Idle && is != phase.Over {
-		p.say(Progress{Text: is.String()})
+	if current := p.machine.State; current != previous && current != phase.Idle && current != phase.Over {
+		p.reportProgress(Progress{Text: current.String()})
 	}
-	for _, a := range actions {
-		p.do(a)
+	for _, action := range actions {
+		p.execute(action)
 	}
 }
 
-func (p *predecessor) say(progress Progress) {
-	if p.tell != nil {
-		p.tell(progress)
+// reportProgress passes a message to the caller of upgrade, if there is one.
+func (p *predecessorRole) reportProgress(progress Progress) {
+	if p.onProgress != nil {
+		p.onProgress(progress)
 	}
 }
 
-func (p *predecessor) send(e *pb.Envelope, fds ...int) {
-	if p.peer != nil {
-		p.peer.conn.Send(e, fds...)
+// send sends a message and descriptors to the successor. Without a successor the descriptors are closed.
+func (p *predecessorRole) send(e *pb.Envelope, fds ...int) {
+	if p.successor != nil {
+		p.successor.conn.Send(e, fds...)
 		return
 	}
-	for _, fd := range fds { // a successor that was to end has ended first: there is nobody to go on with it
+	for _, fd := range fds { // a successor that was told to end has ended first: no process is left to take them
 		loop.CloseFD(fd)
 	}
 }
 
-func (p *predecessor) do(a phase.Action) {
-	d := p.d
-	lim := d.cfg.Limits
-	switch a {
+// execute carries out one action of the state machine.
+func (p *predecessorRole) execute(action phase.Action) {
+	d := p.daemon
+	bounds := d.cfg.Limits
+	switch action {
 	case phase.Spawn:
-		if !p.machine.Beside { // else it has come by itself
+		if !p.machine.Beside { // otherwise the platform has started the successor
 			p.spawn()
 		}
 	case phase.StartClock:
-		most := map[phase.OldState]time.Duration{phase.Starting: lim.HelloTimeout, phase.Preparing: lim.PrepareTimeout,
-			phase.Copying: lim.CopyTimeout, phase.Frozen: lim.FreezeTimeout, phase.Probation: lim.ProbationPeriod}[p.machine.State]
-		p.timer = d.loop.After(most, func() { p.handle(phase.TimeUp{}) })
+		timeout := map[phase.OldState]time.Duration{phase.Starting: bounds.HelloTimeout, phase.Preparing: bounds.PrepareTimeout,
+			phase.Copying: bounds.CopyTimeout, phase.Frozen: bounds.FreezeTimeout, phase.Probation: bounds.ProbationPeriod}[p.machine.State]
+		p.phaseTimer = d.loop.After(timeout, func() { p.handle(phase.TimeUp{}) })
 	case phase.StopClock:
-		p.timer.Stop()
+		p.phaseTimer.Stop()
 	case phase.SendWelcome:
-		p.send(&pb.Envelope{Body: &pb.Envelope_Welcome{Welcome: &pb.Welcome{Protocol: phase.Protocol, Version: d.o.Version,
+		p.send(&pb.Envelope{Body: &pb.Envelope_Welcome{Welcome: &pb.Welcome{Protocol: phase.Protocol, Version: d.options.Version,
 			Name: d.cfg.Name, Listeners: d.server.ListenerAddresses()}}})
 	case phase.CopyAhead:
-		p.since, p.ids, p.unsettled = d.loop.Now(), d.module.Customers(0), d.module.ActiveCustomers()
-		p.copyAhead()
+		p.copyStartedAt, p.customersToCopy, p.activeAtCopyStart = d.loop.Now(), d.module.Customers(0), d.module.ActiveCustomers()
+		p.copyCustomers()
 	case phase.Freeze:
 		p.frozenAt = d.loop.Now()
 		d.server.Suspend()
 	case phase.SendSnapshot:
-		p.freezing = true
+		p.isSnapshotDue = true
 	case phase.SendCommit:
 		p.commit()
 	case phase.Unfreeze:
-		p.freezing = false
+		p.isSnapshotDue = false
 		d.core.CancelHandover()
 		d.server.Resume()
 	case phase.SendAbort:
 		p.send(&pb.Envelope{Body: &pb.Envelope_Abort{Abort: &pb.Abort{Reason: p.machine.Failure}}})
 	case phase.Kill:
-		if p.peer != nil && p.peer.cmd != nil {
-			_ = p.peer.cmd.Process.Kill() // it may have ended already
+		if p.successor != nil && p.successor.cmd != nil {
+			_ = p.successor.cmd.Process.Kill() // it may have ended already
 		}
-		if r := p.peer; r != nil && p.machine.Beside { // it begins by itself once it has heard, or sees the end
-			p.peer = nil
-			r.conn.WhenDry(r.conn.Close)
-			d.loop.After(lim.DrainFlushPeriod, r.conn.Close)
+		// A replacement restarts without a predecessor once it has read the abort or sees the connection end.
+		if successor := p.successor; successor != nil && p.machine.Beside {
+			p.successor = nil
+			successor.conn.WhenDry(successor.conn.Close)
+			d.loop.After(bounds.DrainFlushPeriod, successor.conn.Close)
 		}
 	case phase.Reclaim:
 		p.reclaim()
@@ -147,97 +157,103 @@
 		d.drain()
 	case phase.EndOwn:
 		d.log.Info("ending what is left", "streams", d.core.OpenStreams(), "connections", d.server.OpenConnections())
-		d.endInTime()
+		d.scheduleForcedEnd()
 	case phase.SayFarewell:
-		p.farewell()
+		p.sendFarewell()
 	case phase.ReportDone:
-		p.report.Done, p.report.OK = true, true
-		d.log.Info("upgrade done", "pid", p.report.Pid, "freeze", time.Duration(p.report.FreezeUS)*time.Microsecond,
-			"customers", p.report.Customers, "clients", p.report.Clients, "upstreams", p.report.Upstreams)
-		p.say(p.report)
-		p.tell = nil
+		p.result.IsDone, p.result.Succeeded = true, true
+		d.log.Info("upgrade done", "pid", p.result.Pid, "freeze", time.Duration(p.result.FreezeMicroseconds)*time.Microsecond,
+			"customers", p.result.Customers, "clients", p.result.ClientConnections, "upstreams", p.result.UpstreamConnections)
+		p.reportProgress(p.result)
+		p.onProgress = nil
 	case phase.ReportFailed:
 		d.log.Warn("upgrade failed; this process carries on", "cause", p.machine.Failure)
-		p.say(Progress{Text: p.machine.Failure, Done: true, Pid: os.Getpid()})
-		p.tell = nil
-		shareMemory(lim, 1)
-		p.ids = nil
+		p.reportProgress(Progress{Text: p.machine.Failure, IsDone: true, Pid: os.Getpid()})
+		p.onProgress = nil
+		setMemoryLimit(bounds, 1)
+		p.customersToCopy = nil
 	}
 }
 
-// inherited reads it: -1 where no other process has started this one.
-func inherited(getenv func(string) string) (int, error) {
+// inheritedConnection returns the descriptor of the connection to the predecessor that started this process in an
+// upgrade, as the environment names it, or -1 if none did. It fails if the environment names no valid descriptor.
+func inheritedConnection(getenv func(string) string) (int, error) {
 	text := getenv(handover.Env)
 	if text == "" {
 		return -1, nil
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 3 {
-		return -1, fmt.Errorf("%s: %q is no descriptor", handover.Env, text)
+		return -1, fmt.Errorf("%s: %q is not an inherited file descriptor", handover.Env, text)
 	}
 	return fd, nil
 }
 
-// copyAhead sends customers as long as not too much waits, and goes on when all of it is on its way.
-func (p *predecessor) copyAhead() {
+// copyCustomers sends customers until MaxHandoverQueueBytes are queued, and continues when the queue is empty. The last
+// message is Mark, which the successor answers with CaughtUp.
+func (p *predecessorRole) copyCustomers() {
 	if p.machine.State != phase.Copying {
 		return
 	}
-	for len(p.ids) > 0 && p.peer.conn.Waiting() < p.d.cfg.Limits.MaxHandoverQueueBytes {
-		n := min(len(p.ids), customersOnce)
-		p.customers(p.ids[:n])
-		p.ids = p.ids[n:]
+	for len(p.customersToCopy) > 0 && p.successor.conn.Waiting() < p.daemon.cfg.Limits.MaxHandoverQueueBytes {
+		n := min(len(p.customersToCopy), customersPerMessage)
+		p.sendCustomers(p.customersToCopy[:n])
+		p.customersToCopy = p.customersToCopy[n:]
 	}
-	if len(p.ids) == 0 {
-		p.ids = nil
+	if len(p.customersToCopy) == 0 {
+		p.customersToCopy = nil
 		p.send(&pb.Envelope{Body: &pb.Envelope_Mark{Mark: &pb.Mark{}}})
 		return
 	}
-	p.peer.conn.WhenDry(p.copyAhead)
+	p.successor.conn.WhenDry(p.copyCustomers)
 }
 
-// customersOnce are put into one message.
-const customersOnce = 128
+// customersPerMessage is the maximum number of customers in one message.
+const customersPerMessage = 128
 
-func (p *predecessor) customers(ids []uint64) {
-	m := &pb.Customers{}
+// sendCustomers sends the state of customers in one message. Customers that the module has forgotten are left out.
+func (p *predecessorRole) sendCustomers(ids []uint64) {
+	message := &pb.Customers{}
 	for _, id := range ids {
-		if c, ok := p.d.module.Customer(id); ok {
-			m.Customers = append(m.Customers, handover.Customer(c))
+		if c, ok := p.daemon.module.Customer(id); ok {
+			message.Customers = append(message.Customers, handover.Customer(c))
 		}
 	}
-	p.send(&pb.Envelope{Body: &pb.Envelope_Customers{Customers: m}})
+	p.send(&pb.Envelope{Body: &pb.Envelope_Customers{Customers: message}})
 }
 
-// turn ends a turn of the loop: only then has the module seen all that the core has.
-func (p *predecessor) turn(now time.Duration) {
-	if p.freezing {
-		for p.d.core.HasPendingEvents() {
-			p.d.core.Turn(now)
+// endTurn runs at the end of each turn of the loop, when the module has handled all events of the core. Only then can the
+// snapshot be taken, or the process be found empty.
+func (p *predecessorRole) endTurn(now time.Duration) {
+	if p.isSnapshotDue {
+		for p.daemon.core.HasPendingEvents() {
+			p.daemon.core.Turn(now)
 		}
-		p.freezing = false
-		if p.peer != nil {
-			p.snapshot()
+		p.isSnapshotDue = false
+		if p.successor != nil {
+			p.sendSnapshot()
 		}
 	}
-	if p.machine.Committed() && p.d.core.TrackedStreams() == 0 && p.d.server.OpenConnections() == 0 {
+	if p.machine.Committed() && p.daemon.core.TrackedStreams() == 0 && p.daemon.server.OpenConnections() == 0 {
 		p.handle(phase.Emptied{})
 	}
 }
 
-// snapshot sends the state: whoever may have changed since they were copied once more, what is open, the listeners.
-func (p *predecessor) snapshot() {
-	d := p.d
-	ids := append(d.module.Customers(p.since), p.unsettled...)
-	p.unsettled = nil
+// sendSnapshot sends the state that the successor continues from: once more all customers that may have changed since
+// they were copied, then the module's other state, the open streams, the hosts and the listeners. If the state can't be
+// collected, the handover fails.
+func (p *predecessorRole) sendSnapshot() {
+	d := p.daemon
+	ids := append(d.module.Customers(p.copyStartedAt), p.activeAtCopyStart...)
+	p.activeAtCopyStart = nil
 	for len(ids) > 0 {
-		n := min(len(ids), customersOnce)
-		p.customers(ids[:n])
+		n := min(len(ids), customersPerMessage)
+		p.sendCustomers(ids[:n])
 		ids = ids[n:]
 	}
 	state, err := d.module.State()
-	listeners, lerr := d.server.DuplicateListeners()
-	if err = errors.Join(err, lerr); err != nil {
+	listeners, listenersErr := d.server.DuplicateListeners()
+	if err = errors.Join(err, listenersErr); err != nil {
 		for _, fd := range listeners {
 			loop.CloseFD(fd)
 		}
@@ -245,19 +261,20 @@
 		return
 	}
 	open := d.core.StartHandover(p)
-	list := d.watcher.Current()
-	m := &pb.Snapshot{Gateway: handover.Gateway(state), ClockOffset: int64(d.loop.ClockOffset()), LastStream: open.LastID,
-		ListVersion: list.Version, Hosts: handover.Hosts(list), Listeners: d.server.ListenerAddresses()}
-	m.Streams, m.Keys = handover.Open(open)
-	p.send(&pb.Envelope{Body: &pb.Envelope_Snapshot{Snapshot: m}}, listeners...)
+	hosts := d.watcher.Current()
+	snapshot := &pb.Snapshot{Gateway: handover.Gateway(state), ClockOffset: int64(d.loop.ClockOffset()), LastStream: open.LastID,
+		ListVersion: hosts.Version, Hosts: handover.Hosts(hosts), Listeners: d.server.ListenerAddresses()}
+	snapshot.Streams, snapshot.Keys = handover.Open(open)
+	p.send(&pb.Envelope{Body: &pb.Envelope_Snapshot{Snapshot: snapshot}}, listeners...)
 }
 
-// commit: the new process serves. Our connections follow, each when nothing is owed on it.
-func (p *predecessor) commit() {
-	d := p.d
-	d.dismiss()
-	d.closeMembers()       // the new process goes on under our name
-	if !p.machine.Beside { // else it has an admin endpoint of its own, and ours still tells of this process
+// commit lets the successor serve. This process's connections follow, each once it owes no answer.
+func (p *predecessorRole) commit() {
+	d := p.daemon
+	d.stopListeningForSuccessor()
+	d.closeMembership() // the successor continues under this member's name
+	// A replacement has another admin endpoint, so this process keeps its own and still reports on itself there.
+	if !p.machine.Beside {
 		d.admin.Close()
 		d.admin = nil
 	}
@@ -265,13 +282,13 @@
 	d.core.CommitHandover()
 	d.suspendControlGroup()
 	p.send(&pb.Envelope{Body: &pb.Envelope_Commit{Commit: &pb.Commit{Clients: uint32(d.server.OpenConnections()),
-		Upstreams: uint32(d.hosts.OpenConnections())}}})
+		Upstreams: uint32(d.upstreams.OpenConnections())}}})
 	d.server.HandOver(func(st downstream.ConnState, fd int) {
-		p.report.Clients++
+		p.result.ClientConnections++
 		p.send(&pb.Envelope{Body: &pb.Envelope_Client{Client: handover.Client(st)}}, fd)
 	})
-	d.hosts.HandOver(func(host string, since time.Duration, fd int) {
-		p.report.Upstreams++
+	d.upstreams.HandOver(func(host string, since time.Duration, fd int) {
+		p.result.UpstreamConnections++
 		p.send(&pb.Envelope{Body: &pb.Envelope_Upstream{Upstream: &pb.UpstreamConnection{Host: host,
 			Since: int64(since)}}}, fd)
 	})
@@ -281,52 +298,56 @@
 	if d.counter != nil {
 		d.counter.Drain(released)
 	}
-	d.o.Notify("MAINPID=" + strconv.Itoa(p.report.Pid))
+	d.options.Notify("MAINPID=" + strconv.Itoa(p.result.Pid))
 }
 
-// reclaim takes the listeners back from a successor that has died.
-func (p *predecessor) reclaim() {
-	d := p.d
+// reclaim serves again after the successor has died: this process takes back its listeners, its connections to the
+// counter and its place among the ingresses.
+func (p *predecessorRole) reclaim() {
+	d := p.daemon
 	d.module.Reclaim(d.loop.Now())
 	d.core.CancelHandover()
-	d.hosts.StopHandOver()
+	d.upstreams.StopHandOver()
 	if d.counter != nil {
 		d.counter.Resume()
 	}
 	d.server.Resume()
-	shareMemory(d.cfg.Limits, 1)
-	d.await()
+	setMemoryLimit(d.cfg.Limits, 1)
+	d.listenForSuccessor()
 	if err := errors.Join(d.openControl(), d.openAdmin()); err != nil {
 		d.log.Warn("control socket not opened", "error", err)
 	}
-	d.openMembersAgain()
+	d.rejoinMembership()
 	d.openControlGroup()
-	d.o.Notify("MAINPID=" + strconv.Itoa(os.Getpid()))
+	d.options.Notify("MAINPID=" + strconv.Itoa(os.Getpid()))
 	d.log.Error("listeners taken back", "cause", p.machine.Failure)
 }
 
-func (p *predecessor) farewell() {
+// sendFarewell tells the successor that nothing is open here any more, and ends the loop once the message is sent, or
+// after DrainFlushPeriod.
+func (p *predecessorRole) sendFarewell() {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Farewell{Farewell: &pb.Farewell{}}})
-	p.d.log.Info("handed over")
-	if p.peer == nil {
-		p.d.loop.Stop()
+	p.daemon.log.Info("handed over")
+	if p.successor == nil {
+		p.daemon.loop.Stop()
 		return
 	}
-	p.peer.conn.WhenDry(p.d.loop.Stop)
-	p.d.loop.After(p.d.cfg.Limits.DrainFlushPeriod, p.d.loop.Stop)
+	p.successor.conn.WhenDry(p.daemon.loop.Stop)
+	p.daemon.loop.After(p.daemon.cfg.Limits.DrainFlushPeriod, p.daemon.loop.Stop)
 }
 
-// AttemptStarted and the two after it make the predecessor the core's witness.
-func (p *predecessor) AttemptStarted(stream uint64, host string, at time.Duration) {
+// AttemptStarted tells the successor that an upstream request of a handed-over stream was sent to a host. With
+// AttemptEnded and StreamDone it implements core.HandoverObserver.
+func (p *predecessorRole) AttemptStarted(stream uint64, host string, at time.Duration) {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Sent{Sent: &pb.Sent{Stream: stream, Host: host, At: int64(at)}}})
 }
 
-// AttemptEnded passes on how an upstream request ended.
-func (p *predecessor) AttemptEnded(ev admission.AttemptEnded, at time.Duration) {
+// AttemptEnded tells the successor how an upstream request ended.
+func (p *predecessorRole) AttemptEnded(ev admission.AttemptEnded, at time.Duration) {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Attempt{Attempt: handover.Attempt(ev, at)}})
 }
 
-// StreamDone passes on that a stream is over.
-func (p *predecessor) StreamDone(stream uint64, at time.Duration) {
+// StreamDone tells the successor that a stream is over.
+func (p *predecessorRole) StreamDone(stream uint64, at time.Duration) {
 	p.send(&pb.Envelope{Body: &pb.Envelope_Done{Done: &pb.StreamDone{Stream: stream, At: int64(at)}}})
 }
