--- a/cmd/ferryfront/main.go
+++ b/cmd/ferryfront/main.go
@@ -43,7 +43,8 @@
 		p.isUsageError = true
 		return err
 	})
-	root.AddCommand(p.serveCommand(), p.upgradeCommand(), p.statusCommand(), p.membersCommand(), p.leaveCommand(), p.checkConfigCommand(), p.configCommand(), p.routesCommand(), p.versionCommand())
+	root.AddCommand(p.serveCommand(), p.upgradeCommand(), p.statusCommand(), p.membersCommand(), p.leaveCommand(),
+		p.checkConfigCommand(), p.configCommand(), p.routesCommand(), p.versionCommand())
 	root.SetArgs(acceptSingleDashFlags(args))
 	// Without a run, cobra itself rejected the arguments.
 	hasRun := false
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,7 +32,7 @@
 	PeerListen string
 	// Peers holds the address at which each ingress receives such messages, by the index of the ingress.
 	Peers []string
-	Seed  uint64  // of the decision module's random numbers
+	Seed  uint64  // of the process's random numbers
 	Cores float64 // CPU cores that the process may use
 	// KnownHosts is the cluster as it was known before the start, used until discovery sends a list.
 	KnownHosts discovery.List
--- a/internal/handover/phase/phase.go
+++ b/internal/handover/phase/phase.go
@@ -161,10 +161,12 @@
 )
 
 // actionNames are only for tests and debugging.
-var actionNames = [actionCount]string{"spawn", "send welcome", "copy customers", "freeze", "send snapshot", "send commit", "unfreeze",
-	"send abort", "kill", "reclaim listeners", "send settled", "send terminate", "send reload", "drain", "drain remaining", "send farewell", "report done",
-	"report failed", "prepare", "send prepared", "restore", "send restored", "serve", "send serving", "send refused",
-	"send leaving", "forget predecessor", "reload", "exit", "start timer", "stop timer"}
+var actionNames = [actionCount]string{
+	"spawn", "send welcome", "copy customers", "freeze", "send snapshot", "send commit", "unfreeze", "send abort",
+	"kill", "reclaim listeners", "send settled", "send terminate", "send reload", "drain", "drain remaining",
+	"send farewell", "report done", "report failed", "prepare", "send prepared", "restore", "send restored",
+	"serve", "send serving", "send refused", "send leaving", "forget predecessor", "reload", "exit", "start timer",
+	"stop timer"}
 
 // String returns the action's name.
 func (a Action) String() string {
