--- a/internal/daemon/agreement.go
+++ b/internal/daemon/agreement.go
@@ -223,9 +223,9 @@
 	return d.watcher.IsReady() && (d.agreement == nil || d.agreement.isReady)
 }
 
-// markVersionsKnown marks the agreement on versions ready. isAlone is only logged: this ingress is cut off from the other
-// ingresses or the control group.
-func (d *Daemon) markVersionsKnown(isAlone bool) {
+// markAgreementReady marks the agreement on versions ready. isAlone is only logged: it says that this ingress is cut off
+// from the other ingresses or the control group.
+func (d *Daemon) markAgreementReady(isAlone bool) {
 	d.agreement.isReady = true
 	d.log.Info("settings version heard", "alone", isAlone)
 }
@@ -267,7 +267,8 @@
 
 // offerFileVersions offers the versions in a reloaded configuration to their sources. It calls done with the
 // configuration to apply: at once, or when the versions are in force. If a check finds an error in any version, nothing
-// is offered. If a source fails an offer, done gets the error, and offers made before stay made.
+// is offered. If a source fails an offer, done gets the error, and offers made before stay made. If neither
+// document has an active version, the file's drained list is applied first, and stays so if an offer then fails.
 func (d *Daemon) offerFileVersions(reloaded config.Config, done func(config.Config, error)) {
 	if err := d.checkFileVersions(reloaded); err != nil {
 		done(reloaded, err)
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -15,8 +15,8 @@
 )
 
 // Protocol of the control socket: a client sends one command as a line of JSON, and the daemon answers with one or more
-// lines of JSON. Whoever may open the socket may command the daemon, which the permissions of its directory and its own
-// mode (0600) decide.
+// lines of JSON. Whoever can open the socket can command the daemon: access is limited only by the permissions of the
+// socket's directory and the socket's own mode, 0600.
 
 // Command is a request on the control socket.
 type Command struct {
@@ -87,9 +87,9 @@
 	maxControlClients = 16              // connected at a time; more are closed at once
 )
 
-// openControl opens the control socket, if the options have one. Renaming the socket into place takes the name over from
-// another process of this ingress in one step, so that the name always leads to a process. At a start it fails if a
-// daemon answers there.
+// openControl opens the control socket, if the options have one. The socket is renamed into place, so that the path
+// changes from another process of this ingress to this one in one step and never leads to no socket. At a start without
+// a predecessor it fails if a daemon answers there.
 func (d *Daemon) openControl() error {
 	if d.options.ControlSocket == "" {
 		return nil
--- a/internal/daemon/controlgroup.go
+++ b/internal/daemon/controlgroup.go
@@ -17,7 +17,7 @@
 	daemon           *Daemon
 	member           *controlgroup.Member
 	client           *controlclient.Client
-	usesShare        bool                             // as the module was last told
+	moduleUsesShare  bool                             // true at first: a module that was told nothing uses the share
 	loggedLease      controlgroup.LeaseState          // state of the settings lease, as last logged
 	fileVersions     []controlgroup.Document          // versions that this process started with
 	newestInForce    map[string]versions.Version      // by document: newest version in force that the group has listed
@@ -35,7 +35,7 @@
 		return
 	}
 	now := d.loop.Now()
-	g := &controlGroup{daemon: d, usesShare: true, newestInForce: map[string]versions.Version{}, pending: map[proposalKey]*pendingProposal{}}
+	g := &controlGroup{daemon: d, moduleUsesShare: true, newestInForce: map[string]versions.Version{}, pending: map[proposalKey]*pendingProposal{}}
 	g.openAgreement()
 	g.member = controlgroup.NewMember(controlgroup.MemberConfig{
 		ID: controlgroup.MemberID(d.cfg.Settings.Index),
@@ -81,7 +81,8 @@
 	isReady        bool                          // see agreement
 }
 
-// observedMember is the group's member that also records which versions the group says are in force.
+// observedMember is this ingress's member of the control group. It also records in newestInForce which versions the group
+// lists.
 type observedMember struct {
 	*controlgroup.Member
 	group *controlGroup
@@ -100,7 +101,7 @@
 // checkShare runs at the start of each turn, before any request of the turn reaches the module: requests that queued up
 // while the process was stopped must not use a lease that expired meanwhile.
 func (g *controlGroup) checkShare(now time.Duration) {
-	if g.usesShare && !g.member.HoldsShare(now) {
+	if g.moduleUsesShare && !g.member.HoldsShare(now) {
 		g.setShare(false, g.daemon.core.EnqueueFirst)
 	}
 	g.logLease(now)
@@ -112,7 +113,7 @@
 	if d.controlGroup != g || g.client == nil { // the leases are released, or the client is not open yet
 		return
 	}
-	if holds := g.member.HoldsShare(now); holds != g.usesShare {
+	if holds := g.member.HoldsShare(now); holds != g.moduleUsesShare {
 		g.setShare(holds, d.core.Enqueue)
 	}
 	held := g.member.LeaseState(now) == controlgroup.LeaseHeld
@@ -124,7 +125,7 @@
 	}
 	g.logLease(now)
 	if !d.agreement.isReady && g.member.Ready(now) {
-		d.markVersionsKnown(!held)
+		d.markAgreementReady(!held)
 	}
 	if held {
 		g.proposeFileVersions()
@@ -134,10 +135,10 @@
 
 // setShare tells the module, through enqueue, whether to use this ingress's share of joint budgets.
 func (g *controlGroup) setShare(holds bool, enqueue func(admission.Event)) {
-	if holds == g.usesShare {
+	if holds == g.moduleUsesShare {
 		return
 	}
-	g.usesShare = holds
+	g.moduleUsesShare = holds
 	ev := admission.FleetChanged{IsUncertain: !holds}
 	enqueue(ev)
 	g.daemon.log.Info("share of joint budgets", "settled", holds, "counted_out", fmt.Sprint(ev.Absent))
@@ -161,7 +162,7 @@
 func (g *controlGroup) newestSettings() uint64 { return g.daemon.settingsVersions().NewestVersion }
 
 // releaseShareAndLeases stops using this process's share and then releases its leases, so that the next process of this
-// ingress gets them at once. done is called once the group knows, or after a limit; it may be nil.
+// ingress gets them at once. done is called as by releaseLeases; it may be nil.
 func (d *Daemon) releaseShareAndLeases(done func()) {
 	if g := d.controlGroup; g != nil {
 		g.setShare(false, d.core.Enqueue)
@@ -172,8 +173,9 @@
 	d.releaseLeases(done)
 }
 
-// releaseLeases releases the leases of a process that no longer uses its share. done is called once the group knows, or
-// after a limit; it may be nil.
+// releaseLeases releases the leases of a process that no longer uses its share, by closing the connection to the control
+// group. done is called once the replica has closed it too, or after ControlReleaseTimeout, or at once if no replica is
+// connected; it may be nil.
 func (d *Daemon) releaseLeases(done func()) {
 	g := d.controlGroup
 	if g == nil {
--- a/internal/daemon/controlsource.go
+++ b/internal/daemon/controlsource.go
@@ -78,7 +78,8 @@
 	return s.group.member.LeaseState(now) != controlgroup.LeaseHeld
 }
 
-// Admissible returns an error if this ingress can tell that the group or the ingress itself would reject a version.
+// Admissible returns an error if a version is too long for the group or can't be applied by this ingress. The newest
+// active version is always admissible.
 func (s controlSource) Admissible(doc versions.Doc) error {
 	switch {
 	case doc.Version == s.Newest().Version:
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -40,7 +40,8 @@
 	LoadConfig func() (config.Config, error)
 	// ReloadConfig reads the configuration again while the daemon runs. It is called outside the loop's goroutine.
 	ReloadConfig func(previous config.Config) (config.Config, error)
-	// ReadFrontFile reads the file of the second front. Nil: there is no second front.
+	// ReadFrontFile reads the file of the second front, which serves next to the platform's on an address of its own.
+	// Nil: there is no second front.
 	ReadFrontFile func() (openapi.File, error)
 	// OTLPEndpoint is the URL to which telemetry is exported. Empty: none is.
 	OTLPEndpoint string
@@ -111,7 +112,9 @@
 	o.Embedded.attach(d)
 	err = errors.Join(d.loop.Run(d), d.runError)
 	if o.Embedded == nil {
-		d.releaseLeases(nil) // the loop has ended, so no request uses the share any more
+		// The leases are released however the loop ended: no request uses the share any more. An embedded daemon may have
+		// been ended as in a crash, which releases nothing.
+		d.releaseLeases(nil)
 	}
 	o.Embedded.detach(d.loop)
 	d.controlServer.closeAndWait()
@@ -138,7 +141,8 @@
 	// cfg is the configuration in force: the one read at the start with the settings and the drain timeout of all
 	// active versions combined.
 	cfg config.Config
-	// loadedConfig is the configuration as last read and accepted.
+	// loadedConfig is the configuration as last read and accepted. After a reload its settings are those of all active
+	// versions combined.
 	loadedConfig config.Config
 	// pendingReloads counts the requested reloads that have not finished. They run one at a time.
 	pendingReloads int
@@ -157,7 +161,7 @@
 	members        *members        // nil: membership is off, or was closed for a successor
 	controlGroup   *controlGroup   // nil: there is none, or this process has released its leases
 	agreement      *agreement      // nil: this ingress agrees on no versions with others
-	savedAgreement *savedAgreement // state when the last successor took over; nil: none has
+	savedAgreement *savedAgreement // state when the last successor took over; nil: none has, or there was no control group
 	metrics        figures.Metrics
 
 	// successorListener accepts replacements that the platform starts. Nil: it is closed.
@@ -213,15 +217,15 @@
 
 // limitRuntime keeps the Go runtime within the configured cores and memory, so that the garbage collector works harder
 // before the platform would kill the process. The live heap is small, so collecting at twice its size costs little
-// time. The heap then reaches its final size within seconds, and a leak can be told from the growth after a start.
+// time, and the heap reaches its final size within seconds, so that growth which does not stop shows a leak.
 func limitRuntime(cfg config.Config) {
 	runtime.GOMAXPROCS(max(1, int(cfg.Cores)))
 	debug.SetGCPercent(100)
 	setMemoryLimit(cfg.Limits, 1)
 }
 
-// setMemoryLimit sets the runtime's soft memory limit to six tenths of the ingress's memory. During a handover two
-// processes share that memory, and each gets less than half of it.
+// setMemoryLimit sets the runtime's soft memory limit to six tenths of MemoryMB. During a handover two processes share
+// MemoryMB, and the limit of each is four tenths, less than half. Without MemoryMB no limit is set.
 func setMemoryLimit(bounds limits.Limits, processes int) {
 	tenths := int64(6)
 	if processes > 1 {
@@ -347,7 +351,9 @@
 	return d.asSuccessor != nil && d.asSuccessor.machine.State != phase.Independent
 }
 
-// handleEndRequest passes a request to end the process to its role in a handover.
+// handleEndRequest passes a request to end the process to the state machine of the handover from the predecessor until
+// that is finished, then to the one of handovers to a successor. That drains this process or, after a commit, tells the
+// successor of an upgrade to end or ends what a replacement has left here.
 func (d *Daemon) handleEndRequest() {
 	if d.isTakingOver() {
 		d.asSuccessor.isEndRequested = true
@@ -357,7 +363,8 @@
 	d.asPredecessor.handle(phase.EndAsked{})
 }
 
-// handleReloadRequest reloads the configuration, here or, once a successor serves, there.
+// handleReloadRequest reloads the configuration, unless a successor serves: the request is then passed to it. A successor
+// that does not serve yet ignores the request.
 func (d *Daemon) handleReloadRequest() {
 	if d.isTakingOver() {
 		d.asSuccessor.handle(phase.ReloadAsked{})
@@ -392,7 +399,7 @@
 // stallLogInterval is the minimum time between two logs of a stall.
 const stallLogInterval = 10 * time.Second
 
-// logStall logs that the process stalled: it was stopped, or got no processor.
+// logStall logs, at most once per stallLogInterval, that the process stalled: it was stopped, or got no processor.
 func (d *Daemon) logStall(now time.Duration) {
 	if delay := d.loop.MaxReadDelay(); delay > 0 && now-d.stallLoggedAt > stallLogInterval {
 		d.stallLoggedAt = now
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -55,7 +55,6 @@
 }
 
 // newGossipSource creates the node of a document and its source.
-
 func (d *Daemon) newGossipSource(document string, first versions.Doc, check func([]byte) error, now time.Duration) gossipSource {
 	cfg, bounds, self := d.cfg, d.cfg.Limits, d.members.self
 	node := versions.New(versions.Config{Me: self, Doc: document, Seed: cfg.Seed + uint64(cfg.Settings.Index),
@@ -116,7 +115,7 @@
 		isReady, isAlone = isReady && node.Ready(now), isAlone || node.Alone(now)
 	}
 	if !d.agreement.isReady && isReady {
-		d.markVersionsKnown(isAlone)
+		d.markAgreementReady(isAlone)
 	}
 	d.applyVersions()
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -122,7 +122,8 @@
 	}
 }
 
-// updateShare tells the module if the membership has changed who shares joint budgets.
+// updateShare tells the module when this ingress starts or stops to be settled in the membership, and when the set of
+// ingresses changes that have left and have no share of joint budgets.
 func (d *Daemon) updateShare(now time.Duration) {
 	m := d.members
 	ev := admission.FleetChanged{IsUncertain: !m.Node().Settled(now)}
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -48,8 +48,9 @@
 	result            Progress          // of the present handover
 }
 
-// upgrade begins an upgrade: it starts the binary that is at the path of this one now and hands over to it. If it can't,
-// it returns the reason, else an empty string. report is called on the loop with each phase and with the result.
+// upgrade begins an upgrade: it starts the binary that is now at the path of UpgradeCommand and hands over to it. If it
+// can't begin, it returns the reason, else an empty string. report is called on the loop with each phase and with the
+// result.
 func (d *Daemon) upgrade(report func(Progress)) string {
 	switch {
 	case d.isTakingOver():
@@ -96,7 +97,7 @@
 		p.successor.conn.Send(e, fds...)
 		return
 	}
-	for _, fd := range fds { // a successor that was told to end has ended first: no process is left to take them
+	for _, fd := range fds { // the successor was told to end and has ended first: no process is left to take them
 		loop.CloseFD(fd)
 	}
 }
@@ -222,8 +223,8 @@
 	p.send(&pb.Envelope{Body: &pb.Envelope_Customers{Customers: message}})
 }
 
-// endTurn runs at the end of each turn of the loop, when the module has handled all events of the core. Only then can the
-// snapshot be taken, or the process be found empty.
+// endTurn runs at the end of each turn of the loop. It sends a snapshot that is due, once the module has handled all
+// events of the core. After the commit it tells the state machine when no stream and no connection is left here.
 func (p *predecessorRole) endTurn(now time.Duration) {
 	if p.isSnapshotDue {
 		for p.daemon.core.HasPendingEvents() {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -7,8 +7,9 @@
 )
 
 // reloadConfig reads the configuration again and applies the addresses of discovery and the counter and the settings,
-// all or nothing. A configuration that can't be used changes nothing, and fields that need a restart are only logged. A
-// drain does not stop reloads, since open streams still need the configuration.
+// all or nothing. A configuration that can't be used changes none of these; offerFileVersions says what a failed offer
+// leaves behind. Fields that need a restart are only logged. A drain does not stop reloads, since open streams still need
+// the configuration.
 func (d *Daemon) reloadConfig() {
 	if d.pendingReloads++; d.pendingReloads == 1 {
 		d.startReload()
--- a/internal/daemon/replacement.go
+++ b/internal/daemon/replacement.go
@@ -113,8 +113,9 @@
 	d.loop.Stop()
 }
 
-// scheduleForcedEnd ends the streams that are still open after DrainTimeout, and the process DrainFlushPeriod later,
-// once their answers had time to be sent.
+// scheduleForcedEnd schedules the end of what is still open DrainTimeout from now: streams expire, and connections
+// whose relayed response ends with the connection are reset, so that it doesn't look complete. The process ends
+// DrainFlushPeriod later, when the answers have had time to be sent.
 func (d *Daemon) scheduleForcedEnd() {
 	d.loop.After(d.cfg.Limits.DrainTimeout, func() {
 		if open := d.core.OpenStreams(); open > 0 {
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -44,7 +44,7 @@
 	}
 	s := &successorRole{daemon: d, listenerFDs: map[string]int{}}
 	// The configuration is not read yet. Of the limits the connection needs only its own.
-	conn, err := handover.New(d.loop, limits.Limits{MaxHandoverMessageBytes: maxSuccessorMessageBytes}, fd, s)
+	conn, err := handover.New(d.loop, limits.Limits{MaxHandoverMessageBytes: maxPredecessorMessageBytes}, fd, s)
 	if err != nil {
 		return err
 	}
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// maxSuccessorMessageBytes is the maximum size of a message from the predecessor.
-const maxSuccessorMessageBytes = 64 << 20
+// maxPredecessorMessageBytes is the maximum size of a message from the predecessor.
+const maxPredecessorMessageBytes = 64 << 20
 
 // stopAwaitingPredecessor ends a replacement's wait for its predecessor after replacementTimeout. It does so even in the
 // state Holding, in which only the predecessor knows whether this process is to serve: if the predecessor has committed
@@ -258,8 +258,8 @@
 // clusterPollInterval is the time between two checks whether the cluster's hosts are known.
 const clusterPollInterval = 2 * time.Millisecond
 
-// awaitCluster waits for the cluster's hosts and then reports this process ready. It waits for discovery no longer than a
-// start without a predecessor does.
+// awaitCluster waits until the cluster's hosts are known or DiscoveryReadyTimeout has passed, as canServe does at a start
+// without a predecessor, and then tells the state machine that this process is ready.
 func (s *successorRole) awaitCluster() {
 	if s.machine.State != phase.Building {
 		return
--- a/internal/daemon/successorprocess.go
+++ b/internal/daemon/successorprocess.go
@@ -22,7 +22,8 @@
 }
 
 // spawn starts the binary that is at the path of the upgrade command now. Starting a process may take milliseconds, so it
-// runs on a goroutine of its own, which then waits for the process to end.
+// runs on a goroutine of its own, which then waits for the process to end. If the start fails, the state machine gets
+// SpawnFailed.
 func (p *predecessorRole) spawn() {
 	d := p.daemon
 	ownFD, successorFD, err := handover.Pair()
--- a/internal/earlysignals/earlysignals.go
+++ b/internal/earlysignals/earlysignals.go
@@ -9,9 +9,9 @@
 	"syscall"
 )
 
-// Hangups delivers each SIGHUP since the initialization of this package. It holds 4; further ones are dropped until one
-// is read, which loses no reload: one that begins later reads what they were sent for. It delivers no other signal, so
-// many SIGHUPs displace none.
+// Hangups delivers each SIGHUP since the initialization of this package. It buffers 4; while it is full, further ones are
+// dropped. No change of the configuration is missed: the reloads for the buffered signals begin later and read it. Hangups
+// delivers no other signal, so many SIGHUPs can't displace one.
 var Hangups = make(chan os.Signal, 4)
 
 func init() { signal.Notify(Hangups, syscall.SIGHUP) }
