--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -1,6 +1,6 @@
 // Package counter is the client of the shared quota counter, an HTTP service that adds amounts to named totals. It
-// pipelines its calls over a fixed number of connections. The goroutine of the event loop owns a Client and calls its
-// Sink. The package never repeats a call and takes no decision on a quota.
+// distributes its calls over several connections and pipelines them on each. The goroutine of the event loop owns a Client
+// and calls its Sink. The package never repeats a call and takes no decision on a quota.
 package counter
 
 import (
@@ -18,13 +18,13 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Sink receives the results of calls: one for each call, for each name in the order of its calls.
+// Sink receives one result for each call. The results of calls with the same name arrive in the order of the calls.
 type Sink interface {
 	CounterCallEnded(admission.CounterAnswered)
 }
 
 // Client sends calls to the counter. All calls of one name use the same connection, so that responses keep the order of
-// calls. There are many connections, so that a slow part of the counter delays few calls of its other parts.
+// calls. There are many connections, so that a slow part of the counter delays few calls to its other parts.
 type Client struct {
 	loop   *loop.Loop
 	bounds limits.Limits
@@ -185,7 +185,7 @@
 	now := cn.client.loop.Now()
 	call := &addCall{name: name, startedAt: now}
 	cn.client.unreported[name] = append(cn.client.unreported[name], call)
-	// Bounds the requests queued for a counter that does not respond. A request that is not queued is not added.
+	// Bounds the requests queued for a counter that does not respond. The amount of a call that is not queued is not added.
 	if len(cn.calls) >= cn.client.bounds.MaxPendingCounterCalls || !cn.ensureOpen() {
 		cn.client.finish(call, admission.Unreachable, 0)
 		return
@@ -348,7 +348,8 @@
 }
 
 // fail closes the connection and finishes its calls: as Unreachable if the request was not wholly written, so that the
-// amount was not added; else as TimedOut, since the amount may have been added or may still be.
+// amount was not added; else as TimedOut, since the amount may have been added or may still be. It starts a backoff unless
+// the connection was established and had no calls.
 func (cn *conn) fail(cause string) {
 	if cn.client.debugEnabled {
 		cn.client.log.Debug("counter connection closed", "cause", cause, "calls", len(cn.calls), "up", cn.isConnected)
@@ -379,7 +380,7 @@
 	}
 }
 
-// close closes the connection and drops its calls without a result. A retired connection leaves the list.
+// close closes the connection and forgets its calls: fail finishes them. A retired connection leaves the list.
 func (cn *conn) close() {
 	cn.dialTimer.Stop()
 	cn.retireTimer.Stop()
--- a/internal/net/discovery/boot.go
+++ b/internal/net/discovery/boot.go
@@ -6,12 +6,12 @@
 // been set.
 const minClockStep = 200 * time.Millisecond
 
-// bootTime returns the time of a host's last start by the loop's clock. Discovery reports it by the wall clock, from which
-// the loop's clock was set when the process started and which it has not followed since. If the wall clock was set
-// meanwhile, the reported time may be by the clock before or after that. Of the possible times the latest one is taken: a
-// host that is taken for warm too early may get more load than it can handle, one that is taken for cold too long only
-// gets less. The time of a start that is already known stays, and so does that of an entry without Started, as a
-// predecessor hands it over.
+// bootTime returns the time of a host's last start by the loop's clock. Discovery reports it by the wall clock. The loop's
+// clock was set from the wall clock when the process started and has not followed it since. If the wall clock has been set
+// after that, the reported time may have been taken before that, and then agrees with the loop's clock, or afterwards, and
+// then differs from it by the step. The later of these two times is used unless it lies in the future: a host that is taken
+// for warm too early may get more load than it can handle, one that is taken for cold too long only gets less. A start that
+// is already known keeps its time, and so does an entry without Started, as a predecessor hands it over.
 func (w *Watcher) bootTime(e Entry) time.Duration {
 	if e.Started == 0 {
 		return e.Boot
--- a/internal/net/discovery/convergence_test.go
+++ b/internal/net/discovery/convergence_test.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// propagationLimit is how long after discovery has a change and can be reached an ingress must have applied it, whatever
-	// failed before.
+	// propagationLimit is the time within which an ingress must have applied a change, from when discovery has the change and
+	// can be reached, whatever failed before.
 	propagationLimit = 6 * time.Second
-	// drainGrace is how long after that a leaving host may still get new requests.
+	// drainGrace is how long after propagationLimit a leaving host may still get new requests.
 	drainGrace = 500 * time.Millisecond
 )
 
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -1,6 +1,7 @@
 // Package discovery keeps the list of upstream hosts up to date by long-lived HTTP requests to the discovery service, called
-// watches. Each watch delivers the list and then its changes. The goroutine of the event loop owns a Watcher and calls its
-// Sink and Hosts. The package never decides which host gets a request.
+// watches. A watch names the version of the list that the ingress has, or 0 for the full list, and delivers messages for as
+// long as it is open. The goroutine of the event loop owns a Watcher and calls its Sink and Hosts. The package never decides
+// which host gets a request.
 package discovery
 
 import (
@@ -19,7 +20,7 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Sink receives each list and each change of one.
+// Sink receives each full list and each change of the list.
 type Sink interface{ ServerListReceived(admission.ServerList) }
 
 // Hosts receives the address, the start time (by the loop's clock, 0: long ago) and the removal of each host. A leaving
@@ -42,11 +43,11 @@
 	rng        *rand.Rand // for jitter, so that the ingresses of a fleet don't act at the same instant
 
 	known              map[string]Entry // the current list, by name, in the states that discovery reports
-	drained            map[string]bool  // hosts that the operators drain, whatever discovery reports
+	drained            map[string]bool  // hosts that the operators drain, also while discovery reports them as up
 	version            uint64           // of the last list applied
 	needsFullList      bool             // the next watch must begin with the full list
-	hasSynced          bool             // discovery has sent a list since the process started
-	hasFailed          bool             // a watch has failed since the process started
+	hasSynced          bool             // discovery has sent a list since the watcher was created
+	hasFailed          bool             // a watch has failed, or Refetch was called, since the watcher was created
 	startedAt          time.Duration
 	active             *watch      // delivers lists; nil after it was lost
 	next               *watch      // being opened, to replace active; nil if none
@@ -67,8 +68,8 @@
 		startedAt: l.Now(), rng: rand.New(rand.NewPCG(seed, rngStream))}
 	known.Full = true
 	w.apply(known, admission.ListCached)
-	if spread := w.rng.Float64() * float64(bounds.ClusterJitter); spread >= 1 {
-		w.dialTimer = l.After(time.Duration(spread), w.dial)
+	if delay := w.rng.Float64() * float64(bounds.ClusterJitter); delay >= 1 {
+		w.dialTimer = l.After(time.Duration(delay), w.dial)
 		return w
 	}
 	w.dial()
@@ -78,9 +79,9 @@
 // rngStream makes the random numbers differ from those of the decision module, which uses the same seed.
 const rngStream = 0x64697363
 
-// IsReady reports whether the list of hosts can be used: discovery has sent it, or a watch has failed and there is a list
-// from before the start, or DiscoveryReadyTimeout has passed. To wait longer would keep a fleet that starts all at once
-// out of service for as long as it overloads discovery.
+// IsReady reports whether the list of hosts can be used: discovery has sent it, or a watch has failed (or Refetch was
+// called) and there is a list from before the start, or DiscoveryReadyTimeout has passed. To wait longer would keep a fleet
+// that starts all at once out of service for as long as it overloads discovery.
 func (w *Watcher) IsReady() bool {
 	return w.hasSynced || w.hasFailed && len(w.known) > 0 || w.loop.Now()-w.startedAt > w.bounds.DiscoveryReadyTimeout
 }
@@ -111,8 +112,8 @@
 	w.apply(predecessor, admission.ListChanges)
 }
 
-// Refetch requests the full list by a new watch, after the backoff. It does nothing if such a request is outstanding. The
-// request counts as served, too, once a watch that is being opened now delivers its first message.
+// Refetch requests the full list by a new watch, after the backoff. It does nothing if such a request is outstanding. If
+// another watch is already being opened, its first message ends the request, too, even if that watch asked for changes only.
 func (w *Watcher) Refetch() {
 	if !w.needsFullList {
 		w.needsFullList = true
@@ -144,8 +145,8 @@
 		update.Servers = append(update.Servers, w.withDrain(e.ServerEntry))
 		listed[e.Name] = true
 	}
-	// The sink comes before the hosts: requests not yet sent to a host that leaves are to be sent elsewhere, so the
-	// decision module must know of it first.
+	// The sink is called before the hosts: requests not yet sent to a host that leaves are to be sent elsewhere, so the
+	// decision module must know first that it leaves.
 	w.version = list.Version
 	w.sink.ServerListReceived(update)
 	for i, e := range list.Entries {
@@ -200,25 +201,25 @@
 	w.next = opened
 }
 
-// scheduleRetry opens the next watch after 10 to 100 percent, drawn at random, of an exponential backoff from
-// ClusterInitialBackoff to ClusterMaxBackoff. Discovery is one service for all ingresses: if all of them keep requesting
-// the list it answers none in time, and none gets the list. However many watches have failed, the wait ends within
-// ClusterMaxWatchGap of lastActivity, the time of the last data or of the last attempt: discovery may have published a
-// change at any time since, and each ingress that can reach it must act on a change within a fixed time. The backoff is
-// not cut below InitialBackoff for that.
+// scheduleRetry opens the next watch after a random 10 to 100 percent of an exponential backoff from ClusterInitialBackoff
+// to ClusterMaxBackoff. Discovery is one service for all ingresses: if all of them keep requesting the list it answers none
+// in time, and none gets the list. However many watches have failed, the next one is opened within ClusterMaxWatchGap of
+// lastActivity, the time when the previous one last received data or, if it received none, was opened. Discovery may have
+// published a change at any time since, and each ingress that can reach it must act on a change within a fixed time. The
+// longest wait is not cut below InitialBackoff for that.
 func (w *Watcher) scheduleRetry(cause string, lastActivity time.Duration) {
 	w.reportLoss(cause)
 	w.backoff = min(max(2*w.backoff, w.bounds.ClusterInitialBackoff), w.bounds.ClusterMaxBackoff)
-	longest := max(w.bounds.InitialBackoff, min(w.backoff, lastActivity+w.bounds.ClusterMaxWatchGap-w.loop.Now()))
+	maxWait := max(w.bounds.InitialBackoff, min(w.backoff, lastActivity+w.bounds.ClusterMaxWatchGap-w.loop.Now()))
 	w.dialTimer.Stop()
-	w.dialTimer = w.loop.After(time.Duration((0.1+0.9*w.rng.Float64())*float64(longest)), w.dial)
+	w.dialTimer = w.loop.After(time.Duration((0.1+0.9*w.rng.Float64())*float64(maxWait)), w.dial)
 }
 
 // scheduleReopen replaces a watch that had received data and is lost, or that connected and received nothing. It waits no
 // longer than before the first watch, a random part of ClusterJitter: changes published since count as known here, and
-// nothing indicates that discovery is overloaded. Once discovery has refused a watch or ended one early, so that a backoff
-// is set, scheduleRetry spaces out all further ones. The new watch is opened at the earliest InitialBackoff after the ended
-// one was, so that watches that end at once don't follow each other without a pause.
+// nothing indicates that discovery is overloaded. Once discovery has refused a watch or ended one early, a backoff is set
+// and scheduleRetry spaces out all further watches. The new watch is opened at least InitialBackoff after the ended one was
+// opened, so that watches that end at once don't follow each other without a pause.
 func (w *Watcher) scheduleReopen(ended *watch, cause string) {
 	if w.backoff > 0 {
 		w.scheduleRetry(cause, ended.lastActivity)
@@ -230,8 +231,8 @@
 	w.dialTimer = w.loop.At(max(w.loop.Now()+wait, ended.openedAt+w.bounds.InitialBackoff), w.dial)
 }
 
-// reportLoss records that a watch has failed. If none is active it logs the loss: once until a watch works again, and at
-// most once per logInterval.
+// reportLoss records that a watch has failed or that Refetch was called. If no watch is active it logs the loss: once until
+// a watch works again, and at most once per logInterval.
 func (w *Watcher) reportLoss(cause string) {
 	w.hasFailed = true
 	if now := w.loop.Now(); w.active == nil && !w.lossReported &&
@@ -258,7 +259,7 @@
 
 // firstByteTimeout returns how long a watch may take from its connection to the first byte of its response. It doubles
 // with each consecutive watch that received nothing, up to ClusterSilenceTimeout, so that a watch also succeeds when
-// discovery has become slow.
+// discovery has become slow. It doubles at most 8 times, so that the shift can't overflow.
 func (w *Watcher) firstByteTimeout() time.Duration {
 	return min(w.bounds.ClusterResponseTimeout<<min(w.silentWatches, 8), w.bounds.ClusterSilenceTimeout)
 }
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -32,7 +32,7 @@
 	return 0
 }
 
-// testBounds returns the limits of one ingress in a fleet of so many.
+// testBounds returns the limits of one ingress in a fleet of the given size.
 func testBounds(t *testing.T, ingresses int) limits.Limits {
 	bounds, err := limits.For(limits.Site{Sockets: 384, Ingresses: ingresses})
 	require.NoError(t, err)
@@ -63,8 +63,9 @@
 	return ln.Addr().String()
 }
 
-// Discovery that refuses watches because it is overloaded must not get more of them for that: the ingresses of a fleet back
-// off by its size, so that all of them together open watches at half the rate of a single one, and ever fewer.
+// Discovery that refuses watches because it is overloaded must not get more of them for that. The backoff is proportional to
+// the size of the fleet, so that the rate of watches of all ingresses together does not grow with their number, and it gets
+// longer with each failure.
 func TestFleetBacksOffFromOverloadedDiscovery(t *testing.T) {
 	const ingresses = 60
 	var watches atomic.Int64
@@ -84,8 +85,9 @@
 	require.Less(t, watches.Load(), int64(4*ingresses))
 }
 
-// A watch that falls silent, after its first list or before any data, is replaced as soon as a first watch is opened,
-// without the backoff of a large fleet: changes that discovery publishes meanwhile count as known to the ingress.
+// A watch that falls silent, after its first list or before any data, is replaced after no longer a delay than that of a
+// first watch, without the backoff of a large fleet: changes that discovery publishes meanwhile count as known to the
+// ingress.
 func TestSilentWatchIsReopenedWithoutBackoff(t *testing.T) {
 	testEnd := make(chan struct{})
 	defer close(testEnd)
@@ -140,7 +142,7 @@
 
 func (s *recordingSink) ServerListReceived(l admission.ServerList) { s.lists = append(s.lists, l) }
 
-// Hosts that the operators drain count as draining whatever state discovery reports, until a later SetDrained leaves them
+// Hosts that the operators drain count as draining while discovery reports them as up, until a later SetDrained leaves them
 // out. A host that discovery itself reports as draining is not affected.
 func TestSetDrained(t *testing.T) {
 	s := &recordingSink{}
--- a/internal/net/discovery/drain.go
+++ b/internal/net/discovery/drain.go
@@ -7,9 +7,9 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// SetDrained replaces the set of hosts that the operators drain. They count as draining whatever state discovery reports;
-// all others have the state that discovery reports. The sink and the hosts get the changes before SetDrained returns, in the
-// same turn of the loop.
+// SetDrained replaces the set of hosts that the operators drain. Those that discovery reports as up count as draining; all
+// other hosts have the state that discovery reports. The sink and the hosts get the changes before SetDrained returns, in
+// the same turn of the loop.
 func (w *Watcher) SetDrained(names []string) {
 	before := w.drained
 	w.drained = map[string]bool{}
@@ -33,7 +33,7 @@
 	}
 }
 
-// withDrain returns the entry as it is passed on: draining if the operators drain the host.
+// withDrain returns the entry as it is passed on: draining if it is up and the operators drain the host.
 func (w *Watcher) withDrain(e admission.ServerEntry) admission.ServerEntry {
 	if e.State == admission.Up && w.drained[e.Name] {
 		e.State = admission.Draining
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -8,13 +8,12 @@
 	"ferryfront.example/ferryfront/internal/settings"
 )
 
-// Entry is an upstream host in a list, with its address, host:port. Started and Boot are the time of the host's last start,
-// 0 if that was long ago: Started as discovery reports it, by the wall clock; Boot, a field of ServerEntry, by the loop's
-// clock once a Watcher has applied the list. ReadList sets both to the reported time.
+// Entry is an upstream host in a list. ServerEntry.Boot is the time of the host's last start: by the wall clock as ReadList
+// returns it, by the loop's clock once a Watcher has applied the list; 0 if that was long ago.
 type Entry struct {
 	admission.ServerEntry
-	Addr    string
-	Started time.Duration
+	Addr    string        // host:port
+	Started time.Duration // time of the last start as discovery reports it, by the wall clock; 0: long ago
 }
 
 // List is one message of discovery. A full list replaces all hosts, any other one adds and changes hosts. A host in state
@@ -41,7 +40,7 @@
 		}
 		e.Need("id")
 		startedMS := e.Float("started_ms")
-		if math.Abs(startedMS) > 1e13 { // over 300 years from the epoch: taken as not given
+		if math.Abs(startedMS) > 1e13 { // over 300 years from the epoch: treated as not given
 			startedMS = 0
 		}
 		started := time.Duration(startedMS*1e3) * time.Microsecond
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -27,7 +27,7 @@
 	silenceTimer *loop.Timer
 }
 
-// causeSilent is the cause of the end of a watch that received nothing in time.
+// causeSilent is the cause reported for a watch that received nothing in time.
 const causeSilent = "silent"
 
 // open starts to connect.
@@ -136,8 +136,8 @@
 	}
 }
 
-// readMessages applies the messages that are complete. The first message of the next watch makes it the active one. A
-// malformed message changes nothing: it ends its watch, and another watch requests the full list.
+// readMessages applies the messages that are complete. With its first message the next watch becomes the active one. A
+// malformed message leaves the list unchanged and ends its watch; another watch requests the full list.
 func (w *watch) readMessages(body []byte) {
 	watcher := w.watcher
 	w.framer.feed(body)
--- a/internal/net/discovery/watch_test.go
+++ b/internal/net/discovery/watch_test.go
@@ -38,8 +38,8 @@
 	return `{"version":` + strconv.Itoa(version) + `,"full":true,"servers":[]}` + "\n"
 }
 
-// receiveLists runs a watcher until discovery has sent it so many lists, and returns it and the lists' versions. The list
-// from before the start is not counted.
+// receiveLists runs a watcher until discovery has sent it the given number of lists, and returns the watcher and the lists'
+// versions. The list from before the start is not counted.
 func receiveLists(t *testing.T, bounds limits.Limits, addr string, lists int) (w *Watcher, versions []uint64) {
 	l, err := loop.New()
 	require.NoError(t, err)
@@ -52,8 +52,8 @@
 	return w, versions
 }
 
-// Changes that an agent has count as known to its ingress even while it closes watches. So it must be retried within the
-// drain grace, however many other ingresses with agents of their own there are.
+// Changes that an agent has count as known to its ingress even while the agent closes watches. So the agent must be retried
+// within the drain grace, however many other ingresses with agents of their own there are.
 func TestAgentIsRetriedWithinDrainGrace(t *testing.T) {
 	requests := make(chan time.Time, 64)
 	addr := serveWatches(t, func(c net.Conn, n int64) {
@@ -74,8 +74,8 @@
 	require.Less(t, last.Sub(first), 4*time.Second)
 }
 
-// A watch that is accepted and receives nothing is replaced after a short time at first. The time grows with each, so that a
-// discovery that is merely slow is waited for in the end.
+// A watch that is accepted and receives nothing is replaced after a short time at first. The time grows with each such watch,
+// so that one succeeds in the end if discovery is merely slow.
 func TestFirstByteTimeoutGrows(t *testing.T) {
 	bounds := agentBounds(t)
 	require.LessOrEqual(t, bounds.ClusterResponseTimeout, time.Second)
--- a/internal/net/mgmt/mgmt.go
+++ b/internal/net/mgmt/mgmt.go
@@ -1,6 +1,6 @@
 // Package mgmt serves the admin endpoint: a TCP listener of its own on which an operator's tool sends one line per
-// connection and gets one answer. The goroutine of the event loop owns an Endpoint. The package never computes an answer: a
-// Handler does.
+// connection and gets one answer. The goroutine of the event loop owns an Endpoint. A Handler provides the contents of
+// answers.
 package mgmt
 
 import (
@@ -15,21 +15,21 @@
 
 // Handler provides the contents of answers.
 type Handler interface {
-	IsReady() bool                   // whether a client's request would be served
+	IsReady() bool                   // reports whether a client's request would be served
 	AppendMetrics(buf []byte) []byte // appends the metrics, as lines of text
-	StatusDetails() string           // follows the readiness in the answer to STATUS
+	StatusDetails() string           // returns the text that follows the readiness in the answer to STATUS
 }
 
 // Endpoint is the listener and its open connections. The loop serves them before all others in each turn, and their
 // descriptors are reserved, so that no number of clients can keep operators out.
 type Endpoint struct {
-	loop            *loop.Loop
-	bounds          limits.Limits
-	log             *slog.Logger
-	handler         Handler
-	listener        *loop.Source
-	conns           []*conn       // oldest first
-	failureLoggedAt time.Duration // time of the last warning of a failed accept, 0: never
+	loop                *loop.Loop
+	bounds              limits.Limits
+	log                 *slog.Logger
+	handler             Handler
+	listener            *loop.Source
+	conns               []*conn       // oldest first
+	acceptErrorLoggedAt time.Duration // time of the last warning of a failed accept, 0: never
 }
 
 // Open listens at addr, a TCP address. It fails if the address can't be listened on.
@@ -67,8 +67,8 @@
 			return
 		}
 		if err != nil {
-			if now := e.loop.Now(); e.failureLoggedAt == 0 || now-e.failureLoggedAt > logInterval {
-				e.failureLoggedAt = now
+			if now := e.loop.Now(); e.acceptErrorLoggedAt == 0 || now-e.acceptErrorLoggedAt > logInterval {
+				e.acceptErrorLoggedAt = now
 				e.log.Warn("operators' door: accept failed", "error", err)
 			}
 			return
@@ -111,7 +111,7 @@
 		return
 	}
 	if err != nil {
-		// A peer that has closed only its sending side still gets the rest of its answer.
+		// A tool that has closed only its sending side still gets the rest of its answer.
 		if c.isAnswered && len(c.unsent) > 0 && events&loop.FullHangup == 0 {
 			c.source.SetEvents(loop.Out)
 			return
@@ -133,7 +133,7 @@
 	}
 }
 
-// respond answers a line; nil, for a line that is too long, gets the answer to an unknown call.
+// respond answers a line. A line that is too long is passed as nil and answered like an unknown one.
 func (c *conn) respond(line []byte) {
 	c.isAnswered = true
 	switch string(bytes.TrimSuffix(line, []byte("\r"))) {
@@ -151,8 +151,8 @@
 	c.flush()
 }
 
-// flush writes the answer as far as the socket takes it, and after the whole answer ends this side of the connection. It
-// returns false if it closed the connection.
+// flush writes the answer as far as the socket takes it, and closes the sending side after the whole answer. It returns
+// false if it closed the connection.
 func (c *conn) flush() bool {
 	n, err := loop.Write(c.source.FD(), c.unsent)
 	if err != nil {
@@ -163,8 +163,8 @@
 		c.source.SetEvents(loop.In | loop.Out | loop.Hangup)
 		return true
 	}
-	// The connection is closed only after the peer's end. To close it with unread input would reset it, and the reset
-	// could destroy an answer that the peer has not read yet.
+	// The connection is closed only after the tool has closed its side. Closing it with unread input would reset it, and
+	// the reset could destroy an answer that the tool has not read yet.
 	if err := loop.CloseWrite(c.source.FD()); err != nil {
 		c.close()
 		return false
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -34,11 +34,11 @@
 	node            *membership.Node
 	source          *loop.Source
 	addrs           map[string]loop.UDPAddress // by member name
-	timer           *loop.Timer                // for the next tick
+	tickTimer       *loop.Timer                // for the next tick
 	tickInterval    time.Duration
 	counts          Counts
 	dropLoggedAt    time.Duration // time of the last warning of a drop, 0: never
-	window          time.Duration // start of the second in which messages are being counted
+	windowStart     time.Duration // start of the second in which messages are being counted
 	windowCount     int           // messages accepted in that second
 	reportedVersion uint64        // view version at the last onChange that a received message caused
 	onChange        func(now time.Duration)
@@ -54,15 +54,16 @@
 	TickInterval time.Duration           // between ticks of the node
 	OnChange     func(now time.Duration) // called on each tick and when a received message has changed the view
 
-	AppPrefix    byte                 // first byte of messages that are not the membership's
-	OnAppMessage func(b []byte) error // receives those; nil: there are none. An error drops the message
-	// IsReachable reports whether messages to and from a member get through; nil: always. It simulates a
-	// network partition.
+	AppPrefix byte // first byte of application messages, which share the socket with those of the membership
+	// OnAppMessage receives each application message; nil: there are none. The message is valid only during the call. An
+	// error drops it.
+	OnAppMessage func(b []byte) error
+	// IsReachable reports whether messages to and from a member get through; nil: always. It simulates a network partition.
 	IsReachable func(name string) bool
 }
 
 // Open starts to listen and sends a join request to all other members. It fails if an address is malformed or the socket
-// can't be opened.
+// can't be opened or watched.
 func Open(l *loop.Loop, bounds limits.Limits, log *slog.Logger, node *membership.Node, c Config) (*Transport, error) {
 	t := &Transport{loop: l, bounds: bounds, log: log, node: node, addrs: map[string]loop.UDPAddress{},
 		tickInterval: c.TickInterval, onChange: c.OnChange,
@@ -104,25 +105,25 @@
 // Close stops the ticks and closes the socket. It is safe on nil.
 func (t *Transport) Close() {
 	if t != nil {
-		t.timer.Stop()
+		t.tickTimer.Stop()
 		t.source.Close()
 	}
 }
 
 // onTick gives the node a tick, calls onChange and sets the timer for the next tick.
 func (t *Transport) onTick() {
-	t.timer = t.loop.After(t.tickInterval, t.onTick)
+	t.tickTimer = t.loop.After(t.tickInterval, t.onTick)
 	t.handle(membership.Tick{})
 	t.onChange(t.loop.Now())
 }
 
-// Ready reads received datagrams, a limited number per turn of the loop, so that other descriptors are served, too. Above
-// MaxDatagramsPerSecond in a second datagrams are read and dropped: a flood then costs little, and old messages don't
-// queue ahead of new ones.
+// Ready reads received datagrams, a limited number per turn of the loop, so that other descriptors are served, too. Those
+// above MaxDatagramsPerSecond are read and dropped: a flood then costs little, and old messages don't queue ahead of new
+// ones.
 func (t *Transport) Ready(uint32) {
 	now := t.loop.Now()
-	if s := now.Truncate(time.Second); s != t.window {
-		t.window, t.windowCount = s, 0
+	if s := now.Truncate(time.Second); s != t.windowStart {
+		t.windowStart, t.windowCount = s, 0
 	}
 	// One byte more than the longest message, so that a longer datagram is recognized as malformed.
 	buf := t.loop.ReadBuffer()[:membership.Datagram+1]
@@ -154,7 +155,8 @@
 	}
 }
 
-// dispatch gives a datagram to onAppMessage or to the node.
+// dispatch gives a datagram to onAppMessage or to the node. It returns an error if the message is malformed or its sender is
+// not accepted.
 func (t *Transport) dispatch(b []byte) error {
 	if t.onAppMessage != nil && len(b) > 0 && b[0] == t.appPrefix {
 		return t.onAppMessage(b)
@@ -192,7 +194,8 @@
 	}
 }
 
-// Send sends a message to a member. It reports no failure: a message that can't be sent counts as dropped.
+// Send sends a message to a member. It reports no failure: a message that can't be sent counts as dropped. To a member that
+// IsReachable denies nothing is sent or counted.
 func (t *Transport) Send(name string, b []byte) {
 	to, ok := t.addrs[name]
 	if !ok {
