--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -36,7 +36,7 @@
 	// and those above the number after Resize.
 	retired      []*conn
 	unreported   map[string][]*addCall // by counter name, in the order of calls
-	lastResponse time.Duration         // time of the last response on any connection
+	lastResponse time.Duration         // time of the last response on any connection, 0: never
 	debugEnabled bool
 	lossReported bool          // a loss was logged, and no call has succeeded since
 	lossLoggedAt time.Duration // 0: never
@@ -173,7 +173,7 @@
 	unsent                    []byte
 	queuedBytes, writtenBytes int           // since the connection was opened
 	calls                     []*addCall    // without a response, in the order of their requests
-	lastResponse              time.Duration // time of the last response, at first of the dial
+	lastResponse              time.Duration // time of the last response, or of the dial before the first one
 	dialTimer                 *loop.Timer
 	retireTimer               *loop.Timer // nil unless retired
 	backoff                   time.Duration
--- a/internal/net/discovery/convergence_test.go
+++ b/internal/net/discovery/convergence_test.go
@@ -41,7 +41,7 @@
 	failureModes                       // number of modes
 )
 
-// flakyServer is a fake discovery service that fails watches in the way that is set, at an address that stays the same.
+// flakyServer is a fake discovery service at a fixed address that fails watches in a way that can be set.
 type flakyServer struct {
 	t    *testing.T
 	addr string
--- a/internal/net/discovery/framer.go
+++ b/internal/net/discovery/framer.go
@@ -5,7 +5,7 @@
 	"errors"
 )
 
-// framer splits the body of a watch's response into messages. A message is one JSON object, on one line or indented over
+// framer splits the body of a watch's response into messages. A message is one JSON object, on one line or spread over
 // many. An empty line between messages is a keepalive. A truncated message is recognized by an empty line within it, by a
 // line that ends within a string, or by the beginning of another message on a later line of it.
 type framer struct {
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -24,8 +24,8 @@
 	Entries []Entry
 }
 
-// stateNames maps the states in discovery's messages to those of the decision module.
-var stateNames = map[string]admission.ServerState{
+// statesByName maps the states in discovery's messages to those of the decision module.
+var statesByName = map[string]admission.ServerState{
 	"Ready": admission.Up, "Terminating": admission.Draining, "Gone": admission.Gone,
 }
 
@@ -34,7 +34,7 @@
 func ReadList(r settings.Reader) (List, error) {
 	list := List{Version: uint64(max(0, r.Int("version"))), Full: r.Bool("full")}
 	for _, e := range r.List("servers") {
-		state, ok := stateNames[e.Text("state")]
+		state, ok := statesByName[e.Text("state")]
 		if !ok {
 			state = admission.Draining
 		}
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -21,7 +21,7 @@
 	isConnected  bool
 	hasReceived  bool // at least one byte of the response
 	openedAt     time.Duration
-	lastActivity time.Duration // time of the last byte received, at first openedAt
+	lastActivity time.Duration // time when data was last received, or openedAt before the first data
 	unsent       []byte        // rest of the request
 	framer       framer
 	silenceTimer *loop.Timer
