--- a/internal/daemon/controlgroup.go
+++ b/internal/daemon/controlgroup.go
@@ -88,8 +88,8 @@
 	group *controlGroup
 }
 
-// Received passes a message of a replica to the member and returns the answers to send. With an error the connection is
-// to be closed.
+// Received passes a message of a replica to the member and returns the answers to send. The client closes the connection
+// if it returns an error.
 func (m observedMember) Received(msg controlgroup.Message, now time.Duration) ([]controlgroup.Message, error) {
 	answers, err := m.Member.Received(msg, now)
 	if list, ok := msg.(controlgroup.InForce); ok && err == nil && len(list.Versions) > 0 {
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -66,7 +66,7 @@
 }
 
 // receiveGossip handles a message of another member and applies the versions that become active. It fails if the message
-// can't be parsed or its sender is not among the peers.
+// can't be parsed or CheckSender does not accept its sender.
 func (d *Daemon) receiveGossip(b []byte) error {
 	msg, err := versions.Parse(b)
 	if err != nil {
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -42,9 +42,9 @@
 	successor         *successorProcess // nil: there is none
 	customersToCopy   []uint64          // ids of customers still to be copied before the snapshot
 	copyStartedAt     time.Duration     // customers with requests since then are sent again with the snapshot
-	activeAtCopyStart []uint64          // ids of customers with open requests then: they are sent again, too
+	activeAtCopyStart []uint64          // ids of customers with an open request or counter call then: they are sent again, too
 	isSnapshotDue     bool              // the snapshot is taken once this turn's events are handled
-	frozenAt          time.Duration     // when this process stopped reading from clients
+	frozenAt          time.Duration     // when this process last stopped reading from clients
 	result            Progress          // of the present handover
 }
 
@@ -224,7 +224,8 @@
 }
 
 // endTurn runs at the end of each turn of the loop. It sends a snapshot that is due, once the module has handled all
-// events of the core. After the commit it tells the state machine when no stream and no connection is left here.
+// events of the core. After the commit it tells the state machine when this process has no client connection left and no
+// stream that is open or has upstream requests.
 func (p *predecessorRole) endTurn(now time.Duration) {
 	if p.isSnapshotDue {
 		for p.daemon.core.HasPendingEvents() {
