--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -42,14 +42,15 @@
 	successor         *successorProcess // nil: there is none
 	customersToCopy   []uint64          // ids of customers still to be copied before the snapshot
 	copyStartedAt     time.Duration     // customers with requests since then are sent again with the snapshot
-	activeAtCopyStart []uint64          // ids of customers with open requests then: they are sent again, too
+	activeAtCopyStart []uint64          // ids of customers with an open request or counter call then: they are sent again, too
 	isSnapshotDue     bool              // the snapshot is taken once this turn's events are handled
-	frozenAt          time.Duration     // when this process stopped reading from clients
+	frozenAt          time.Duration     // when this process last stopped reading from clients
 	result            Progress          // of the present handover
 }
 
-// upgrade begins an upgrade: it starts the binary that is at the path of this one now and hands over to it. If it can't,
-// it returns the reason, else an empty string. report is called on the loop with each phase and with the result.
+// upgrade begins an upgrade: it starts the binary that is now at the path of UpgradeCommand and hands over to it. If it
+// can't begin, it returns the reason, else an empty string. report is called on the loop with each phase and with the
+// result.
 func (d *Daemon) upgrade(report func(Progress)) string {
 	switch {
 	case d.isTakingOver():
@@ -96,7 +97,7 @@
 		p.successor.conn.Send(e, fds...)
 		return
 	}
-	for _, fd := range fds { // a successor that was told to end has ended first: no process is left to take them
+	for _, fd := range fds { // the successor was told to end and has ended first: no process is left to take them
 		loop.CloseFD(fd)
 	}
 }
@@ -222,8 +223,9 @@
 	p.send(&pb.Envelope{Body: &pb.Envelope_Customers{Customers: message}})
 }
 
-// endTurn runs at the end of each turn of the loop, when the module has handled all events of the core. Only then can the
-// snapshot be taken, or the process be found empty.
+// endTurn runs at the end of each turn of the loop. It sends a snapshot that is due, once the module has handled all
+// events of the core. After the commit it tells the state machine when this process has no client connection left and no
+// stream that is open or has upstream requests.
 func (p *predecessorRole) endTurn(now time.Duration) {
 	if p.isSnapshotDue {
 		for p.daemon.core.HasPendingEvents() {
