--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -62,7 +62,7 @@
 const maxPredecessorMessageBytes = 64 << 20
 
 // stopAwaitingPredecessor ends a replacement's wait for its predecessor after replacementTimeout. It does so even in the
-// state Holding, in which only the predecessor knows whether this process is to serve: if the predecessor has committed
+// state AwaitingCommit, in which only the predecessor knows whether this process is to serve: if the predecessor has committed
 // by then, it sees the connection end and serves again.
 func (s *successorRole) stopAwaitingPredecessor() {
 	if s.machine.IsServing() || s.machine.State == phase.Ended {
