--- a/internal/capacity/gossip_sim.go
+++ b/internal/capacity/gossip_sim.go
@@ -33,7 +33,7 @@
 
 // pieceSize is how many bytes of a document the member of a name sends in one message, as internal/daemon/gossip.go has it.
 func pieceSize(name string) int {
-	return membership.Datagram - versions.Overhead - len(documentName) - len(name)
+	return membership.MaxDatagramBytes - versions.Overhead - len(documentName) - len(name)
 }
 
 // gossipFleet is a fleet whose members agree on versions, each by the real [versions.Node], on a simulated network.
--- a/internal/capacity/membership_fleet.go
+++ b/internal/capacity/membership_fleet.go
@@ -52,10 +52,10 @@
 			others = append(others, strconv.Itoa(other))
 		}
 	}
-	node := membership.New(membership.Config{Me: strconv.Itoa(member), Incarnation: incarnation, Seed: uint64(member) + incarnation,
-		Period: f.bounds.MemberProbeInterval, AckWithin: f.bounds.MemberAckTimeout, SuspectFor: f.bounds.MemberSuspicionTimeout,
-		Helpers: f.bounds.MemberIndirectProbes, Carry: f.bounds.MemberUpdatesPerMessage, Least: len(f.nodes)}, f.now)
-	node.Roster(others, f.now)
+	node := membership.New(membership.Config{Name: strconv.Itoa(member), Incarnation: incarnation, Seed: uint64(member) + incarnation,
+		ProbePeriod: f.bounds.MemberProbeInterval, AckTimeout: f.bounds.MemberAckTimeout, SuspicionTimeout: f.bounds.MemberSuspicionTimeout,
+		IndirectProbes: f.bounds.MemberIndirectProbes, MaxUpdates: f.bounds.MemberUpdatesPerMessage, MinMembers: len(f.nodes)}, f.now)
+	node.AddMembers(others, f.now)
 	f.nodes[member] = node
 	f.sent(node.Handle(f.now, membership.Join{Seeds: others}))
 }
@@ -83,7 +83,7 @@
 // settled tells whether every member that is there may use its share.
 func (f *membershipFleet) settled() bool {
 	for member, node := range f.nodes {
-		if !f.down[member] && !node.Settled(f.now) {
+		if !f.down[member] && !node.IsSettled(f.now) {
 			return false
 		}
 	}
@@ -94,7 +94,7 @@
 func (f *membershipFleet) restart(ctx context.Context, member int, incarnation uint64) (time.Duration, error) {
 	f.start(member, incarnation)
 	f.alone = member // what the others would find out meanwhile does not matter to it
-	took, err := f.runUntil(ctx, membershipMost, networkStep, func() bool { return f.nodes[member].Settled(f.now) })
+	took, err := f.runUntil(ctx, membershipMost, networkStep, func() bool { return f.nodes[member].IsSettled(f.now) })
 	f.alone = allTick
 	if err == nil && took >= membershipMost {
 		err = fmt.Errorf("a restarted member has not settled within %v", membershipMost)
--- a/internal/daemon/controlgroup.go
+++ b/internal/daemon/controlgroup.go
@@ -45,8 +45,8 @@
 	d.controlGroup = g
 	g.setShare(false, d.core.Enqueue)
 	g.client = controlclient.Open(d.loop, d.cfg.Limits, d.log, controlclient.Config{Replicas: d.options.ControlReplicas,
-		Number: d.cfg.Settings.Index, Seed: d.cfg.Seed + uint64(d.cfg.Settings.Index), Member: observedMember{g.member, g},
-		Changed: g.handleChange})
+		IngressIndex: d.cfg.Settings.Index, Seed: d.cfg.Seed + uint64(d.cfg.Settings.Index), Member: observedMember{g.member, g},
+		OnChange: g.handleChange})
 	d.loop.OnTurnStart(g.checkShare)
 	g.handleChange(now)
 }
@@ -209,7 +209,7 @@
 	case d.controlGroup != nil:
 		return d.controlGroup.member.HoldsShare(now)
 	case d.members != nil:
-		return d.members.Node().Settled(now)
+		return d.members.Node().IsSettled(now)
 	}
 	return false
 }
@@ -237,8 +237,8 @@
 func (g *controlGroup) metrics(now time.Duration) figures.ControlGroup {
 	counts := g.client.Counts()
 	return figures.ControlGroup{IsConnected: g.client.Replica() != "", HoldsSettingsLease: g.member.LeaseState(now) == controlgroup.LeaseHeld,
-		HoldsShareLease: g.member.HoldsShare(now), Term: g.member.Term(), Connections: counts.Connections, BytesSent: counts.Sent,
-		BytesReceived: counts.Received}
+		HoldsShareLease: g.member.HoldsShare(now), Term: g.member.Term(), Connections: counts.Connections, BytesSent: counts.SentBytes,
+		BytesReceived: counts.ReceivedBytes}
 }
 
 // proposeFileVersions proposes the versions of this ingress's file, once, for each document of which the group has no
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -61,7 +61,7 @@
 	node := versions.New(versions.Config{Me: self, Doc: document, Seed: cfg.Seed + uint64(cfg.Settings.Index),
 		Period: bounds.MemberProbeInterval, AskAgain: bounds.MemberAckTimeout, Check: check, TextMost: maxDocumentBytes,
 		Lease:     time.Duration(cfg.Settings.Gateways+1) * bounds.MemberProbeInterval,
-		PieceMost: membership.Datagram - versions.Overhead - len(document) - len(self)}, first, now)
+		PieceMost: membership.MaxDatagramBytes - versions.Overhead - len(document) - len(self)}, first, now)
 	d.members.gossip.nodes = append(d.members.gossip.nodes, node)
 	return gossipSource{node, d}
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -55,13 +55,13 @@
 		}
 	}
 	// A later process must have the higher incarnation. If the clock was set back, the other members' messages raise it.
-	node := membership.New(membership.Config{Me: strconv.Itoa(self), Incarnation: uint64(max(1, time.Now().UnixMilli())),
-		Seed: cfg.Seed + uint64(self), Period: bounds.MemberProbeInterval, AckWithin: bounds.MemberAckTimeout, SuspectFor: bounds.MemberSuspicionTimeout,
+	node := membership.New(membership.Config{Name: strconv.Itoa(self), Incarnation: uint64(max(1, time.Now().UnixMilli())),
+		Seed: cfg.Seed + uint64(self), ProbePeriod: bounds.MemberProbeInterval, AckTimeout: bounds.MemberAckTimeout, SuspicionTimeout: bounds.MemberSuspicionTimeout,
 		// The predecessor of an upgrade was settled: an upgrade is refused until then, unless a control group decides about
 		// the share. A replacement that the platform starts can't be refused, so its predecessor may be unsettled.
-		Assured: d.asSuccessor != nil && !d.isReplacement,
-		Helpers: bounds.MemberIndirectProbes, Carry: bounds.MemberUpdatesPerMessage, Least: cfg.Settings.Gateways}, now)
-	node.Roster(roster, now)
+		IsSettledSuccessor: d.asSuccessor != nil && !d.isReplacement,
+		IndirectProbes:     bounds.MemberIndirectProbes, MaxUpdates: bounds.MemberUpdatesPerMessage, MinMembers: cfg.Settings.Gateways}, now)
+	node.AddMembers(roster, now)
 	m := &members{self: strconv.Itoa(self), loggedStates: map[string]membership.State{}}
 	d.members = m
 	var err error
@@ -125,7 +125,7 @@
 // updateShare tells the module if the membership has changed who shares joint budgets.
 func (d *Daemon) updateShare(now time.Duration) {
 	m := d.members
-	ev := admission.FleetChanged{IsUncertain: !m.Node().Settled(now)}
+	ev := admission.FleetChanged{IsUncertain: !m.Node().IsSettled(now)}
 	for _, name := range m.Node().Absent(now) {
 		if i, err := strconv.Atoi(name); err == nil && i < d.cfg.Settings.Gateways {
 			ev.Absent = append(ev.Absent, i)
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -58,7 +58,7 @@
 		return "the ingress is ending"
 	case d.asPredecessor.machine.UnderWay():
 		return "an upgrade is under way"
-	case d.controlGroup == nil && d.members != nil && !d.members.Node().Settled(d.loop.Now()):
+	case d.controlGroup == nil && d.members != nil && !d.members.Node().IsSettled(d.loop.Now()):
 		return "the membership has not settled"
 	case len(d.options.UpgradeCommand) == 0:
 		return "the path of the binary is not known"
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -15,19 +15,19 @@
 // receive takes a message: what it shows of its sender, the updates on it, and what it asks for.
 func (n *Node) receive(now time.Duration, msg Message) {
 	from := msg.From
-	if from == "" || from == n.cfg.Me {
+	if from == "" || from == n.cfg.Name {
 		return
 	}
-	n.lastHeard[from], n.leftDigests[from] = max(now, 1), msg.Out
+	n.lastHeard[from], n.leftDigests[from] = max(now, 1), msg.LeftDigest
 	for _, u := range msg.Updates {
 		// One that leaves takes along what it knows. Its word counts once this node knows that, too: else it could
 		// be the last that knew of another's return.
-		if u.Name == from && u.State == Left && msg.Out != n.members.leftDigest(from) {
+		if u.Name == from && u.State == Left && msg.LeftDigest != n.members.leftDigest(from) {
 			continue
 		}
 		n.consider(u, from, now)
 	}
-	if msg.Out != n.members.leftDigest(n.cfg.Me) && msg.Kind != Sync && now-n.viewSentAt >= n.cfg.AckWithin {
+	if msg.LeftDigest != n.members.leftDigest(n.cfg.Name) && msg.Kind != Sync && now-n.viewSentAt >= n.cfg.AckTimeout {
 		n.viewSentAt = now
 		n.sendView(from)
 	}
@@ -50,7 +50,7 @@
 			return
 		}
 		seq := n.ping(msg.Target, now)
-		n.relays[seq] = relay{asker: msg.From, seq: msg.Seq, until: now + relayPeriods*n.cfg.Period}
+		n.relays[seq] = relay{asker: msg.From, seq: msg.Seq, until: now + relayPeriods*n.cfg.ProbePeriod}
 	case Ack:
 		n.acknowledged(now, msg.Seq)
 	}
@@ -60,7 +60,7 @@
 // earlier incarnation: it refutes them with a higher one, which is then carried as any update.
 func (n *Node) consider(u Update, from string, now time.Duration) {
 	switch {
-	case u.Name != n.cfg.Me:
+	case u.Name != n.cfg.Name:
 		// Nobody is dead because another member reports so, such as one from the other side of a split that is over:
 		// it is suspected here, pinged, and dead when nothing is heard of it here either.
 		if u.State == Dead {
@@ -70,7 +70,7 @@
 	case n.left:
 	case u.Incarnation > n.incarnation || u.Incarnation == n.incarnation && u.State != Alive:
 		n.incarnation = u.Incarnation + 1
-		n.apply(Update{Name: n.cfg.Me, Incarnation: n.incarnation, State: Alive}, now)
+		n.apply(Update{Name: n.cfg.Name, Incarnation: n.incarnation, State: Alive}, now)
 	case u.Incarnation >= n.cfg.Incarnation && u.State != Left:
 		n.confirmed[from] = true
 	}
@@ -93,12 +93,12 @@
 
 // sendView sends the whole view to a member, Carry members a message.
 func (n *Node) sendView(to string) {
-	for some := range slices.Chunk(n.members.view.Members, max(1, n.cfg.Carry)) {
+	for some := range slices.Chunk(n.members.view.Members, max(1, n.cfg.MaxUpdates)) {
 		var updates []Update
 		for _, m := range some {
 			updates = append(updates, m.update())
 		}
-		msg := Message{Kind: Sync, From: n.cfg.Me, Updates: updates, Out: n.members.leftDigest(n.cfg.Me)}
+		msg := Message{Kind: Sync, From: n.cfg.Name, Updates: updates, LeftDigest: n.members.leftDigest(n.cfg.Name)}
 		n.outbox = append(n.outbox, Send{To: to, Msg: msg})
 	}
 }
@@ -111,23 +111,23 @@
 // it can refute whichever way the update went; then the freshest of the queue, and where there are fewer, some other
 // member, so that a view that missed an update is corrected all the same.
 func (n *Node) send(to string, msg Message) {
-	msg.From, msg.Out = n.cfg.Me, n.members.leftDigest(n.cfg.Me)
+	msg.From, msg.LeftDigest = n.cfg.Name, n.members.leftDigest(n.cfg.Name)
 	switch {
 	case n.left: // on all that it still sends
-		msg.Updates = append(msg.Updates, Update{Name: n.cfg.Me, Incarnation: n.incarnation, State: Left})
+		msg.Updates = append(msg.Updates, Update{Name: n.cfg.Name, Incarnation: n.incarnation, State: Left})
 	case !n.confirmed[to] && msg.Kind != JoinRequest:
-		msg.Updates = append(msg.Updates, Update{Name: n.cfg.Me, Incarnation: n.incarnation})
+		msg.Updates = append(msg.Updates, Update{Name: n.cfg.Name, Incarnation: n.incarnation})
 	}
 	if m, ok := n.members.get(to); ok && (m.State != Alive || msg.Kind == Ack) {
 		msg.Updates = append(msg.Updates, m.update())
 	}
-	for i := len(n.queue) - 1; i >= 0 && len(msg.Updates) < n.cfg.Carry; i-- {
+	for i := len(n.queue) - 1; i >= 0 && len(msg.Updates) < n.cfg.MaxUpdates; i-- {
 		msg.Updates = append(msg.Updates, n.queue[i].update)
 		if n.queue[i].left--; n.queue[i].left <= 0 {
 			n.queue = append(n.queue[:i], n.queue[i+1:]...)
 		}
 	}
-	if all := n.members.view.Members; len(msg.Updates) < n.cfg.Carry {
+	if all := n.members.view.Members; len(msg.Updates) < n.cfg.MaxUpdates {
 		msg.Updates = append(msg.Updates, all[n.rng.IntN(len(all))].update())
 	}
 	n.outbox = append(n.outbox, Send{To: to, Msg: msg})
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -14,12 +14,12 @@
 // Message is what goes between members. Updates ride on every kind; an Ack's first one is what its sender
 // holds of who is to get it.
 type Message struct {
-	Kind    Kind
-	From    string
-	Seq     uint64
-	Target  string
-	Updates []Update
-	Out     uint64 // digest of the members that its sender knows to have left, itself aside; 0: none
+	Kind       Kind
+	From       string
+	Seq        uint64
+	Target     string
+	Updates    []Update
+	LeftDigest uint64 // digest of the members that its sender knows to have left, itself aside; 0: none
 }
 
 // Send is the one action: a message to a member, which may be lost or late.
@@ -43,12 +43,12 @@
 // Leave tells the others that the node leaves for good; it probes no more.
 type Leave struct{}
 
-// Gone tells that a member which is dead in this view is so for good, as an operator knows. Should it be there
+// ForceLeave tells that a member which is dead in this view is so for good, as an operator knows. Should it be there
 // after all, it refutes as any suspicion.
-type Gone struct{ Name string }
+type ForceLeave struct{ Name string }
 
-func (Gone) event()     {}
-func (Tick) event()     {}
-func (Received) event() {}
-func (Join) event()     {}
-func (Leave) event()    {}
+func (ForceLeave) event() {}
+func (Tick) event()       {}
+func (Received) event()   {}
+func (Join) event()       {}
+func (Leave) event()      {}
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -7,16 +7,16 @@
 
 // Config of a node. Times are monotonic durations.
 type Config struct {
-	Me          string
-	Incarnation uint64        // of this process; above that of every earlier one, such as the wall clock's milliseconds
-	Seed        uint64        // of the random choices, so that a run can be played again
-	Period      time.Duration // between probes of this node; one probe is out at a time
-	AckWithin   time.Duration // a direct probe unanswered this long asks Helpers others, and is made once more
-	SuspectFor  time.Duration // suspicion unrefuted this long, with nothing heard, declares a member dead
-	Helpers     int           // members asked to probe for this node
-	Carry       int           // updates on one message, bounding its size
-	Assured     bool          // it goes on in place of a process of its name that was settled, and had not left
-	Least       int           // members that the settings name: never fewer share a budget, and all are to be known
+	Name               string
+	Incarnation        uint64        // of this process; above that of every earlier one, such as the wall clock's milliseconds
+	Seed               uint64        // of the random choices, so that a run can be played again
+	ProbePeriod        time.Duration // between probes of this node; one probe is out at a time
+	AckTimeout         time.Duration // a direct probe unanswered this long asks Helpers others, and is made once more
+	SuspicionTimeout   time.Duration // suspicion unrefuted this long, with nothing heard, declares a member dead
+	IndirectProbes     int           // members asked to probe for this node
+	MaxUpdates         int           // updates on one message, bounding its size
+	IsSettledSuccessor bool          // it goes on in place of a process of its name that was settled, and had not left
+	MinMembers         int           // members that the settings name: never fewer share a budget, and all are to be known
 }
 
 // Node is one member's failure detector. On average it sends at most MessagesMost a Period, however many
@@ -56,19 +56,19 @@
 	n := &Node{cfg: cfg, incarnation: cfg.Incarnation, startedAt: now, nextProbe: now, relays: map[uint64]relay{},
 		lastHeard: map[string]time.Duration{}, confirmed: map[string]bool{}, leftDigests: map[string]uint64{},
 		rng: rand.New(rand.NewPCG(cfg.Seed, 0x5157))}
-	n.apply(Update{Name: cfg.Me, Incarnation: n.incarnation, State: Alive}, now)
+	n.apply(Update{Name: cfg.Name, Incarnation: n.incarnation, State: Alive}, now)
 	return n
 }
 
 // View returns the node's view; the caller must not change it.
 func (n *Node) View() View { return n.members.view }
 
-// MessagesMost bounds what a node sends in a Period on average, whatever the size of the fleet and whatever
+// MaxMessagesPerPeriod bounds what a node sends in a Period on average, whatever the size of the fleet and whatever
 // fails: two pings of its probe, one of a suspect each AckWithin, one of a dead member, as many acks, its
 // requests to helpers, and for each such request to itself a ping, an ack and an ack passed on.
-func (c Config) MessagesMost() float64 {
-	pings := 3 + float64(c.Period)/float64(max(1, c.AckWithin))
-	return 2*pings + 4*float64(c.Helpers)
+func (c Config) MaxMessagesPerPeriod() float64 {
+	pings := 3 + float64(c.ProbePeriod)/float64(max(1, c.AckTimeout))
+	return 2*pings + 4*float64(c.IndirectProbes)
 }
 
 // Handle takes one event and returns what to send, valid until the next call.
@@ -83,16 +83,16 @@
 		n.seeds = e.Seeds
 		n.requestView()
 		n.announce(now)
-	case Gone:
+	case ForceLeave:
 		if m, ok := n.members.get(e.Name); ok && m.State == Dead {
 			n.apply(Update{Name: m.Name, Incarnation: m.Incarnation, State: Left}, now)
 		}
 	case Leave:
 		if !n.left {
 			n.left = true
-			n.apply(Update{Name: n.cfg.Me, Incarnation: n.incarnation, State: Left}, now)
+			n.apply(Update{Name: n.cfg.Name, Incarnation: n.incarnation, State: Left}, now)
 		}
-		for _, to := range n.pick(n.cfg.Helpers+1, "") {
+		for _, to := range n.pick(n.cfg.IndirectProbes+1, "") {
 			n.ping(to, now)
 		}
 	}
@@ -107,7 +107,7 @@
 func (n *Node) announce(now time.Duration) {
 	var unconfirmed []string
 	for _, m := range n.members.view.Members {
-		if m.Name != n.cfg.Me && m.State != Left && !n.confirmed[m.Name] {
+		if m.Name != n.cfg.Name && m.State != Left && !n.confirmed[m.Name] {
 			unconfirmed = append(unconfirmed, m.Name)
 		}
 	}
@@ -119,10 +119,10 @@
 
 // requestView asks some of the seeds for the view, at a start and each Period until one has answered.
 func (n *Node) requestView() {
-	for range min(len(n.seeds), n.cfg.Helpers+1) {
-		if seed := n.seeds[n.rng.IntN(len(n.seeds))]; seed != n.cfg.Me {
+	for range min(len(n.seeds), n.cfg.IndirectProbes+1) {
+		if seed := n.seeds[n.rng.IntN(len(n.seeds))]; seed != n.cfg.Name {
 			n.seq++
-			n.send(seed, Message{Kind: JoinRequest, Seq: n.seq, Updates: []Update{{Name: n.cfg.Me, Incarnation: n.incarnation}}})
+			n.send(seed, Message{Kind: JoinRequest, Seq: n.seq, Updates: []Update{{Name: n.cfg.Name, Incarnation: n.incarnation}}})
 		}
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -49,7 +49,7 @@
 // ackWait is how long an answer may take: what the configuration says, or longer where the network is seen to
 // be slow, as a retransmission timer is set. So a delay alone suspects nobody for long.
 func (n *Node) ackWait() time.Duration {
-	return min(max(n.cfg.AckWithin, n.rtt.mean+rttDeviations*n.rtt.deviation), maxAckPeriods*n.cfg.Period)
+	return min(max(n.cfg.AckTimeout, n.rtt.mean+rttDeviations*n.rtt.deviation), maxAckPeriods*n.cfg.ProbePeriod)
 }
 
 // observeRTT takes a round trip into the smoothed mean and deviation.
@@ -66,7 +66,7 @@
 // suspectFor is how long a suspicion lasts unless the suspect is heard. Where this member's own messages get lost a lot, whoever it
 // suspects is given longer, as Lifeguard does by a member's own health.
 func (n *Node) suspectFor() time.Duration {
-	return time.Duration(float64(n.cfg.SuspectFor) * (1 + missFactor*max(0, n.missRate-missThreshold)))
+	return time.Duration(float64(n.cfg.SuspicionTimeout) * (1 + missFactor*max(0, n.missRate-missThreshold)))
 }
 
 // acknowledged takes an ack: to a ping of this node's, to its probe, or to a ping on behalf of another member.
@@ -101,7 +101,7 @@
 	if n.probe != nil || n.left || now < n.nextProbe {
 		return
 	}
-	n.nextProbe = now + n.cfg.Period
+	n.nextProbe = now + n.cfg.ProbePeriod
 	if target := n.nextTarget(); target != "" {
 		n.probe = &probe{target: target, sent: now}
 		n.probe.seq = n.ping(target, now)
@@ -129,11 +129,11 @@
 		if alive {
 			n.missRate += missRateGain * (1 - n.missRate)
 		}
-		for _, helper := range n.pick(n.cfg.Helpers, p.target) {
+		for _, helper := range n.pick(n.cfg.IndirectProbes, p.target) {
 			n.send(helper, Message{Kind: PingReq, Seq: p.seq, Target: p.target})
 		}
 		n.ping(p.target, now)
-	case now-p.sent >= max(n.cfg.Period, 2*wait):
+	case now-p.sent >= max(n.cfg.ProbePeriod, 2*wait):
 		if alive && !heard {
 			n.apply(Update{Name: target.Name, Incarnation: target.Incarnation, State: Suspect}, now)
 		}
@@ -163,7 +163,7 @@
 		n.ping(suspects[n.rng.IntN(len(suspects))], now)
 	}
 	if len(dead) > 0 && now >= n.pingDeadAt && !n.left {
-		n.pingDeadAt = now + n.cfg.Period
+		n.pingDeadAt = now + n.cfg.ProbePeriod
 		n.ping(dead[n.rng.IntN(len(dead))], now)
 	}
 }
@@ -180,7 +180,7 @@
 			}
 		}
 		for _, m := range n.members.view.Members {
-			if m.Name != n.cfg.Me && (m.State == Alive || m.State == Suspect) {
+			if m.Name != n.cfg.Name && (m.State == Alive || m.State == Suspect) {
 				n.probeOrder = append(n.probeOrder, m.Name)
 			}
 		}
@@ -193,7 +193,7 @@
 func (n *Node) pick(k int, except string) []string {
 	var alive []string
 	for _, m := range n.members.view.Members {
-		if m.State == Alive && m.Name != n.cfg.Me && m.Name != except {
+		if m.State == Alive && m.Name != n.cfg.Name && m.Name != except {
 			alive = append(alive, m.Name)
 		}
 	}
--- a/internal/membership/share.go
+++ b/internal/membership/share.go
@@ -10,7 +10,7 @@
 // lease is how long after the last word of each member that is there a view counts as whole: the time in which
 // each is probed by this node and probes it.
 func (n *Node) lease() time.Duration {
-	return time.Duration(len(n.members.view.Members)+1) * n.cfg.Period
+	return time.Duration(len(n.members.view.Members)+1) * n.cfg.ProbePeriod
 }
 
 // Absent returns the members that no longer share joint budgets, by name: those that left, as long as this node
@@ -18,40 +18,40 @@
 // at odds with it, it counts all of them in again: it might not have heard of one that came back.
 func (n *Node) Absent(now time.Duration) []string {
 	var out []string
-	mine := n.members.leftDigest(n.cfg.Me)
+	mine := n.members.leftDigest(n.cfg.Name)
 	for _, m := range n.members.view.Members {
 		switch {
-		case m.Name == n.cfg.Me:
+		case m.Name == n.cfg.Name:
 		case m.State == Left:
 			out = append(out, m.Name)
 		case m.State != Alive || n.lastHeard[m.Name] == 0 || now-n.lastHeard[m.Name] > n.lease(), n.leftDigests[m.Name] != mine:
 			return nil
 		}
 	}
-	if !n.Settled(now) {
+	if !n.IsSettled(now) {
 		return nil
 	}
 	return out
 }
 
-// Settled reports whether this node may take its share of a budget that must not be exceeded. Others may have counted it
+// IsSettled reports whether this node may take its share of a budget that must not be exceeded. Others may have counted it
 // out, if it left in an earlier incarnation. So each that is there must be known to hold the new one, or be dead for
 // longer than a lease, by when it counts all in again; and one at least must have been heard, if there is to be
 // any other: a node that hears nobody can't know.
-func (n *Node) Settled(now time.Duration) bool {
+func (n *Node) IsSettled(now time.Duration) bool {
 	if n.left {
 		return false
 	}
-	if n.cfg.Assured { // nobody counts out who has not left
+	if n.cfg.IsSettledSuccessor { // nobody counts out who has not left
 		return true
 	}
-	if len(n.members.view.Members) < n.cfg.Least { // it has not been told of all that may count it out
+	if len(n.members.view.Members) < n.cfg.MinMembers { // it has not been told of all that may count it out
 		return false
 	}
 	one := len(n.seeds) == 0 && len(n.members.view.Members) == 1
 	for _, m := range n.members.view.Members {
 		switch {
-		case m.Name == n.cfg.Me || m.State == Left:
+		case m.Name == n.cfg.Name || m.State == Left:
 		case n.confirmed[m.Name]:
 			one = true
 		case m.State != Dead || now-max(m.Since, n.startedAt) <= n.lease():
@@ -63,17 +63,17 @@
 
 // Share is this node's share of a joint budget, from 0 to 1.
 func (n *Node) Share(now time.Duration) float64 {
-	if !n.Settled(now) {
+	if !n.IsSettled(now) {
 		return 0
 	}
 	// Members that the settings don't name share, too; those that left and all others know of do not. One that is
 	// dead may be cut off and go on sending, so it counts on.
-	return 1 / float64(max(1, max(len(n.members.view.Members), n.cfg.Least)-len(n.Absent(now))))
+	return 1 / float64(max(1, max(len(n.members.view.Members), n.cfg.MinMembers)-len(n.Absent(now))))
 }
 
-// Roster makes members known by name that have not been heard: those of the settings. Until they are, they
+// AddMembers makes members known by name that have not been heard: those of the settings. Until they are, they
 // count as there.
-func (n *Node) Roster(names []string, now time.Duration) {
+func (n *Node) AddMembers(names []string, now time.Duration) {
 	for _, name := range names {
 		if _, known := n.members.get(name); !known {
 			n.members.apply(Update{Name: name, State: Alive}, now)
--- a/internal/membership/swim_test.go
+++ b/internal/membership/swim_test.go
@@ -36,8 +36,8 @@
 }
 
 func (w *net) config(name string, life uint64) Config {
-	return Config{Me: name, Incarnation: life, Seed: w.rng.Uint64(), Period: 300 * ms, AckWithin: 100 * ms,
-		SuspectFor: 1000 * ms, Helpers: 2, Carry: 6, Least: w.all}
+	return Config{Name: name, Incarnation: life, Seed: w.rng.Uint64(), ProbePeriod: 300 * ms, AckTimeout: 100 * ms,
+		SuspicionTimeout: 1000 * ms, IndirectProbes: 2, MaxUpdates: 6, MinMembers: w.all}
 }
 
 func newNet(n int, seed uint64, loss float64, most time.Duration) *net {
@@ -239,7 +239,7 @@
 	for name, a := range w.nodes {
 		require.Equal(t, Alive, stateOf(a, "n2"), name)
 		require.Len(t, a.View().Members, 4)
-		require.True(t, a.Settled(w.now), name)
+		require.True(t, a.IsSettled(w.now), name)
 	}
 	require.Greater(t, w.nodes["n2"].incarnation, uint64(1000))
 }
@@ -259,11 +259,11 @@
 		}
 	}
 	w.begin("n2", 5000)
-	require.False(t, w.nodes["n2"].Settled(w.now), "others may count it out still")
+	require.False(t, w.nodes["n2"].IsSettled(w.now), "others may count it out still")
 	w.run(2 * time.Second)
 	for name, a := range w.nodes {
 		require.Empty(t, a.Absent(w.now), name)
-		require.True(t, a.Settled(w.now), name)
+		require.True(t, a.IsSettled(w.now), name)
 	}
 }
 
@@ -324,7 +324,7 @@
 			before := w.sent["n1"]
 			w.run(10 * time.Second)
 			perS := float64(w.sent["n1"]-before) / 10
-			most := w.nodes["n1"].cfg.MessagesMost() / 0.3
+			most := w.nodes["n1"].cfg.MaxMessagesPerPeriod() / 0.3
 			require.LessOrEqual(t, perS, most, "members %d, loss %v", n, loss)
 			require.Less(t, most, 100.0, "what an ingress takes in on the platform")
 			require.Positive(t, perS)
@@ -336,12 +336,12 @@
 func TestGoneForGood(t *testing.T) {
 	w := newNet(4, 2, 0.02, 10*ms)
 	w.run(3 * time.Second)
-	w.put("n1", w.nodes["n1"].Handle(w.now, Gone{Name: "n3"}))
+	w.put("n1", w.nodes["n1"].Handle(w.now, ForceLeave{Name: "n3"}))
 	w.run(time.Second)
 	require.Equal(t, Alive, stateOf(w.nodes["n1"], "n3"))
 	w.down["n3"] = true
 	w.run(4 * time.Second)
-	w.put("n1", w.nodes["n1"].Handle(w.now, Gone{Name: "n3"}))
+	w.put("n1", w.nodes["n1"].Handle(w.now, ForceLeave{Name: "n3"}))
 	w.run(3 * time.Second)
 	for _, name := range []string{"n0", "n1", "n2"} {
 		require.Equal(t, Left, stateOf(w.nodes[name], "n3"), name)
@@ -359,7 +359,7 @@
 	w := newNet(3, 6, 0, 5*ms)
 	w.run(3 * time.Second)
 	cfg := w.config("n1", 9000)
-	cfg.Assured = true
+	cfg.IsSettledSuccessor = true
 	w.nodes["n1"] = New(cfg, w.now)
 	w.put("n1", w.nodes["n1"].Handle(w.now, Join{Seeds: []string{"n0"}}))
 	require.InDelta(t, 1.0/3, w.nodes["n1"].Share(w.now), 1e-9)
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -9,8 +9,8 @@
 	"ferryfront.example/ferryfront/internal/wire"
 )
 
-// Datagram is the most bytes that the platform carries between ingresses in one message.
-const Datagram = 256
+// MaxDatagramBytes is the most bytes that the platform carries between ingresses in one message.
+const MaxDatagramBytes = 256
 
 // Fields of a message in protobuf's wire format: kind 1, seq 2, target 3, updates 4, sender 5, out 6; of an update:
 // name 1, incarnation 2, state 3.
@@ -27,9 +27,9 @@
 	b = protowire.AppendVarint(b, uint64(msg.Kind))
 	b = protowire.AppendTag(b, fSeq, protowire.VarintType)
 	b = protowire.AppendVarint(b, msg.Seq)
-	if msg.Out != 0 {
+	if msg.LeftDigest != 0 {
 		b = protowire.AppendTag(b, fOut, protowire.Fixed64Type)
-		b = protowire.AppendFixed64(b, msg.Out)
+		b = protowire.AppendFixed64(b, msg.LeftDigest)
 	}
 	for _, f := range []struct {
 		num  protowire.Number
@@ -49,7 +49,7 @@
 		u = protowire.AppendTag(u, uState, protowire.VarintType)
 		u = protowire.AppendVarint(u, uint64(up.State))
 		size := protowire.SizeTag(fUpdate) + protowire.SizeBytes(len(u))
-		if len(b)-start+size > Datagram {
+		if len(b)-start+size > MaxDatagramBytes {
 			break
 		}
 		b = protowire.AppendTag(b, fUpdate, protowire.BytesType)
@@ -64,7 +64,7 @@
 // Parse reads a message. Errors name the field that is wrong; unknown fields are skipped.
 func Parse(b []byte) (Message, error) {
 	var msg Message
-	if len(b) > Datagram {
+	if len(b) > MaxDatagramBytes {
 		return msg, ErrTooLong
 	}
 	err := wire.Walk(b, "membership: ", func(num protowire.Number, typ protowire.Type, b []byte) (int, error) {
@@ -86,7 +86,7 @@
 			return n, nil
 		case num == fOut && typ == protowire.Fixed64Type:
 			v, n := protowire.ConsumeFixed64(b)
-			msg.Out = v
+			msg.LeftDigest = v
 			return n, nil
 		case num == fTarget && typ == protowire.BytesType:
 			v, n := protowire.ConsumeString(b)
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -13,21 +13,21 @@
 func TestAMessageRoundTripsWithinADatagram(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		msg := Message{Kind: Kind(rapid.IntRange(0, int(JoinRequest)).Draw(t, "kind")), From: "ingress-0",
-			Out: rapid.Uint64().Draw(t, "out"), Seq: rapid.Uint64().Draw(t, "seq"),
+			LeftDigest: rapid.Uint64().Draw(t, "out"), Seq: rapid.Uint64().Draw(t, "seq"),
 			Target: rapid.StringMatching(`(n[0-9]{1,3})?`).Draw(t, "target")}
 		for i := range rapid.IntRange(0, 40).Draw(t, "updates") {
 			msg.Updates = append(msg.Updates, Update{Name: fmt.Sprintf("ingress-%d", i),
 				Incarnation: rapid.Uint64().Draw(t, "inc"), State: State(rapid.IntRange(0, int(Left)).Draw(t, "state"))})
 		}
 		b := Append(nil, msg)
-		require.LessOrEqual(t, len(b), Datagram)
+		require.LessOrEqual(t, len(b), MaxDatagramBytes)
 		got, err := Parse(b)
 		require.NoError(t, err)
 		require.Equal(t, msg.Kind, got.Kind)
 		require.Equal(t, msg.Seq, got.Seq)
 		require.Equal(t, msg.Target, got.Target)
 		require.Equal(t, msg.From, got.From)
-		require.Equal(t, msg.Out, got.Out)
+		require.Equal(t, msg.LeftDigest, got.LeftDigest)
 		require.LessOrEqual(t, len(got.Updates), len(msg.Updates))
 		require.Equal(t, msg.Updates[:len(got.Updates)], got.Updates[:len(got.Updates):len(got.Updates)])
 		if len(msg.Updates) > 0 && len(got.Updates) == 0 {
@@ -45,7 +45,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		msg, err := Parse(b)
 		if err == nil {
-			require.LessOrEqual(t, len(Append(nil, msg)), Datagram+len(b))
+			require.LessOrEqual(t, len(Append(nil, msg)), MaxDatagramBytes+len(b))
 		}
 	})
 }
--- a/internal/net/controlclient/client.go
+++ b/internal/net/controlclient/client.go
@@ -31,17 +31,17 @@
 
 // Config says where the replicas are and for whom the client speaks.
 type Config struct {
-	Replicas []string // addresses, one at least; the same in the same order at all ingresses
-	Number   int      // of this ingress: spreads ingresses over the replicas
-	Seed     uint64   // of the jitter
-	Member   Member
-	Changed  func(now time.Duration) // called when what the member tells may have changed, before that is reported
+	Replicas     []string // addresses, one at least; the same in the same order at all ingresses
+	IngressIndex int      // of this ingress: spreads ingresses over the replicas
+	Seed         uint64   // of the jitter
+	Member       Member
+	OnChange     func(now time.Duration) // called when what the member tells may have changed, before that is reported
 }
 
 // Counts are from the opening of the client.
 type Counts struct {
-	Sent, Received uint64 // bytes
-	Connections    uint64 // that came up
+	SentBytes, ReceivedBytes uint64 // bytes
+	Connections              uint64 // that came up
 }
 
 // Client keeps a connection to one replica, and goes on to the next when it fails.
@@ -70,8 +70,8 @@
 
 // Open begins to connect to the ingress's first replica.
 func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, c Config) *Client {
-	client := &Client{loop: l, lim: lim, log: log, config: c, replica: c.Number % len(c.Replicas), unlogged: true,
-		rng: rand.New(rand.NewPCG(c.Seed, uint64(c.Number)))}
+	client := &Client{loop: l, lim: lim, log: log, config: c, replica: c.IngressIndex % len(c.Replicas), unlogged: true,
+		rng: rand.New(rand.NewPCG(c.Seed, uint64(c.IngressIndex)))}
 	client.dial()
 	client.schedule()
 	return client
@@ -175,7 +175,7 @@
 	c.dueAt = 0
 	now := c.loop.Now()
 	c.Send(c.config.Member.Tick(now))
-	c.config.Changed(now)
+	c.config.OnChange(now)
 }
 
 // dial begins a connection to the replica whose turn it is.
@@ -228,7 +228,7 @@
 	}
 	c.next(cause)
 	c.schedule()
-	c.config.Changed(now)
+	c.config.OnChange(now)
 }
 
 // logEvery: replicas that fail again and again are logged so often.
@@ -252,7 +252,7 @@
 // replica that is lost are shared by its neighbours.
 func (c *Client) step() int {
 	n := len(c.config.Replicas)
-	if c.config.Number/n%2 == 1 {
+	if c.config.IngressIndex/n%2 == 1 {
 		return n - 1
 	}
 	return 1
--- a/internal/net/controlclient/client_test.go
+++ b/internal/net/controlclient/client_test.go
@@ -39,8 +39,8 @@
 	}
 	s := &setting{loop: l, lim: lim, member: &member{}}
 	s.member.due = never
-	s.client = Open(l, lim, slog.New(slog.NewTextHandler(&s.log, nil)), Config{Replicas: replicas, Number: number, Seed: 1,
-		Member: s.member, Changed: func(time.Duration) {
+	s.client = Open(l, lim, slog.New(slog.NewTextHandler(&s.log, nil)), Config{Replicas: replicas, IngressIndex: number, Seed: 1,
+		Member: s.member, OnChange: func(time.Duration) {
 			if s.changes++; s.changed != nil {
 				s.changed()
 			}
@@ -72,8 +72,8 @@
 	require.Positive(t, s.changes)
 	counts := s.client.Counts()
 	require.Equal(t, uint64(1), counts.Connections)
-	require.Equal(t, uint64(len(controlgroup.Append(controlgroup.Append(nil, renew(1)), renew(50)))), counts.Sent)
-	require.Positive(t, counts.Received)
+	require.Equal(t, uint64(len(controlgroup.Append(controlgroup.Append(nil, renew(1)), renew(50)))), counts.SentBytes)
+	require.Positive(t, counts.ReceivedBytes)
 	require.Contains(t, s.log.String(), "control replica connected")
 }
 
@@ -87,7 +87,7 @@
 	var sent uint64
 	s.changed = func() {
 		if sent == 0 && len(s.member.received) > 0 {
-			sent = s.client.Counts().Sent
+			sent = s.client.Counts().SentBytes
 		}
 	}
 	s.until(t, func() bool { return len(r.messages()) == 2 })
@@ -112,7 +112,7 @@
 	require.Equal(t, grant(1), s.member.received[0])
 	require.Equal(t, text, s.member.received[1].(controlgroup.Content).Text)
 	require.Equal(t, grant(2), s.member.received[2])
-	require.Equal(t, uint64(len(whole)), s.client.Counts().Received)
+	require.Equal(t, uint64(len(whole)), s.client.Counts().ReceivedBytes)
 }
 
 // What can't be read, or that the member takes for wrong, ends the connection by a reset; the next replica is tried.
--- a/internal/net/controlclient/connection.go
+++ b/internal/net/controlclient/connection.go
@@ -88,7 +88,7 @@
 // flush writes what there is room for.
 func (c *connection) flush() {
 	n, err := loop.Write(c.source.FD(), c.out)
-	c.client.counts.Sent += uint64(n)
+	c.client.counts.SentBytes += uint64(n)
 	c.out = append(c.out[:0], c.out[n:]...)
 	switch {
 	case err != nil:
@@ -130,7 +130,7 @@
 		c.lost(err)
 		return
 	}
-	c.client.counts.Received += uint64(n)
+	c.client.counts.ReceivedBytes += uint64(n)
 	if c.ending {
 		return
 	}
@@ -180,7 +180,7 @@
 		c.client.failed(err)
 		return false
 	}
-	c.client.config.Changed(now)
+	c.client.config.OnChange(now)
 	if !c.alive() {
 		return false
 	}
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -1,4 +1,4 @@
-// Package peers carries membership messages between ingresses in UDP datagrams of at most membership.Datagram (256) bytes,
+// Package peers carries membership messages between ingresses in UDP datagrams of at most membership.MaxDatagramBytes (256) bytes,
 // which may be lost or delayed. The goroutine of the event loop owns a Transport. The package takes no decision on
 // membership: it passes received messages to the membership node and sends the messages that the node returns.
 package peers
@@ -100,7 +100,7 @@
 func (t *Transport) Leave() { t.handle(membership.Leave{}) }
 
 // ForceLeave announces to the others that a member, dead in this member's view, has left permanently.
-func (t *Transport) ForceLeave(name string) { t.handle(membership.Gone{Name: name}) }
+func (t *Transport) ForceLeave(name string) { t.handle(membership.ForceLeave{Name: name}) }
 
 // Close stops the ticks and closes the socket. It is safe on nil.
 func (t *Transport) Close() {
@@ -126,7 +126,7 @@
 		t.windowStart, t.windowCount = s, 0
 	}
 	// One byte more than the longest message, so that a longer datagram is recognized as malformed.
-	buf := t.loop.ReadBuffer()[:membership.Datagram+1]
+	buf := t.loop.ReadBuffer()[:membership.MaxDatagramBytes+1]
 	for range t.bounds.MaxDatagramsPerTurn {
 		n, err := loop.ReceiveUDP(t.source.FD(), buf)
 		if errors.Is(err, loop.ErrAgain) {
--- a/internal/net/peers/peers_test.go
+++ b/internal/net/peers/peers_test.go
@@ -30,10 +30,10 @@
 	bounds, err := limits.For(limits.Site{Sockets: 256, Ingresses: 2})
 	require.NoError(t, err)
 	bounds.MaxDatagramsPerSecond = messagesPerSecond
-	node := membership.New(membership.Config{Me: "0", Incarnation: 5, Period: bounds.MemberProbeInterval,
-		AckWithin:  bounds.MemberAckTimeout,
-		SuspectFor: bounds.MemberSuspicionTimeout, Helpers: bounds.MemberIndirectProbes, Carry: bounds.MemberUpdatesPerMessage,
-		Least: 2}, l.Now())
+	node := membership.New(membership.Config{Name: "0", Incarnation: 5, ProbePeriod: bounds.MemberProbeInterval,
+		AckTimeout:       bounds.MemberAckTimeout,
+		SuspicionTimeout: bounds.MemberSuspicionTimeout, IndirectProbes: bounds.MemberIndirectProbes, MaxUpdates: bounds.MemberUpdatesPerMessage,
+		MinMembers: 2}, l.Now())
 	c := newTestPeer(t)
 	listen := c.LocalAddr().(*net.UDPAddr)
 	require.NoError(t, c.Close())
@@ -63,11 +63,11 @@
 	request := readMessage(t, peer)
 	require.Equal(t, membership.JoinRequest, request.Kind)
 	require.Equal(t, "0", request.From)
-	require.False(t, transport.Node().Settled(l.Now()))
+	require.False(t, transport.Node().IsSettled(l.Now()))
 	_, err = peer.WriteToUDP(membership.Append(nil, membership.Message{Kind: membership.Ack, From: "1", Seq: request.Seq,
 		Updates: []membership.Update{{Name: "0", Incarnation: 5}, {Name: "1", Incarnation: 9}}}), listen)
 	require.NoError(t, err)
-	nettest.Until(t, l, func() bool { return transport.Node().Settled(l.Now()) })
+	nettest.Until(t, l, func() bool { return transport.Node().IsSettled(l.Now()) })
 	require.Len(t, transport.Node().View().Members, 2)
 	require.Positive(t, transport.Counts().Sent)
 	require.Equal(t, uint64(1), transport.Counts().Received)
