--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -8,8 +8,8 @@
 
 // A queuedUpdate is carried on the next messages, the freshest first.
 type queuedUpdate struct {
-	update Update
-	left   int // messages it is still carried on
+	update        Update
+	transmitsLeft int // messages it is still carried on
 }
 
 // receive takes a message: what it shows of its sender, the updates on it, and what it asks for.
@@ -25,20 +25,20 @@
 		if u.Name == from && u.State == Left && msg.LeftDigest != n.members.leftDigest(from) {
 			continue
 		}
-		n.consider(u, from, now)
+		n.handleUpdate(u, from, now)
 	}
-	if msg.LeftDigest != n.members.leftDigest(n.cfg.Name) && msg.Kind != Sync && now-n.viewSentAt >= n.cfg.AckTimeout {
-		n.viewSentAt = now
+	if msg.LeftDigest != n.members.leftDigest(n.cfg.Name) && msg.Kind != Sync && now-n.lastSyncAt >= n.cfg.AckTimeout {
+		n.lastSyncAt = now
 		n.sendView(from)
 	}
 	if _, known := n.members.get(from); !known { // its incarnation comes with its own updates
 		n.apply(Update{Name: from, State: Alive}, now)
 	}
-	n.answer(now, msg)
+	n.reply(now, msg)
 }
 
-// answer does what a message asks for.
-func (n *Node) answer(now time.Duration, msg Message) {
+// reply does what a message asks for.
+func (n *Node) reply(now time.Duration, msg Message) {
 	switch msg.Kind {
 	case JoinRequest:
 		n.sendView(msg.From)
@@ -46,19 +46,19 @@
 	case Ping:
 		n.send(msg.From, Message{Kind: Ack, Seq: msg.Seq})
 	case PingReq:
-		if _, known := n.members.get(msg.Target); !known || n.left {
+		if _, known := n.members.get(msg.Target); !known || n.hasLeft {
 			return
 		}
 		seq := n.ping(msg.Target, now)
-		n.relays[seq] = relay{asker: msg.From, seq: msg.Seq, until: now + relayPeriods*n.cfg.ProbePeriod}
+		n.relays[seq] = relay{requester: msg.From, seq: msg.Seq, expiresAt: now + relayLifetimePeriods*n.cfg.ProbePeriod}
 	case Ack:
-		n.acknowledged(now, msg.Seq)
+		n.handleAck(now, msg.Seq)
 	}
 }
 
-// consider takes an update that another member reports. Of itself a node takes no suspicion, no death and no leave of an
+// handleUpdate takes an update that another member reports. Of itself a node takes no suspicion, no death and no leave of an
 // earlier incarnation: it refutes them with a higher one, which is then carried as any update.
-func (n *Node) consider(u Update, from string, now time.Duration) {
+func (n *Node) handleUpdate(u Update, from string, now time.Duration) {
 	switch {
 	case u.Name != n.cfg.Name:
 		// Nobody is dead because another member reports so, such as one from the other side of a split that is over:
@@ -67,7 +67,7 @@
 			u.State = Suspect
 		}
 		n.apply(u, now)
-	case n.left:
+	case n.hasLeft:
 	case u.Incarnation > n.incarnation || u.Incarnation == n.incarnation && u.State != Alive:
 		n.incarnation = u.Incarnation + 1
 		n.apply(Update{Name: n.cfg.Name, Incarnation: n.incarnation, State: Alive}, now)
@@ -87,15 +87,15 @@
 			break
 		}
 	}
-	times := 3 * int(math.Ceil(math.Log2(float64(len(n.members.view.Members)+1))))
-	n.queue = append(n.queue, queuedUpdate{update: u, left: times})
+	transmits := 3 * int(math.Ceil(math.Log2(float64(len(n.members.view.Members)+1))))
+	n.queue = append(n.queue, queuedUpdate{update: u, transmitsLeft: transmits})
 }
 
 // sendView sends the whole view to a member, Carry members a message.
 func (n *Node) sendView(to string) {
-	for some := range slices.Chunk(n.members.view.Members, max(1, n.cfg.MaxUpdates)) {
+	for chunk := range slices.Chunk(n.members.view.Members, max(1, n.cfg.MaxUpdates)) {
 		var updates []Update
-		for _, m := range some {
+		for _, m := range chunk {
 			updates = append(updates, m.update())
 		}
 		msg := Message{Kind: Sync, From: n.cfg.Name, Updates: updates, LeftDigest: n.members.leftDigest(n.cfg.Name)}
@@ -113,7 +113,7 @@
 func (n *Node) send(to string, msg Message) {
 	msg.From, msg.LeftDigest = n.cfg.Name, n.members.leftDigest(n.cfg.Name)
 	switch {
-	case n.left: // on all that it still sends
+	case n.hasLeft: // on all that it still sends
 		msg.Updates = append(msg.Updates, Update{Name: n.cfg.Name, Incarnation: n.incarnation, State: Left})
 	case !n.confirmed[to] && msg.Kind != JoinRequest:
 		msg.Updates = append(msg.Updates, Update{Name: n.cfg.Name, Incarnation: n.incarnation})
@@ -123,12 +123,12 @@
 	}
 	for i := len(n.queue) - 1; i >= 0 && len(msg.Updates) < n.cfg.MaxUpdates; i-- {
 		msg.Updates = append(msg.Updates, n.queue[i].update)
-		if n.queue[i].left--; n.queue[i].left <= 0 {
+		if n.queue[i].transmitsLeft--; n.queue[i].transmitsLeft <= 0 {
 			n.queue = append(n.queue[:i], n.queue[i+1:]...)
 		}
 	}
-	if all := n.members.view.Members; len(msg.Updates) < n.cfg.MaxUpdates {
-		msg.Updates = append(msg.Updates, all[n.rng.IntN(len(all))].update())
+	if members := n.members.view.Members; len(msg.Updates) < n.cfg.MaxUpdates {
+		msg.Updates = append(msg.Updates, members[n.rng.IntN(len(members))].update())
 	}
 	n.outbox = append(n.outbox, Send{To: to, Msg: msg})
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -88,20 +88,20 @@
 }
 
 // leftDigest is a digest of who left, and at which incarnation; 0: nobody. One member is left aside.
-func (ms *members) leftDigest(but string) uint64 {
+func (ms *members) leftDigest(except string) uint64 {
 	var h xxhash.Digest
-	none := true
+	isEmpty := true
 	for _, m := range ms.view.Members {
-		if m.State == Left && m.Name != but {
-			if none {
+		if m.State == Left && m.Name != except {
+			if isEmpty {
 				h.Reset()
 			}
-			none = false
+			isEmpty = false
 			_, _ = h.WriteString(m.Name) // it never fails, nor does the next
 			_, _ = h.Write(binary.LittleEndian.AppendUint64([]byte{0}, m.Incarnation))
 		}
 	}
-	if none {
+	if isEmpty {
 		return 0
 	}
 	return max(1, h.Sum64())
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -27,33 +27,33 @@
 	incarnation uint64
 	startedAt   time.Duration
 	rng         *rand.Rand
-	left        bool
+	hasLeft     bool
 	seeds       []string // asked for the view again each Period until one has answered
 	outbox      []Send
 
 	// Probing.
-	seq           uint64
-	nextProbe     time.Duration
-	probe         *probe
-	probeOrder    []string
-	pingSuspectAt time.Duration // when a suspect may be pinged again
-	pingDeadAt    time.Duration // when a dead member may
-	relays        map[uint64]relay
-	pings         []sentPing // the latest own ones
-	rtt           struct{ mean, deviation time.Duration }
-	missRate      float64 // part of the probes of members held alive whose first ping was not answered in time, EWMA
+	lastSeq         uint64
+	nextProbeAt     time.Duration
+	probe           *probe
+	probeOrder      []string
+	nextSuspectPing time.Duration // when a suspect may be pinged again
+	nextDeadPing    time.Duration // when a dead member may
+	relays          map[uint64]relay
+	recentPings     []sentPing // the latest own ones
+	rtt             struct{ mean, deviation time.Duration }
+	missRate        float64 // part of the probes of members held alive whose first ping was not answered in time, EWMA
 
 	// Dissemination, and what others are known to hold.
 	queue       []queuedUpdate
 	lastHeard   map[string]time.Duration // last message of each member, or an answer passed on
 	confirmed   map[string]bool          // members known to hold this incarnation
 	leftDigests map[string]uint64        // the latest digest of each, see Message.Out
-	viewSentAt  time.Duration            // when a view was last sent to a member that disagrees on who left
+	lastSyncAt  time.Duration            // when a view was last sent to a member that disagrees on who left
 }
 
 // New returns a node that knows only itself.
 func New(cfg Config, now time.Duration) *Node {
-	n := &Node{cfg: cfg, incarnation: cfg.Incarnation, startedAt: now, nextProbe: now, relays: map[uint64]relay{},
+	n := &Node{cfg: cfg, incarnation: cfg.Incarnation, startedAt: now, nextProbeAt: now, relays: map[uint64]relay{},
 		lastHeard: map[string]time.Duration{}, confirmed: map[string]bool{}, leftDigests: map[string]uint64{},
 		rng: rand.New(rand.NewPCG(cfg.Seed, 0x5157))}
 	n.apply(Update{Name: cfg.Name, Incarnation: n.incarnation, State: Alive}, now)
@@ -88,19 +88,19 @@
 			n.apply(Update{Name: m.Name, Incarnation: m.Incarnation, State: Left}, now)
 		}
 	case Leave:
-		if !n.left {
-			n.left = true
+		if !n.hasLeft {
+			n.hasLeft = true
 			n.apply(Update{Name: n.cfg.Name, Incarnation: n.incarnation, State: Left}, now)
 		}
-		for _, to := range n.pick(n.cfg.IndirectProbes+1, "") {
+		for _, to := range n.pickAlive(n.cfg.IndirectProbes+1, "") {
 			n.ping(to, now)
 		}
 	}
 	return n.outbox
 }
 
-// maxAnnouncements is how many members that may not know this node's incarnation are pinged for that in a Period.
-const maxAnnouncements = 8
+// maxAnnouncementPings is how many members that may not know this node's incarnation are pinged for that in a Period.
+const maxAnnouncementPings = 8
 
 // announce pings members that are not known to hold this incarnation, until all do: before that the node has no
 // share of a budget that must not be exceeded.
@@ -112,7 +112,7 @@
 		}
 	}
 	n.shuffle(unconfirmed)
-	for _, name := range unconfirmed[:min(maxAnnouncements, len(unconfirmed))] {
+	for _, name := range unconfirmed[:min(maxAnnouncementPings, len(unconfirmed))] {
 		n.ping(name, now)
 	}
 }
@@ -121,8 +121,8 @@
 func (n *Node) requestView() {
 	for range min(len(n.seeds), n.cfg.IndirectProbes+1) {
 		if seed := n.seeds[n.rng.IntN(len(n.seeds))]; seed != n.cfg.Name {
-			n.seq++
-			n.send(seed, Message{Kind: JoinRequest, Seq: n.seq, Updates: []Update{{Name: n.cfg.Name, Incarnation: n.incarnation}}})
+			n.lastSeq++
+			n.send(seed, Message{Kind: JoinRequest, Seq: n.lastSeq, Updates: []Update{{Name: n.cfg.Name, Incarnation: n.incarnation}}})
 		}
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -3,53 +3,53 @@
 import "time"
 
 const (
-	maxAckPeriods = 2       // Periods to which a wait for an answer stretches where the network is slow
-	rttGain       = 1.0 / 8 // of RFC 6298, as rttDeviations and deviationGain
-	deviationGain = 1.0 / 4
-	rttDeviations = 4
-	pingsKept     = 8 // own pings remembered, for answers that come late
-	relayPeriods  = 4 // Periods for which an ack is passed on to who asked for a ping
-
-	missRateGain  = 1.0 / 8 // EWMA weight of a probe in the part whose first ping is not answered in time
-	missThreshold = 0.2     // above this it is this member's links that lose, and not one other that is gone
-	missFactor    = 4.0     // for each further part suspicion lasts so many times longer
+	maxAckPeriods        = 2       // Periods to which a wait for an answer stretches where the network is slow
+	rttMeanWeight        = 1.0 / 8 // of RFC 6298, as rttDeviations and deviationGain
+	rttDeviationWeight   = 1.0 / 4
+	rttDeviationFactor   = 4
+	maxRecentPings       = 8 // own pings remembered, for answers that come late
+	relayLifetimePeriods = 4 // Periods for which an ack is passed on to who asked for a ping
+
+	missRateWeight         = 1.0 / 8 // EWMA weight of a probe in the part whose first ping is not answered in time
+	missRateThreshold      = 0.2     // above this it is this member's links that lose, and not one other that is gone
+	suspicionStretchFactor = 4.0     // for each further part suspicion lasts so many times longer
 )
 
 // A probe is out to one member at a time.
 type probe struct {
-	target string
-	seq    uint64
-	sent   time.Duration
-	helped bool // helpers were asked, and the ping was repeated
+	target     string
+	seq        uint64
+	sentAt     time.Duration
+	isIndirect bool // helpers were asked, and the ping was repeated
 }
 
 // A sentPing is kept to measure the round trip.
 type sentPing struct {
-	seq uint64
-	at  time.Duration
+	seq    uint64
+	sentAt time.Duration
 }
 
 // A relay is a ping on behalf of another member.
 type relay struct {
-	asker string
-	seq   uint64
-	until time.Duration
+	requester string
+	seq       uint64
+	expiresAt time.Duration
 }
 
 // ping sends a ping and returns its sequence number.
 func (n *Node) ping(to string, now time.Duration) uint64 {
-	n.seq++
-	if n.pings = append(n.pings, sentPing{n.seq, now}); len(n.pings) > pingsKept {
-		n.pings = n.pings[1:]
+	n.lastSeq++
+	if n.recentPings = append(n.recentPings, sentPing{n.lastSeq, now}); len(n.recentPings) > maxRecentPings {
+		n.recentPings = n.recentPings[1:]
 	}
-	n.send(to, Message{Kind: Ping, Seq: n.seq})
-	return n.seq
+	n.send(to, Message{Kind: Ping, Seq: n.lastSeq})
+	return n.lastSeq
 }
 
-// ackWait is how long an answer may take: what the configuration says, or longer where the network is seen to
+// ackTimeout is how long an answer may take: what the configuration says, or longer where the network is seen to
 // be slow, as a retransmission timer is set. So a delay alone suspects nobody for long.
-func (n *Node) ackWait() time.Duration {
-	return min(max(n.cfg.AckTimeout, n.rtt.mean+rttDeviations*n.rtt.deviation), maxAckPeriods*n.cfg.ProbePeriod)
+func (n *Node) ackTimeout() time.Duration {
+	return min(max(n.cfg.AckTimeout, n.rtt.mean+rttDeviationFactor*n.rtt.deviation), maxAckPeriods*n.cfg.ProbePeriod)
 }
 
 // observeRTT takes a round trip into the smoothed mean and deviation.
@@ -59,51 +59,51 @@
 		r.mean, r.deviation = rtt, rtt/2
 		return
 	}
-	r.deviation += time.Duration(deviationGain * float64((rtt-r.mean).Abs()-r.deviation))
-	r.mean += time.Duration(rttGain * float64(rtt-r.mean))
+	r.deviation += time.Duration(rttDeviationWeight * float64((rtt-r.mean).Abs()-r.deviation))
+	r.mean += time.Duration(rttMeanWeight * float64(rtt-r.mean))
 }
 
-// suspectFor is how long a suspicion lasts unless the suspect is heard. Where this member's own messages get lost a lot, whoever it
+// suspicionTimeout is how long a suspicion lasts unless the suspect is heard. Where this member's own messages get lost a lot, whoever it
 // suspects is given longer, as Lifeguard does by a member's own health.
-func (n *Node) suspectFor() time.Duration {
-	return time.Duration(float64(n.cfg.SuspicionTimeout) * (1 + missFactor*max(0, n.missRate-missThreshold)))
+func (n *Node) suspicionTimeout() time.Duration {
+	return time.Duration(float64(n.cfg.SuspicionTimeout) * (1 + suspicionStretchFactor*max(0, n.missRate-missRateThreshold)))
 }
 
-// acknowledged takes an ack: to a ping of this node's, to its probe, or to a ping on behalf of another member.
-func (n *Node) acknowledged(now time.Duration, seq uint64) {
-	for _, p := range n.pings {
+// handleAck takes an ack: to a ping of this node's, to its probe, or to a ping on behalf of another member.
+func (n *Node) handleAck(now time.Duration, seq uint64) {
+	for _, p := range n.recentPings {
 		if p.seq == seq {
-			n.observeRTT(now - p.at)
+			n.observeRTT(now - p.sentAt)
 		}
 	}
 	if p := n.probe; p != nil && seq == p.seq {
 		n.lastHeard[p.target] = max(now, 1) // by itself, or as a helper reports
-		if n.probe = nil; !p.helped {
-			n.missRate -= missRateGain * n.missRate
+		if n.probe = nil; !p.isIndirect {
+			n.missRate -= missRateWeight * n.missRate
 		}
 	}
 	if r, ok := n.relays[seq]; ok {
 		delete(n.relays, seq)
-		n.send(r.asker, Message{Kind: Ack, Seq: r.seq})
+		n.send(r.requester, Message{Kind: Ack, Seq: r.seq})
 	}
 }
 
 // tick goes on with the probe that is out, with suspects and the dead, and begins the next probe when it is due.
 func (n *Node) tick(now time.Duration) {
-	wait := n.ackWait()
+	wait := n.ackTimeout()
 	n.checkProbe(now, wait)
 	n.checkUnreachable(now, wait)
 	for seq, r := range n.relays {
-		if now >= r.until {
+		if now >= r.expiresAt {
 			delete(n.relays, seq)
 		}
 	}
-	if n.probe != nil || n.left || now < n.nextProbe {
+	if n.probe != nil || n.hasLeft || now < n.nextProbeAt {
 		return
 	}
-	n.nextProbe = now + n.cfg.ProbePeriod
+	n.nextProbeAt = now + n.cfg.ProbePeriod
 	if target := n.nextTarget(); target != "" {
-		n.probe = &probe{target: target, sent: now}
+		n.probe = &probe{target: target, sentAt: now}
 		n.probe.seq = n.ping(target, now)
 	}
 	if len(n.lastHeard) == 0 {
@@ -120,21 +120,21 @@
 		return
 	}
 	target, known := n.members.get(p.target)
-	alive := known && target.State == Alive
-	switch heard := n.lastHeard[p.target] >= p.sent; {
-	case heard && p.helped: // another message of its, or the report of others, shows that it is there
+	isAlive := known && target.State == Alive
+	switch isHeard := n.lastHeard[p.target] >= p.sentAt; {
+	case isHeard && p.isIndirect: // another message of its, or the report of others, shows that it is there
 		n.probe = nil
-	case !heard && !p.helped && now-p.sent >= wait:
-		p.helped = true
-		if alive {
-			n.missRate += missRateGain * (1 - n.missRate)
+	case !isHeard && !p.isIndirect && now-p.sentAt >= wait:
+		p.isIndirect = true
+		if isAlive {
+			n.missRate += missRateWeight * (1 - n.missRate)
 		}
-		for _, helper := range n.pick(n.cfg.IndirectProbes, p.target) {
+		for _, helper := range n.pickAlive(n.cfg.IndirectProbes, p.target) {
 			n.send(helper, Message{Kind: PingReq, Seq: p.seq, Target: p.target})
 		}
 		n.ping(p.target, now)
-	case now-p.sent >= max(n.cfg.ProbePeriod, 2*wait):
-		if alive && !heard {
+	case now-p.sentAt >= max(n.cfg.ProbePeriod, 2*wait):
+		if isAlive && !isHeard {
 			n.apply(Update{Name: target.Name, Incarnation: target.Incarnation, State: Suspect}, now)
 		}
 		n.probe = nil
@@ -149,7 +149,7 @@
 	for _, m := range n.members.view.Members {
 		switch m.State {
 		case Suspect:
-			if now-max(m.Since, n.lastHeard[m.Name]) >= n.suspectFor() {
+			if now-max(m.Since, n.lastHeard[m.Name]) >= n.suspicionTimeout() {
 				n.apply(Update{Name: m.Name, Incarnation: m.Incarnation, State: Dead}, now)
 				continue
 			}
@@ -158,12 +158,12 @@
 			dead = append(dead, m.Name)
 		}
 	}
-	if len(suspects) > 0 && now >= n.pingSuspectAt && !n.left {
-		n.pingSuspectAt = now + wait
+	if len(suspects) > 0 && now >= n.nextSuspectPing && !n.hasLeft {
+		n.nextSuspectPing = now + wait
 		n.ping(suspects[n.rng.IntN(len(suspects))], now)
 	}
-	if len(dead) > 0 && now >= n.pingDeadAt && !n.left {
-		n.pingDeadAt = now + n.cfg.ProbePeriod
+	if len(dead) > 0 && now >= n.nextDeadPing && !n.hasLeft {
+		n.nextDeadPing = now + n.cfg.ProbePeriod
 		n.ping(dead[n.rng.IntN(len(dead))], now)
 	}
 }
@@ -189,8 +189,8 @@
 	return ""
 }
 
-// pick chooses up to k members that are alive, other than this node and one more.
-func (n *Node) pick(k int, except string) []string {
+// pickAlive chooses up to k members that are alive, other than this node and one more.
+func (n *Node) pickAlive(k int, except string) []string {
 	var alive []string
 	for _, m := range n.members.view.Members {
 		if m.State == Alive && m.Name != n.cfg.Name && m.Name != except {
--- a/internal/membership/share.go
+++ b/internal/membership/share.go
@@ -7,9 +7,9 @@
 // no such lease can be against it. So at no time do all shares add up to more than the whole, whatever is cut
 // off from what.
 
-// lease is how long after the last word of each member that is there a view counts as whole: the time in which
+// leaseDuration is how long after the last word of each member that is there a view counts as whole: the time in which
 // each is probed by this node and probes it.
-func (n *Node) lease() time.Duration {
+func (n *Node) leaseDuration() time.Duration {
 	return time.Duration(len(n.members.view.Members)+1) * n.cfg.ProbePeriod
 }
 
@@ -17,21 +17,21 @@
 // has heard every other member within its lease, and each said then that the same ones left. Cut off from any, or
 // at odds with it, it counts all of them in again: it might not have heard of one that came back.
 func (n *Node) Absent(now time.Duration) []string {
-	var out []string
-	mine := n.members.leftDigest(n.cfg.Name)
+	var absent []string
+	ownDigest := n.members.leftDigest(n.cfg.Name)
 	for _, m := range n.members.view.Members {
 		switch {
 		case m.Name == n.cfg.Name:
 		case m.State == Left:
-			out = append(out, m.Name)
-		case m.State != Alive || n.lastHeard[m.Name] == 0 || now-n.lastHeard[m.Name] > n.lease(), n.leftDigests[m.Name] != mine:
+			absent = append(absent, m.Name)
+		case m.State != Alive || n.lastHeard[m.Name] == 0 || now-n.lastHeard[m.Name] > n.leaseDuration(), n.leftDigests[m.Name] != ownDigest:
 			return nil
 		}
 	}
 	if !n.IsSettled(now) {
 		return nil
 	}
-	return out
+	return absent
 }
 
 // IsSettled reports whether this node may take its share of a budget that must not be exceeded. Others may have counted it
@@ -39,7 +39,7 @@
 // longer than a lease, by when it counts all in again; and one at least must have been heard, if there is to be
 // any other: a node that hears nobody can't know.
 func (n *Node) IsSettled(now time.Duration) bool {
-	if n.left {
+	if n.hasLeft {
 		return false
 	}
 	if n.cfg.IsSettledSuccessor { // nobody counts out who has not left
@@ -48,17 +48,17 @@
 	if len(n.members.view.Members) < n.cfg.MinMembers { // it has not been told of all that may count it out
 		return false
 	}
-	one := len(n.seeds) == 0 && len(n.members.view.Members) == 1
+	hasPeer := len(n.seeds) == 0 && len(n.members.view.Members) == 1
 	for _, m := range n.members.view.Members {
 		switch {
 		case m.Name == n.cfg.Name || m.State == Left:
 		case n.confirmed[m.Name]:
-			one = true
-		case m.State != Dead || now-max(m.Since, n.startedAt) <= n.lease():
+			hasPeer = true
+		case m.State != Dead || now-max(m.Since, n.startedAt) <= n.leaseDuration():
 			return false
 		}
 	}
-	return one
+	return hasPeer
 }
 
 // Share is this node's share of a joint budget, from 0 to 1.
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -15,45 +15,45 @@
 // Fields of a message in protobuf's wire format: kind 1, seq 2, target 3, updates 4, sender 5, out 6; of an update:
 // name 1, incarnation 2, state 3.
 const (
-	fKind, fSeq, fTarget, fUpdate, fFrom, fOut = 1, 2, 3, 4, 5, 6
-	uName, uInc, uState                        = 1, 2, 3
+	fieldKind, fieldSeq, fieldTarget, fieldUpdate, fieldFrom, fieldLeftDigest = 1, 2, 3, 4, 5, 6
+	updateFieldName, updateFieldIncarnation, updateFieldState                 = 1, 2, 3
 )
 
 // Append writes msg to b in at most Datagram bytes. Updates that do not fit are left out, the first ones
 // kept; the head alone always fits, since names are bounded by the settings to far less.
 func Append(b []byte, msg Message) []byte {
 	start := len(b)
-	b = protowire.AppendTag(b, fKind, protowire.VarintType)
+	b = protowire.AppendTag(b, fieldKind, protowire.VarintType)
 	b = protowire.AppendVarint(b, uint64(msg.Kind))
-	b = protowire.AppendTag(b, fSeq, protowire.VarintType)
+	b = protowire.AppendTag(b, fieldSeq, protowire.VarintType)
 	b = protowire.AppendVarint(b, msg.Seq)
 	if msg.LeftDigest != 0 {
-		b = protowire.AppendTag(b, fOut, protowire.Fixed64Type)
+		b = protowire.AppendTag(b, fieldLeftDigest, protowire.Fixed64Type)
 		b = protowire.AppendFixed64(b, msg.LeftDigest)
 	}
 	for _, f := range []struct {
 		num  protowire.Number
 		name string
-	}{{fFrom, msg.From}, {fTarget, msg.Target}} {
+	}{{fieldFrom, msg.From}, {fieldTarget, msg.Target}} {
 		if f.name != "" {
 			b = protowire.AppendTag(b, f.num, protowire.BytesType)
 			b = protowire.AppendString(b, f.name)
 		}
 	}
-	var u []byte
-	for _, up := range msg.Updates {
-		u = protowire.AppendTag(u[:0], uName, protowire.BytesType)
-		u = protowire.AppendString(u, up.Name)
-		u = protowire.AppendTag(u, uInc, protowire.VarintType)
-		u = protowire.AppendVarint(u, up.Incarnation)
-		u = protowire.AppendTag(u, uState, protowire.VarintType)
-		u = protowire.AppendVarint(u, uint64(up.State))
-		size := protowire.SizeTag(fUpdate) + protowire.SizeBytes(len(u))
+	var encoded []byte
+	for _, u := range msg.Updates {
+		encoded = protowire.AppendTag(encoded[:0], updateFieldName, protowire.BytesType)
+		encoded = protowire.AppendString(encoded, u.Name)
+		encoded = protowire.AppendTag(encoded, updateFieldIncarnation, protowire.VarintType)
+		encoded = protowire.AppendVarint(encoded, u.Incarnation)
+		encoded = protowire.AppendTag(encoded, updateFieldState, protowire.VarintType)
+		encoded = protowire.AppendVarint(encoded, uint64(u.State))
+		size := protowire.SizeTag(fieldUpdate) + protowire.SizeBytes(len(encoded))
 		if len(b)-start+size > MaxDatagramBytes {
 			break
 		}
-		b = protowire.AppendTag(b, fUpdate, protowire.BytesType)
-		b = protowire.AppendBytes(b, u)
+		b = protowire.AppendTag(b, fieldUpdate, protowire.BytesType)
+		b = protowire.AppendBytes(b, encoded)
 	}
 	return b
 }
@@ -69,30 +69,30 @@
 	}
 	err := wire.Walk(b, "membership: ", func(num protowire.Number, typ protowire.Type, b []byte) (int, error) {
 		switch {
-		case num == fKind && typ == protowire.VarintType:
+		case num == fieldKind && typ == protowire.VarintType:
 			v, n := protowire.ConsumeVarint(b)
 			if n < 0 || v > uint64(JoinRequest) {
 				return 0, fmt.Errorf("membership: field kind: %d not known", v)
 			}
 			msg.Kind = Kind(v)
 			return n, nil
-		case num == fSeq && typ == protowire.VarintType:
+		case num == fieldSeq && typ == protowire.VarintType:
 			v, n := protowire.ConsumeVarint(b)
 			msg.Seq = v
 			return n, nil
-		case num == fFrom && typ == protowire.BytesType:
+		case num == fieldFrom && typ == protowire.BytesType:
 			v, n := protowire.ConsumeString(b)
 			msg.From = v
 			return n, nil
-		case num == fOut && typ == protowire.Fixed64Type:
+		case num == fieldLeftDigest && typ == protowire.Fixed64Type:
 			v, n := protowire.ConsumeFixed64(b)
 			msg.LeftDigest = v
 			return n, nil
-		case num == fTarget && typ == protowire.BytesType:
+		case num == fieldTarget && typ == protowire.BytesType:
 			v, n := protowire.ConsumeString(b)
 			msg.Target = v
 			return n, nil
-		case num == fUpdate && typ == protowire.BytesType:
+		case num == fieldUpdate && typ == protowire.BytesType:
 			v, n := protowire.ConsumeBytes(b)
 			if n < 0 {
 				return n, nil
@@ -113,13 +113,13 @@
 	var u Update
 	err := wire.Walk(b, "membership: updates.", func(num protowire.Number, typ protowire.Type, b []byte) (int, error) {
 		switch {
-		case num == uName && typ == protowire.BytesType:
+		case num == updateFieldName && typ == protowire.BytesType:
 			v, n := protowire.ConsumeString(b)
 			u.Name = v
 			return n, nil
-		case (num == uInc || num == uState) && typ == protowire.VarintType:
+		case (num == updateFieldIncarnation || num == updateFieldState) && typ == protowire.VarintType:
 			v, n := protowire.ConsumeVarint(b)
-			if num == uInc {
+			if num == updateFieldIncarnation {
 				u.Incarnation = v
 			} else if v > uint64(Left) {
 				return 0, fmt.Errorf("membership: field updates.state: %d not known", v)
--- a/internal/net/controlclient/client.go
+++ b/internal/net/controlclient/client.go
@@ -47,30 +47,30 @@
 // Client keeps a connection to one replica, and goes on to the next when it fails.
 type Client struct {
 	loop   *loop.Loop
-	lim    limits.Limits
+	limits limits.Limits
 	log    *slog.Logger
-	config Config
+	cfg    Config
 	rng    *rand.Rand
 
-	replica int           // index of the one that is, or is to be, connected
-	backoff time.Duration // before the next connection; 0: the last one served
-	conn    *connection   // nil between two
-	redial  *loop.Timer
-	due     *loop.Timer // the member's
-	dueAt   time.Duration
-	ended   bool
+	replica     int           // index of the one that is, or is to be, connected
+	backoff     time.Duration // before the next connection; 0: the last one served
+	conn        *connection   // nil between two
+	redialTimer *loop.Timer
+	tickTimer   *loop.Timer // the member's
+	tickAt      time.Duration
+	isClosed    bool
 
-	counts   Counts
-	lost     bool          // nothing was heard since the last failure
-	lostAt   time.Duration // when a loss was last logged
-	unlogged bool          // the next replica that is heard is to be logged
-	endTimer *loop.Timer
-	whenDone func() // of GiveUp
+	counts          Counts
+	isFailing       bool          // nothing was heard since the last failure
+	lastLossLogged  time.Duration // when a loss was last logged
+	logsNextConnect bool          // the next replica that is heard is to be logged
+	giveUpTimer     *loop.Timer
+	onGaveUp        func() // of GiveUp
 }
 
 // Open begins to connect to the ingress's first replica.
 func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, c Config) *Client {
-	client := &Client{loop: l, lim: lim, log: log, config: c, replica: c.IngressIndex % len(c.Replicas), unlogged: true,
+	client := &Client{loop: l, limits: lim, log: log, cfg: c, replica: c.IngressIndex % len(c.Replicas), logsNextConnect: true,
 		rng: rand.New(rand.NewPCG(c.Seed, uint64(c.IngressIndex)))}
 	client.dial()
 	client.schedule()
@@ -79,10 +79,10 @@
 
 // Replica is the address of the replica that is connected and has said something, empty: none has.
 func (c *Client) Replica() string {
-	if c.conn == nil || !c.conn.heard {
+	if c.conn == nil || !c.conn.hasReceived {
 		return ""
 	}
-	return c.config.Replicas[c.replica]
+	return c.cfg.Replicas[c.replica]
 }
 
 // Counts tells what went and came so far.
@@ -90,7 +90,7 @@
 
 // Send sends messages of the member that came about outside of the client, if a replica is connected.
 func (c *Client) Send(list []controlgroup.Message) {
-	if c.conn != nil && c.conn.up {
+	if c.conn != nil && c.conn.isUp {
 		c.conn.send(list)
 	}
 	c.schedule()
@@ -98,7 +98,7 @@
 
 // Close ends the connection by a reset: leases that are held may be held on.
 func (c *Client) Close() {
-	if c == nil || c.ended {
+	if c == nil || c.isClosed {
 		return
 	}
 	c.stop()
@@ -114,32 +114,32 @@
 	if done == nil {
 		done = func() {}
 	}
-	if c == nil || c.ended {
+	if c == nil || c.isClosed {
 		done()
 		return
 	}
 	c.stop()
-	c.whenDone = done
-	c.config.Member.GiveUp(c.loop.Now()) // what that would send says no more than the end of the connection
-	if c.conn == nil || !c.conn.up {
+	c.onGaveUp = done
+	c.cfg.Member.GiveUp(c.loop.Now()) // what that would send says no more than the end of the connection
+	if c.conn == nil || !c.conn.isUp {
 		c.conn.reset()
 		c.conn = nil
 		c.finish()
 		return
 	}
-	c.endTimer = c.loop.After(c.lim.ControlReleaseTimeout, c.abandon)
-	c.conn.end()
+	c.giveUpTimer = c.loop.After(c.limits.ControlReleaseTimeout, c.finishGiveUp)
+	c.conn.closeGracefully()
 }
 
 // stop connects no more and lets no more time pass for the member.
 func (c *Client) stop() {
-	c.ended = true
-	c.redial.Stop()
-	c.due.Stop()
+	c.isClosed = true
+	c.redialTimer.Stop()
+	c.tickTimer.Stop()
 }
 
-// abandon ends waiting for the replica's end. The connection's own end was sent, unless the replica reads nothing.
-func (c *Client) abandon() {
+// finishGiveUp ends waiting for the replica's end. The connection's own end was sent, unless the replica reads nothing.
+func (c *Client) finishGiveUp() {
 	if c.conn != nil {
 		c.conn.close()
 		c.conn = nil
@@ -148,40 +148,40 @@
 }
 
 func (c *Client) finish() {
-	c.endTimer.Stop()
-	if done := c.whenDone; done != nil {
-		c.whenDone = nil
+	c.giveUpTimer.Stop()
+	if done := c.onGaveUp; done != nil {
+		c.onGaveUp = nil
 		done()
 	}
 }
 
-// never is what a member is due at that waits for nothing.
-const never = time.Duration(math.MaxInt64)
+// noDeadline is what a member is due at that waits for nothing.
+const noDeadline = time.Duration(math.MaxInt64)
 
 // schedule has the member ticked when it is due.
 func (c *Client) schedule() {
-	at := c.config.Member.Due()
-	if c.ended || at == c.dueAt {
+	at := c.cfg.Member.Due()
+	if c.isClosed || at == c.tickAt {
 		return
 	}
-	c.due.Stop()
-	c.dueAt, c.due = at, nil
-	if at < never {
-		c.due = c.loop.At(at, c.tick)
+	c.tickTimer.Stop()
+	c.tickAt, c.tickTimer = at, nil
+	if at < noDeadline {
+		c.tickTimer = c.loop.At(at, c.tick)
 	}
 }
 
 func (c *Client) tick() {
-	c.dueAt = 0
+	c.tickAt = 0
 	now := c.loop.Now()
-	c.Send(c.config.Member.Tick(now))
-	c.config.OnChange(now)
+	c.Send(c.cfg.Member.Tick(now))
+	c.cfg.OnChange(now)
 }
 
 // dial begins a connection to the replica whose turn it is.
 func (c *Client) dial() {
 	conn := &connection{client: c}
-	fd, err := loop.Dial(c.config.Replicas[c.replica])
+	fd, err := loop.Dial(c.cfg.Replicas[c.replica])
 	if err == nil {
 		conn.source, err = c.loop.Watch(fd, loop.Out|loop.Hangup, conn)
 		if err != nil {
@@ -189,70 +189,70 @@
 		}
 	}
 	if err != nil {
-		c.next(err)
+		c.scheduleRedial(err)
 		return
 	}
 	c.conn = conn
-	conn.expect(c.lim.ControlDialTimeout)
+	conn.startSilenceTimer(c.limits.ControlDialTimeout)
 }
 
-// connected: the connection is up. The replica counts as working only once it has said something.
-func (c *Client) connected() {
+// handleConnected: the connection is up. The replica counts as working only once it has said something.
+func (c *Client) handleConnected() {
 	c.counts.Connections++
-	c.conn.expect(c.lim.ControlFirstMessageTimeout)
-	c.conn.send(c.config.Member.Connected(c.loop.Now()))
+	c.conn.startSilenceTimer(c.limits.ControlFirstMessageTimeout)
+	c.conn.send(c.cfg.Member.Connected(c.loop.Now()))
 	c.schedule()
 }
 
-// served: the replica has sent a message.
-func (c *Client) served() {
-	c.backoff, c.conn.heard = 0, true
-	if c.unlogged {
-		c.log.Info("control replica connected", "replica", c.config.Replicas[c.replica])
+// handleActive: the replica has sent a message.
+func (c *Client) handleActive() {
+	c.backoff, c.conn.hasReceived = 0, true
+	if c.logsNextConnect {
+		c.log.Info("control replica connected", "replica", c.cfg.Replicas[c.replica])
 	}
-	c.lost, c.unlogged = false, false
+	c.isFailing, c.logsNextConnect = false, false
 }
 
-// failed leaves the connection for the next replica.
-func (c *Client) failed(cause error) {
-	wasUp := c.conn.up
+// fail leaves the connection for the next replica.
+func (c *Client) fail(cause error) {
+	wasUp := c.conn.isUp
 	c.conn.reset()
 	c.conn = nil
-	if c.ended {
+	if c.isClosed {
 		c.finish()
 		return
 	}
 	now := c.loop.Now()
 	if wasUp {
-		c.config.Member.Disconnected(now)
+		c.cfg.Member.Disconnected(now)
 	}
-	c.next(cause)
+	c.scheduleRedial(cause)
 	c.schedule()
-	c.config.OnChange(now)
+	c.cfg.OnChange(now)
 }
 
-// logEvery: replicas that fail again and again are logged so often.
-const logEvery = 10 * time.Second
+// lossLogInterval: replicas that fail again and again are logged so often.
+const lossLogInterval = 10 * time.Second
 
-// next goes on to another replica after a while: longer with each failure in a row, at a random instant of that while,
+// scheduleRedial goes on to another replica after a while: longer with each failure in a row, at a random instant of that while,
 // since all ingresses of a replica lose it at once.
-func (c *Client) next(cause error) {
-	if now := c.loop.Now(); !c.lost && (c.lostAt == 0 || now-c.lostAt > logEvery) {
-		c.lostAt, c.unlogged = now, true
-		c.log.Warn("control replica lost", "replica", c.config.Replicas[c.replica], "cause", cause)
+func (c *Client) scheduleRedial(cause error) {
+	if now := c.loop.Now(); !c.isFailing && (c.lastLossLogged == 0 || now-c.lastLossLogged > lossLogInterval) {
+		c.lastLossLogged, c.logsNextConnect = now, true
+		c.log.Warn("control replica lost", "replica", c.cfg.Replicas[c.replica], "cause", cause)
 	}
-	c.lost = true
-	c.replica = (c.replica + c.step()) % len(c.config.Replicas)
-	c.backoff = min(max(2*c.backoff, c.lim.InitialBackoff), c.lim.MaxBackoff)
+	c.isFailing = true
+	c.replica = (c.replica + c.replicaStep()) % len(c.cfg.Replicas)
+	c.backoff = min(max(2*c.backoff, c.limits.InitialBackoff), c.limits.MaxBackoff)
 	wait := time.Duration((0.1 + 0.9*c.rng.Float64()) * float64(c.backoff))
-	c.redial = c.loop.After(wait, c.dial)
+	c.redialTimer = c.loop.After(wait, c.dial)
 }
 
-// step is how far the next replica is. Half of the ingresses of one go round the one way, half the other: so those of a
+// replicaStep is how far the next replica is. Half of the ingresses of one go round the one way, half the other: so those of a
 // replica that is lost are shared by its neighbours.
-func (c *Client) step() int {
-	n := len(c.config.Replicas)
-	if c.config.IngressIndex/n%2 == 1 {
+func (c *Client) replicaStep() int {
+	n := len(c.cfg.Replicas)
+	if c.cfg.IngressIndex/n%2 == 1 {
 		return n - 1
 	}
 	return 1
@@ -260,6 +260,6 @@
 
 // Causes of leaving a replica that are no errors of the connection.
 var (
-	errSilent = errors.New("silent")
-	errUnread = errors.New("it does not read what is sent to it")
+	errSilent     = errors.New("silent")
+	errNotReading = errors.New("it does not read what is sent to it")
 )
--- a/internal/net/controlclient/client_test.go
+++ b/internal/net/controlclient/client_test.go
@@ -38,7 +38,7 @@
 		change(&lim)
 	}
 	s := &setting{loop: l, lim: lim, member: &member{}}
-	s.member.due = never
+	s.member.due = noDeadline
 	s.client = Open(l, lim, slog.New(slog.NewTextHandler(&s.log, nil)), Config{Replicas: replicas, IngressIndex: number, Seed: 1,
 		Member: s.member, OnChange: func(time.Duration) {
 			if s.changes++; s.changed != nil {
@@ -234,8 +234,8 @@
 	end := s.loop.Now() + 600*time.Millisecond
 	dials, last := 0, (*loop.Timer)(nil)
 	s.until(t, func() bool {
-		if s.client.redial != last {
-			dials, last = dials+1, s.client.redial
+		if s.client.redialTimer != last {
+			dials, last = dials+1, s.client.redialTimer
 		}
 		return s.loop.Now() > end
 	})
@@ -245,7 +245,7 @@
 	require.Zero(t, s.member.connected)
 	require.Zero(t, s.member.disconnected)
 	r := newReplica(t, says(grant(1)))
-	s.client.config.Replicas[0] = r.addr
+	s.client.cfg.Replicas[0] = r.addr
 	s.until(t, func() bool { return s.client.Replica() != "" && s.client.backoff == 0 })
 }
 
--- a/internal/net/controlclient/connection.go
+++ b/internal/net/controlclient/connection.go
@@ -11,39 +11,39 @@
 
 // connection is one to a replica.
 type connection struct {
-	client *Client
-	source *loop.Source
-	up     bool   // it has been established
-	heard  bool   // the replica has sent a message
-	ending bool   // GiveUp: what is left is written, then our side ends; what comes is dropped
-	asked  bool   // something was sent since the replica last sent anything
-	in     []byte // of a message that is not complete
-	out    []byte // not written yet
-	limit  *loop.Timer
-	// askedAt is when the first message was sent that asked is about.
-	askedAt time.Duration
+	client          *Client
+	source          *loop.Source
+	isUp            bool   // it has been established
+	hasReceived     bool   // the replica has sent a message
+	isClosing       bool   // GiveUp: what is left is written, then our side ends; what comes is dropped
+	isAwaitingReply bool   // something was sent since the replica last sent anything
+	received        []byte // of a message that is not complete
+	unsent          []byte // not written yet
+	silenceTimer    *loop.Timer
+	// awaitingSince is when the first message was sent that asked is about.
+	awaitingSince time.Duration
 }
 
-// expect waits for the next sign of life.
-func (c *connection) expect(most time.Duration) {
-	c.limit.Stop()
-	c.limit = c.client.loop.After(most, c.silent)
+// startSilenceTimer waits for the next sign of life.
+func (c *connection) startSilenceTimer(timeout time.Duration) {
+	c.silenceTimer.Stop()
+	c.silenceTimer = c.client.loop.After(timeout, c.handleSilence)
 }
 
-// silent ends waiting for a sign of life. A replica answers what it is asked, and a process that stood still, or had no
+// handleSilence ends waiting for a sign of life. A replica answers what it is asked, and a process that stood still, or had no
 // processor, has asked nothing meanwhile: it leaves a connection that works only when the replica has had its time.
-func (c *connection) silent() {
-	left := c.askedAt + c.client.lim.ControlFirstMessageTimeout - c.client.loop.Now()
-	if c.asked && left > 0 {
-		c.expect(left)
+func (c *connection) handleSilence() {
+	remaining := c.awaitingSince + c.client.limits.ControlFirstMessageTimeout - c.client.loop.Now()
+	if c.isAwaitingReply && remaining > 0 {
+		c.startSilenceTimer(remaining)
 		return
 	}
-	c.client.failed(errSilent)
+	c.client.fail(errSilent)
 }
 
 // close ends the connection; without a reset before it, in the orderly way.
 func (c *connection) close() {
-	c.limit.Stop()
+	c.silenceTimer.Stop()
 	c.source.Close()
 }
 
@@ -57,63 +57,63 @@
 
 // Ready goes on with the connection.
 func (c *connection) Ready(events uint32) {
-	if !c.up {
+	if !c.isUp {
 		if err := loop.DialResult(c.source.FD()); err != nil {
-			c.client.failed(err)
+			c.client.fail(err)
 			return
 		}
-		c.up = true
-		c.client.connected()
+		c.isUp = true
+		c.client.handleConnected()
 	} else if events&loop.Out != 0 {
 		c.flush()
 	}
-	if c.alive() && events&(loop.In|loop.Hangup) != 0 {
+	if c.isCurrent() && events&(loop.In|loop.Hangup) != 0 {
 		c.read()
 	}
 }
 
-// alive tells whether this connection is still the client's: any step may have ended it.
-func (c *connection) alive() bool { return c.client.conn == c }
+// isCurrent tells whether this connection is still the client's: any step may have ended it.
+func (c *connection) isCurrent() bool { return c.client.conn == c }
 
 func (c *connection) send(list []controlgroup.Message) {
 	for _, m := range list {
-		c.out = controlgroup.Append(c.out, m)
+		c.unsent = controlgroup.Append(c.unsent, m)
 	}
-	if len(list) > 0 && !c.asked {
-		c.asked, c.askedAt = true, c.client.loop.Now()
+	if len(list) > 0 && !c.isAwaitingReply {
+		c.isAwaitingReply, c.awaitingSince = true, c.client.loop.Now()
 	}
 	c.flush()
 }
 
 // flush writes what there is room for.
 func (c *connection) flush() {
-	n, err := loop.Write(c.source.FD(), c.out)
+	n, err := loop.Write(c.source.FD(), c.unsent)
 	c.client.counts.SentBytes += uint64(n)
-	c.out = append(c.out[:0], c.out[n:]...)
+	c.unsent = append(c.unsent[:0], c.unsent[n:]...)
 	switch {
 	case err != nil:
-		c.client.failed(err)
-	case len(c.out) > c.client.lim.MaxControlQueueBytes:
-		c.client.failed(errUnread)
-	case len(c.out) > 0:
+		c.client.fail(err)
+	case len(c.unsent) > c.client.limits.MaxControlQueueBytes:
+		c.client.fail(errNotReading)
+	case len(c.unsent) > 0:
 		c.source.SetEvents(loop.In | loop.Out | loop.Hangup)
-	case c.ending:
-		c.endSending()
+	case c.isClosing:
+		c.closeWrite()
 	default:
 		c.source.SetEvents(loop.In | loop.Hangup)
 	}
 }
 
-// end writes what waits, and then ends our side.
-func (c *connection) end() {
-	c.ending = true
-	c.limit.Stop()
+// closeGracefully writes what waits, and then ends our side.
+func (c *connection) closeGracefully() {
+	c.isClosing = true
+	c.silenceTimer.Stop()
 	c.flush()
 }
 
-func (c *connection) endSending() {
+func (c *connection) closeWrite() {
 	if err := loop.CloseWrite(c.source.FD()); err != nil {
-		c.client.failed(err)
+		c.client.fail(err)
 		return
 	}
 	c.source.SetEvents(loop.In | loop.Hangup)
@@ -127,63 +127,63 @@
 		return
 	}
 	if err != nil {
-		c.lost(err)
+		c.handleReadError(err)
 		return
 	}
 	c.client.counts.ReceivedBytes += uint64(n)
-	if c.ending {
+	if c.isClosing {
 		return
 	}
-	c.asked = false
-	c.expect(c.client.lim.ControlSilenceTimeout)
-	c.in = append(c.in, buf[:n]...)
-	c.messages()
+	c.isAwaitingReply = false
+	c.startSilenceTimer(c.client.limits.ControlSilenceTimeout)
+	c.received = append(c.received, buf[:n]...)
+	c.handleMessages()
 }
 
-// lost: the replica has ended the connection.
-func (c *connection) lost(err error) {
-	if c.ending && errors.Is(err, io.EOF) { // it has read our end
-		c.client.abandon()
+// handleReadError: the replica has ended the connection.
+func (c *connection) handleReadError(err error) {
+	if c.isClosing && errors.Is(err, io.EOF) { // it has read our end
+		c.client.finishGiveUp()
 		return
 	}
-	c.client.failed(err)
+	c.client.fail(err)
 }
 
-// messages hands on those that are complete.
-func (c *connection) messages() {
-	rest := c.in
+// handleMessages hands on those that are complete.
+func (c *connection) handleMessages() {
+	rest := c.received
 	for {
-		m, after, err := controlgroup.Next(rest)
+		m, next, err := controlgroup.Next(rest)
 		if err != nil {
-			c.client.failed(err)
+			c.client.fail(err)
 			return
 		}
 		if m == nil {
 			break
 		}
-		rest = after
-		if !c.message(m) {
+		rest = next
+		if !c.handleMessage(m) {
 			return
 		}
 	}
-	c.in = append(c.in[:0], rest...)
+	c.received = append(c.received[:0], rest...)
 	c.client.schedule()
 }
 
-// message hands one on, and tells whether the connection goes on. What follows from it takes effect before the answers
+// handleMessage hands one on, and tells whether the connection goes on. What follows from it takes effect before the answers
 // report it: the group retires a version on the word that a newer one is acted on.
-func (c *connection) message(m controlgroup.Message) bool {
-	c.client.served()
+func (c *connection) handleMessage(m controlgroup.Message) bool {
+	c.client.handleActive()
 	now := c.client.loop.Now()
-	answers, err := c.client.config.Member.Received(m, now)
+	answers, err := c.client.cfg.Member.Received(m, now)
 	if err != nil {
-		c.client.failed(err)
+		c.client.fail(err)
 		return false
 	}
-	c.client.config.OnChange(now)
-	if !c.alive() {
+	c.client.cfg.OnChange(now)
+	if !c.isCurrent() {
 		return false
 	}
 	c.send(answers)
-	return c.alive()
+	return c.isCurrent()
 }
