--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// A queuedUpdate is carried on the next messages, the freshest first.
+// queuedUpdate is an update to be disseminated on the next messages.
 type queuedUpdate struct {
 	update        Update
-	transmitsLeft int // messages it is still carried on
+	transmitsLeft int // number of messages that are still to carry it
 }
 
-// receive takes a message: what it shows of its sender, the updates on it, and what it asks for.
+// receive processes a message: it records the sender as heard, handles the updates and replies. A message without a
+// sender, or from the node itself, is ignored.
 func (n *Node) receive(now time.Duration, msg Message) {
 	from := msg.From
 	if from == "" || from == n.cfg.Name {
@@ -20,8 +21,8 @@
 	}
 	n.lastHeard[from], n.leftDigests[from] = max(now, 1), msg.LeftDigest
 	for _, u := range msg.Updates {
-		// One that leaves takes along what it knows. Its word counts once this node knows that, too: else it could
-		// be the last that knew of another's return.
+		// A leave counts only once this node has the same view of who left as the leaving member, which could otherwise
+		// be the last to know that another member returned.
 		if u.Name == from && u.State == Left && msg.LeftDigest != n.members.leftDigest(from) {
 			continue
 		}
@@ -31,13 +32,14 @@
 		n.lastSyncAt = now
 		n.sendView(from)
 	}
-	if _, known := n.members.get(from); !known { // its incarnation comes with its own updates
+	if _, known := n.members.get(from); !known { // the sender's updates carry its incarnation
 		n.apply(Update{Name: from, State: Alive}, now)
 	}
 	n.reply(now, msg)
 }
 
-// reply does what a message asks for.
+// reply sends what the kind of the message asks for, or takes an ack. A PingReq for an unknown target is ignored, and every
+// PingReq once the node has left.
 func (n *Node) reply(now time.Duration, msg Message) {
 	switch msg.Kind {
 	case JoinRequest:
@@ -56,13 +58,13 @@
 	}
 }
 
-// handleUpdate takes an update that another member reports. Of itself a node takes no suspicion, no death and no leave of an
-// earlier incarnation: it refutes them with a higher one, which is then carried as any update.
+// handleUpdate processes an update that another member reports. A node refutes each suspicion, death or leave of its own
+// current incarnation, and every state of a higher one, with an update of a higher incarnation that spreads like any other.
 func (n *Node) handleUpdate(u Update, from string, now time.Duration) {
 	switch {
 	case u.Name != n.cfg.Name:
-		// Nobody is dead because another member reports so, such as one from the other side of a split that is over:
-		// it is suspected here, pinged, and dead when nothing is heard of it here either.
+		// A reported death counts as a suspicion, since it may come from the other side of a partition that has
+		// healed. The member is pinged, and declared dead here if it is not heard either.
 		if u.State == Dead {
 			u.State = Suspect
 		}
@@ -76,7 +78,8 @@
 	}
 }
 
-// apply takes an update into the view and, if it was news, queues it for the next messages.
+// apply enters an update in the view and, if that changed the view, queues it in place of an older update of the same
+// member. It is sent 3*ceil(log2(members+1)) times.
 func (n *Node) apply(u Update, now time.Duration) {
 	if !n.members.apply(u, now) {
 		return
@@ -91,7 +94,7 @@
 	n.queue = append(n.queue, queuedUpdate{update: u, transmitsLeft: transmits})
 }
 
-// sendView sends the whole view to a member, Carry members a message.
+// sendView sends the whole view to a member in Sync messages of up to MaxUpdates members each.
 func (n *Node) sendView(to string) {
 	for chunk := range slices.Chunk(n.members.view.Members, max(1, n.cfg.MaxUpdates)) {
 		var updates []Update
@@ -103,17 +106,21 @@
 	}
 }
 
+// update returns the entry as an update to send.
 func (m Member) update() Update {
 	return Update{Name: m.Name, Incarnation: m.Incarnation, State: m.State}
 }
 
-// send puts updates on a message: first what is held of its receiver, on an ack or where that is no longer alive, so that
-// it can refute whichever way the update went; then the freshest of the queue, and where there are fewer, some other
-// member, so that a view that missed an update is corrected all the same.
+// send completes a message and adds it to the outbox. Its updates are, in this order:
+//   - the node's own, on every message once it has left, and until the receiver is known to hold its incarnation;
+//   - the receiver's entry, on an ack or if the receiver is not alive, so that the receiver can refute it even if the
+//     original update never reached it;
+//   - the newest of the queue;
+//   - if there is room, a random member's entry, which corrects a view that missed an update.
 func (n *Node) send(to string, msg Message) {
 	msg.From, msg.LeftDigest = n.cfg.Name, n.members.leftDigest(n.cfg.Name)
 	switch {
-	case n.hasLeft: // on all that it still sends
+	case n.hasLeft:
 		msg.Updates = append(msg.Updates, Update{Name: n.cfg.Name, Incarnation: n.incarnation, State: Left})
 	case !n.confirmed[to] && msg.Kind != JoinRequest:
 		msg.Updates = append(msg.Updates, Update{Name: n.cfg.Name, Incarnation: n.incarnation})
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,9 @@
-// Package membership tells which ingresses are there: a failure detector in the manner of SWIM, with
-// suspicion and incarnation numbers, a view with a version, and what of a joint budget is this member's. It
-// does no input or output: events go in, messages to send come out, as with the decision module. The
-// transport is package peers.
+// Package membership tracks which ingresses are alive and computes this ingress's share of joint budgets. It is a failure
+// detector after SWIM, with suspicion and incarnation numbers, and keeps a versioned view of the members.
+//
+// The package does no input or output, reads no clock and starts no goroutine: [Node.Handle] takes an event with the time
+// and returns the messages to send. A Node is not safe for concurrent use; the goroutine that calls Handle owns it. Package
+// peers is the transport.
 package membership
 
 import (
@@ -13,30 +15,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State of a member in a view.
+// State is the state of a member in a view. At one incarnation a higher state supersedes a lower one.
 type State int
 
+// The states of a member. The numeric values are on the wire.
 const (
 	Alive   State = iota
-	Suspect       // missed its probes; it may refute with a higher incarnation
-	Dead          // suspected for longer than Config.SuspectFor
-	Left          // said that it leaves for good
+	Suspect       // missed a probe; it refutes with a higher incarnation
+	Dead          // suspected for at least Config.SuspicionTimeout
+	Left          // left permanently, as it announced or an operator declared
 )
 
-// States are all of them.
+// States lists every state in ascending order.
 var States = [...]State{Alive, Suspect, Dead, Left}
 
+// String returns the name of the state; it panics on a value that is no state.
 func (s State) String() string { return [...]string{"alive", "suspect", "dead", "left"}[s] }
 
-// Update is what one member says of another, carried on every message.
+// Update is the state of one member as another member reports it. Messages of every kind carry updates.
 type Update struct {
 	Name        string
 	Incarnation uint64
 	State       State
 }
 
-// supersedes tells whether u is newer news than what is held of the member: a higher incarnation is, and at
-// one incarnation a worse state. Only the member itself raises its incarnation: to refute, or as it starts anew.
+// supersedes reports whether u is newer than the entry m of the same member: it has a higher incarnation, or the same
+// incarnation and a higher state. Only the member itself raises its incarnation, to refute or after a restart.
 func (u Update) supersedes(m Member) bool {
 	if u.Incarnation != m.Incarnation {
 		return u.Incarnation > m.Incarnation
@@ -44,21 +48,21 @@
 	return u.State > m.State
 }
 
-// Member is one ingress as a view holds it. Since is the monotonic time at which it came to its state.
+// Member is the entry of one ingress in a view.
 type Member struct {
 	Name        string
 	Incarnation uint64
 	State       State
-	Since       time.Duration
+	Since       time.Duration // monotonic time at which the member entered State
 }
 
-// View is what a node believes, with a version that grows with every change.
+// View is the list of members that a node knows.
 type View struct {
-	Version uint64
-	Members []Member // by name, the node itself among them
+	Version uint64   // incremented with each change of Members
+	Members []Member // sorted by name, the node itself included
 }
 
-// Count returns how many members are in state s.
+// Count returns the number of members in state s.
 func (v View) Count(s State) (n int) {
 	for _, m := range v.Members {
 		if m.State == s {
@@ -68,17 +72,18 @@
 	return n
 }
 
-// members keeps the view sorted by name and counts its changes.
+// members maintains a view: its order and its version.
 type members struct {
 	view View
 }
 
+// find returns the index of the member, or the index at which to insert it and false.
 func (ms *members) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(ms.view.Members, name,
 		func(m Member, n string) int { return strings.Compare(m.Name, n) })
 }
 
-// get returns the member, if known.
+// get returns the entry of the member and whether the view has one.
 func (ms *members) get(name string) (Member, bool) {
 	i, ok := ms.find(name)
 	if !ok {
@@ -87,7 +92,8 @@
 	return ms.view.Members[i], true
 }
 
-// leftDigest is a digest of who left, and at which incarnation; 0: nobody. One member is left aside.
+// leftDigest returns a digest of the names and incarnations of the members that left, without the member named except. It
+// is 0 if there are none, and never 0 otherwise.
 func (ms *members) leftDigest(except string) uint64 {
 	var h xxhash.Digest
 	isEmpty := true
@@ -97,7 +103,7 @@
 				h.Reset()
 			}
 			isEmpty = false
-			_, _ = h.WriteString(m.Name) // it never fails, nor does the next
+			_, _ = h.WriteString(m.Name) // writes to a digest never fail
 			_, _ = h.Write(binary.LittleEndian.AppendUint64([]byte{0}, m.Incarnation))
 		}
 	}
@@ -107,7 +113,8 @@
 	return max(1, h.Sum64())
 }
 
-// apply takes an update if it is news, and reports whether it was.
+// apply enters an update that supersedes the member's entry, or that names an unknown member, and reports whether the view
+// changed.
 func (ms *members) apply(u Update, now time.Duration) bool {
 	i, ok := ms.find(u.Name)
 	if !ok {
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -5,53 +5,71 @@
 	"time"
 )
 
-// Config of a node. Times are monotonic durations.
+// Config configures a Node.
 type Config struct {
-	Name               string
-	Incarnation        uint64        // of this process; above that of every earlier one, such as the wall clock's milliseconds
-	Seed               uint64        // of the random choices, so that a run can be played again
-	ProbePeriod        time.Duration // between probes of this node; one probe is out at a time
-	AckTimeout         time.Duration // a direct probe unanswered this long asks Helpers others, and is made once more
-	SuspicionTimeout   time.Duration // suspicion unrefuted this long, with nothing heard, declares a member dead
-	IndirectProbes     int           // members asked to probe for this node
-	MaxUpdates         int           // updates on one message, bounding its size
-	IsSettledSuccessor bool          // it goes on in place of a process of its name that was settled, and had not left
-	MinMembers         int           // members that the settings name: never fewer share a budget, and all are to be known
+	Name string // of this node, unique among the members
+	// Incarnation is that of this process. It must be higher than in every earlier process of the name, such as the wall
+	// clock in milliseconds.
+	Incarnation uint64
+	Seed        uint64 // of the random choices, which makes a run reproducible
+
+	// ProbePeriod is the time between two probes of this node. One probe is in progress at a time.
+	ProbePeriod time.Duration
+	// AckTimeout is the minimum time to wait for the answer to a ping. After it the probe is repeated, directly and through
+	// IndirectProbes other members. It is longer where round trips are slow.
+	AckTimeout time.Duration
+	// SuspicionTimeout is the minimum time after which a suspect that does not refute and is not heard is declared dead. It
+	// is longer while this node's own pings are lost.
+	SuspicionTimeout time.Duration
+	IndirectProbes   int // members that are asked to ping the target of an unanswered probe
+	MaxUpdates       int // updates on one message, which bounds its size
+
+	// IsSettledSuccessor is set if the process replaces one of its name that was settled and had not left. The node is
+	// then settled from its start.
+	IsSettledSuccessor bool
+	// MinMembers is the number of members in the settings. A joint budget is divided by at least as many, less those that
+	// left, and the node is not settled before it knows as many.
+	MinMembers int
 }
 
-// Node is one member's failure detector. On average it sends at most MessagesMost a Period, however many
-// members there are; while some may not know its incarnation, maxAnnouncements more.
+// Node is the failure detector of one member. On average it sends at most Config.MaxMessagesPerPeriod messages in a probe
+// period, whatever the number of members, and up to maxAnnouncementPings more while some members may not know its
+// incarnation. All times are monotonic.
 type Node struct {
 	cfg         Config
 	members     members
-	incarnation uint64
+	incarnation uint64 // higher than cfg.Incarnation once the node has refuted
 	startedAt   time.Duration
 	rng         *rand.Rand
 	hasLeft     bool
-	seeds       []string // asked for the view again each Period until one has answered
-	outbox      []Send
+	seeds       []string // asked for the view in each probe period until a member is heard
+	outbox      []Send   // messages of the current call of Handle
 
 	// Probing.
+
 	lastSeq         uint64
 	nextProbeAt     time.Duration
-	probe           *probe
-	probeOrder      []string
-	nextSuspectPing time.Duration // when a suspect may be pinged again
-	nextDeadPing    time.Duration // when a dead member may
-	relays          map[uint64]relay
-	recentPings     []sentPing // the latest own ones
+	probe           *probe   // nil: none in progress
+	probeOrder      []string // targets that are left in this round
+	nextSuspectPing time.Duration
+	nextDeadPing    time.Duration
+	relays          map[uint64]relay // by sequence number of the ping
+	recentPings     []sentPing       // at most maxRecentPings, oldest first
 	rtt             struct{ mean, deviation time.Duration }
-	missRate        float64 // part of the probes of members held alive whose first ping was not answered in time, EWMA
-
-	// Dissemination, and what others are known to hold.
-	queue       []queuedUpdate
-	lastHeard   map[string]time.Duration // last message of each member, or an answer passed on
-	confirmed   map[string]bool          // members known to hold this incarnation
-	leftDigests map[string]uint64        // the latest digest of each, see Message.Out
-	lastSyncAt  time.Duration            // when a view was last sent to a member that disagrees on who left
+	// missRate is a moving average, from 0 to 1, of the probes of alive members whose first ping was not answered in time.
+	missRate float64
+
+	// Dissemination, and what other members are known to hold.
+
+	queue []queuedUpdate // oldest first
+	// lastHeard is the time of the last message of each member, or of a forwarded ack that showed it alive.
+	lastHeard   map[string]time.Duration
+	confirmed   map[string]bool   // members known to hold this node's incarnation
+	leftDigests map[string]uint64 // the last LeftDigest that each member sent
+	lastSyncAt  time.Duration     // when the view was last sent to a member with another LeftDigest
 }
 
-// New returns a node that knows only itself.
+// New returns a node whose view has only the node itself; now is the current monotonic time.
 func New(cfg Config, now time.Duration) *Node {
 	n := &Node{cfg: cfg, incarnation: cfg.Incarnation, startedAt: now, nextProbeAt: now, relays: map[uint64]relay{},
 		lastHeard: map[string]time.Duration{}, confirmed: map[string]bool{}, leftDigests: map[string]uint64{},
@@ -60,18 +78,19 @@
 	return n
 }
 
-// View returns the node's view; the caller must not change it.
+// View returns the node's view. The caller must not change it; the next call of Handle or AddMembers may.
 func (n *Node) View() View { return n.members.view }
 
-// MaxMessagesPerPeriod bounds what a node sends in a Period on average, whatever the size of the fleet and whatever
-// fails: two pings of its probe, one of a suspect each AckWithin, one of a dead member, as many acks, its
-// requests to helpers, and for each such request to itself a ping, an ack and an ack passed on.
+// MaxMessagesPerPeriod bounds the average number of messages that a node sends in a ProbePeriod, whatever the size of the
+// fleet and whatever fails: two pings for its probe, one ping of a suspect each AckTimeout, one ping of a dead member, as
+// many acks, its requests for indirect probes, and for each such request to itself a ping, an ack and a forwarded ack.
 func (c Config) MaxMessagesPerPeriod() float64 {
 	pings := 3 + float64(c.ProbePeriod)/float64(max(1, c.AckTimeout))
 	return 2*pings + 4*float64(c.IndirectProbes)
 }
 
-// Handle takes one event and returns what to send, valid until the next call.
+// Handle processes one event at the monotonic time now and returns the messages to send. The slice is valid until the next
+// call.
 func (n *Node) Handle(now time.Duration, ev Event) []Send {
 	n.outbox = n.outbox[:0]
 	switch e := ev.(type) {
@@ -99,11 +118,11 @@
 	return n.outbox
 }
 
-// maxAnnouncementPings is how many members that may not know this node's incarnation are pinged for that in a Period.
+// maxAnnouncementPings is the maximum number of members that announce pings at a time; it runs once in a ProbePeriod.
 const maxAnnouncementPings = 8
 
-// announce pings members that are not known to hold this incarnation, until all do: before that the node has no
-// share of a budget that must not be exceeded.
+// announce pings members that are not known to hold this node's incarnation. The node has no share of a joint budget until
+// all of them do.
 func (n *Node) announce(now time.Duration) {
 	var unconfirmed []string
 	for _, m := range n.members.view.Members {
@@ -117,7 +136,8 @@
 	}
 }
 
-// requestView asks some of the seeds for the view, at a start and each Period until one has answered.
+// requestView asks up to IndirectProbes+1 random seeds for their view: on a Join, and in each probe period until a member is
+// heard.
 func (n *Node) requestView() {
 	for range min(len(n.seeds), n.cfg.IndirectProbes+1) {
 		if seed := n.seeds[n.rng.IntN(len(n.seeds))]; seed != n.cfg.Name {
