--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -3,36 +3,45 @@
 import "time"
 
 const (
-	maxAckPeriods        = 2       // Periods to which a wait for an answer stretches where the network is slow
-	rttMeanWeight        = 1.0 / 8 // of RFC 6298, as rttDeviations and deviationGain
-	rttDeviationWeight   = 1.0 / 4
-	rttDeviationFactor   = 4
-	maxRecentPings       = 8 // own pings remembered, for answers that come late
-	relayLifetimePeriods = 4 // Periods for which an ack is passed on to who asked for a ping
-
-	missRateWeight         = 1.0 / 8 // EWMA weight of a probe in the part whose first ping is not answered in time
-	missRateThreshold      = 0.2     // above this it is this member's links that lose, and not one other that is gone
-	suspicionStretchFactor = 4.0     // for each further part suspicion lasts so many times longer
+	maxAckPeriods = 2 // maximum of ackTimeout, in probe periods
+
+	// Weights of a sample in the mean round trip and in its deviation, and the factor of the deviation in ackTimeout: the
+	// values of RFC 6298.
+	rttMeanWeight      = 1.0 / 8
+	rttDeviationWeight = 1.0 / 4
+	rttDeviationFactor = 4
+
+	maxRecentPings       = 8 // own pings kept, so that late acks still yield a round trip
+	relayLifetimePeriods = 4 // probe periods within which the ack of a relayed ping is forwarded
+
+	missRateWeight = 1.0 / 8 // weight of a probe in Node.missRate
+
+	// missRateThreshold is the missRate above which this node's own links are taken to lose messages, and not one other
+	// member to be gone.
+	missRateThreshold = 0.2
+	// suspicionStretchFactor is the increase of the suspicion timeout, as a multiple of Config.SuspicionTimeout, for each 1.0
+	// of missRate above the threshold.
+	suspicionStretchFactor = 4.0
 )
 
-// A probe is out to one member at a time.
+// probe is the probe in progress, of one member.
 type probe struct {
 	target     string
 	seq        uint64
 	sentAt     time.Duration
-	isIndirect bool // helpers were asked, and the ping was repeated
+	isIndirect bool // other members were asked to ping the target, and the ping was repeated
 }
 
-// A sentPing is kept to measure the round trip.
+// sentPing is the time of a ping, kept to measure the round trip.
 type sentPing struct {
 	seq    uint64
 	sentAt time.Duration
 }
 
-// A relay is a ping on behalf of another member.
+// relay is a ping that another member requested by a PingReq.
 type relay struct {
 	requester string
-	seq       uint64
+	seq       uint64 // of the PingReq
 	expiresAt time.Duration
 }
 
@@ -46,13 +55,14 @@
 	return n.lastSeq
 }
 
-// ackTimeout is how long an answer may take: what the configuration says, or longer where the network is seen to
-// be slow, as a retransmission timer is set. So a delay alone suspects nobody for long.
+// ackTimeout returns how long to wait for the answer to a ping: Config.AckTimeout, or longer where round trips are slow, by
+// the formula of a TCP retransmission timer, up to maxAckPeriods. Thus a slow network alone makes no member suspect for
+// long.
 func (n *Node) ackTimeout() time.Duration {
 	return min(max(n.cfg.AckTimeout, n.rtt.mean+rttDeviationFactor*n.rtt.deviation), maxAckPeriods*n.cfg.ProbePeriod)
 }
 
-// observeRTT takes a round trip into the smoothed mean and deviation.
+// observeRTT adds a round trip to the moving averages of the round trip and its deviation.
 func (n *Node) observeRTT(rtt time.Duration) {
 	r := &n.rtt
 	if r.mean == 0 {
@@ -63,13 +73,14 @@
 	r.mean += time.Duration(rttMeanWeight * float64(rtt-r.mean))
 }
 
-// suspicionTimeout is how long a suspicion lasts unless the suspect is heard. Where this member's own messages get lost a lot, whoever it
-// suspects is given longer, as Lifeguard does by a member's own health.
+// suspicionTimeout returns how long a suspect may stay unheard before it is declared dead. It is longer while many of this
+// node's own pings are lost, like the local health multiplier of Lifeguard.
 func (n *Node) suspicionTimeout() time.Duration {
 	return time.Duration(float64(n.cfg.SuspicionTimeout) * (1 + suspicionStretchFactor*max(0, n.missRate-missRateThreshold)))
 }
 
-// handleAck takes an ack: to a ping of this node's, to its probe, or to a ping on behalf of another member.
+// handleAck matches an ack by its sequence number to this node's recent pings, the probe in progress and the relays. An ack
+// that matches none is ignored.
 func (n *Node) handleAck(now time.Duration, seq uint64) {
 	for _, p := range n.recentPings {
 		if p.seq == seq {
@@ -77,7 +88,7 @@
 		}
 	}
 	if p := n.probe; p != nil && seq == p.seq {
-		n.lastHeard[p.target] = max(now, 1) // by itself, or as a helper reports
+		n.lastHeard[p.target] = max(now, 1) // from the target or forwarded by another member
 		if n.probe = nil; !p.isIndirect {
 			n.missRate -= missRateWeight * n.missRate
 		}
@@ -88,7 +99,8 @@
 	}
 }
 
-// tick goes on with the probe that is out, with suspects and the dead, and begins the next probe when it is due.
+// tick checks the probe in progress, the suspects and the dead members, drops expired relays and starts the next probe when
+// it is due.
 func (n *Node) tick(now time.Duration) {
 	wait := n.ackTimeout()
 	n.checkProbe(now, wait)
@@ -112,8 +124,8 @@
 	n.announce(now)
 }
 
-// checkProbe has helpers asked for a probe that was not answered in time, and suspects its target when that brought
-// nothing either.
+// checkProbe makes a probe indirect if its target was not heard in time, and suspects the target if it is not heard by the end
+// of the probe either.
 func (n *Node) checkProbe(now, wait time.Duration) {
 	p := n.probe
 	if p == nil {
@@ -122,7 +134,7 @@
 	target, known := n.members.get(p.target)
 	isAlive := known && target.State == Alive
 	switch isHeard := n.lastHeard[p.target] >= p.sentAt; {
-	case isHeard && p.isIndirect: // another message of its, or the report of others, shows that it is there
+	case isHeard && p.isIndirect: // any message of the target counts, and a forwarded ack
 		n.probe = nil
 	case !isHeard && !p.isIndirect && now-p.sentAt >= wait:
 		p.isIndirect = true
@@ -141,9 +153,9 @@
 	}
 }
 
-// checkUnreachable goes through the members that are not alive. A suspect is pinged, so that it hears of it and can refute, whoever
-// raised the suspicion; one not heard for SuspectFor is dead. The dead are pinged now and then: nobody else
-// would find out that a split is over.
+// checkUnreachable declares the suspects dead that were not heard for suspicionTimeout, and pings one random suspect and one
+// random dead member when due. The ping tells a suspect of the suspicion, whoever raised it, so that it can refute. Dead
+// members are pinged because nothing else detects that a partition has healed.
 func (n *Node) checkUnreachable(now, wait time.Duration) {
 	var suspects, dead []string
 	for _, m := range n.members.view.Members {
@@ -168,8 +180,8 @@
 	}
 }
 
-// nextTarget goes round the members that may be there in an order shuffled anew each round, so that each
-// is probed within one round however the others fare.
+// nextTarget returns the next member to probe, empty if there is none. It goes through the alive and suspect members in rounds,
+// in a new random order each, so that every member is probed within one round whatever the state of the others.
 func (n *Node) nextTarget() string {
 	for range 2 {
 		for len(n.probeOrder) > 0 {
@@ -189,7 +201,7 @@
 	return ""
 }
 
-// pickAlive chooses up to k members that are alive, other than this node and one more.
+// pickAlive returns up to k random members that are alive, without this node and the member named except.
 func (n *Node) pickAlive(k int, except string) []string {
 	var alive []string
 	for _, m := range n.members.view.Members {
@@ -201,6 +213,7 @@
 	return alive[:min(k, len(alive))]
 }
 
+// shuffle puts names in a random order in place.
 func (n *Node) shuffle(names []string) {
 	n.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 }
--- a/internal/membership/share.go
+++ b/internal/membership/share.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// What of a joint budget is this member's while views disagree. Shares may grow by one thing only: members that
-// said they left for good. A share that has grown is held on a lease, and a member that comes back waits until
-// no such lease can be against it. So at no time do all shares add up to more than the whole, whatever is cut
-// off from what.
+// The shares of a joint budget must never add up to more than the whole budget, whatever members are partitioned from each
+// other and however their views differ. So a share grows only when a member has left permanently, a larger share is held on
+// a lease that ends unless every other member is heard, and a member that returns waits until no such lease can count it out
+// any more.
 
-// leaseDuration is how long after the last word of each member that is there a view counts as whole: the time in which
-// each is probed by this node and probes it.
+// leaseDuration returns how long a member's last message keeps the view valid: the time in which each member is probed by
+// this node and probes it.
 func (n *Node) leaseDuration() time.Duration {
 	return time.Duration(len(n.members.view.Members)+1) * n.cfg.ProbePeriod
 }
 
-// Absent returns the members that no longer share joint budgets, by name: those that left, as long as this node
-// has heard every other member within its lease, and each said then that the same ones left. Cut off from any, or
-// at odds with it, it counts all of them in again: it might not have heard of one that came back.
+// Absent returns the names, in order, of the members that no longer share joint budgets: those that left. It returns nil
+// unless the node is settled, has heard every other member within leaseDuration, and each of them then reported the same
+// members as left. Otherwise the node may not know of a member that returned, so it counts all members in again.
 func (n *Node) Absent(now time.Duration) []string {
 	var absent []string
 	ownDigest := n.members.leftDigest(n.cfg.Name)
@@ -34,45 +34,45 @@
 	return absent
 }
 
-// IsSettled reports whether this node may take its share of a budget that must not be exceeded. Others may have counted it
-// out, if it left in an earlier incarnation. So each that is there must be known to hold the new one, or be dead for
-// longer than a lease, by when it counts all in again; and one at least must have been heard, if there is to be
-// any other: a node that hears nobody can't know.
+// IsSettled reports whether this node may use its share of a joint budget. Other members may still count it out if it left in
+// an earlier incarnation. So each member must be known to hold the present incarnation, have left, or have been dead for
+// longer than leaseDuration, after which it counts all members in again. At least one must hold it if the node has seeds or
+// knows other members, since a node that hears no member can't know whether it is counted out.
 func (n *Node) IsSettled(now time.Duration) bool {
 	if n.hasLeft {
 		return false
 	}
-	if n.cfg.IsSettledSuccessor { // nobody counts out who has not left
+	if n.cfg.IsSettledSuccessor { // other members count out only a member that left
 		return true
 	}
-	if len(n.members.view.Members) < n.cfg.MinMembers { // it has not been told of all that may count it out
+	if len(n.members.view.Members) < n.cfg.MinMembers { // an unknown member may count it out
 		return false
 	}
-	hasPeer := len(n.seeds) == 0 && len(n.members.view.Members) == 1
+	isConfirmed := len(n.seeds) == 0 && len(n.members.view.Members) == 1
 	for _, m := range n.members.view.Members {
 		switch {
 		case m.Name == n.cfg.Name || m.State == Left:
 		case n.confirmed[m.Name]:
-			hasPeer = true
+			isConfirmed = true
 		case m.State != Dead || now-max(m.Since, n.startedAt) <= n.leaseDuration():
 			return false
 		}
 	}
-	return hasPeer
+	return isConfirmed
 }
 
-// Share is this node's share of a joint budget, from 0 to 1.
+// Share returns this node's share of a joint budget, from 0 to 1. It is 0 while the node is not settled.
 func (n *Node) Share(now time.Duration) float64 {
 	if !n.IsSettled(now) {
 		return 0
 	}
-	// Members that the settings don't name share, too; those that left and all others know of do not. One that is
-	// dead may be cut off and go on sending, so it counts on.
+	// Members that are not in the settings share too; those that left do not once every member knows it. A dead member
+	// still shares, since it may only be partitioned and go on sending.
 	return 1 / float64(max(1, max(len(n.members.view.Members), n.cfg.MinMembers)-len(n.Absent(now))))
 }
 
-// AddMembers makes members known by name that have not been heard: those of the settings. Until they are, they
-// count as there.
+// AddMembers adds the unknown members among names to the view, as alive with incarnation 0: the members in the settings, which
+// count for shares before they are first heard.
 func (n *Node) AddMembers(names []string, now time.Duration) {
 	for _, name := range names {
 		if _, known := n.members.get(name); !known {
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -9,18 +9,17 @@
 	"ferryfront.example/ferryfront/internal/wire"
 )
 
-// MaxDatagramBytes is the most bytes that the platform carries between ingresses in one message.
+// MaxDatagramBytes is the maximum size of a message between ingresses, which the platform limits.
 const MaxDatagramBytes = 256
 
-// Fields of a message in protobuf's wire format: kind 1, seq 2, target 3, updates 4, sender 5, out 6; of an update:
-// name 1, incarnation 2, state 3.
+// Field numbers of a message and of an update, in protobuf's wire format.
 const (
 	fieldKind, fieldSeq, fieldTarget, fieldUpdate, fieldFrom, fieldLeftDigest = 1, 2, 3, 4, 5, 6
 	updateFieldName, updateFieldIncarnation, updateFieldState                 = 1, 2, 3
 )
 
-// Append writes msg to b in at most Datagram bytes. Updates that do not fit are left out, the first ones
-// kept; the head alone always fits, since names are bounded by the settings to far less.
+// Append appends msg to b in at most MaxDatagramBytes bytes. Updates from the first one that does not fit are left out. The
+// other fields always fit, since the settings bound names to far less.
 func Append(b []byte, msg Message) []byte {
 	start := len(b)
 	b = protowire.AppendTag(b, fieldKind, protowire.VarintType)
@@ -58,10 +57,11 @@
 	return b
 }
 
-// ErrTooLong tells that a datagram is longer than the platform carries.
+// ErrTooLong is returned by Parse for a datagram longer than MaxDatagramBytes.
 var ErrTooLong = errors.New("membership: datagram longer than 256 bytes")
 
-// Parse reads a message. Errors name the field that is wrong; unknown fields are skipped.
+// Parse reads a message. It returns ErrTooLong, or an error that names the field that is invalid or missing; unknown fields
+// are skipped.
 func Parse(b []byte) (Message, error) {
 	var msg Message
 	if len(b) > MaxDatagramBytes {
@@ -109,6 +109,7 @@
 	return msg, err
 }
 
+// parseUpdate reads one update. Errors name the field that is invalid; unknown fields are skipped.
 func parseUpdate(b []byte) (Update, error) {
 	var u Update
 	err := wire.Walk(b, "membership: updates.", func(num protowire.Number, typ protowire.Type, b []byte) (int, error) {
