--- a/internal/net/controlclient/client.go
+++ b/internal/net/controlclient/client.go
@@ -1,10 +1,10 @@
-// Package controlclient carries the messages between one ingress and the replicas of the control group: one TCP
-// connection on the daemon's loop, to one replica at a time. It decides nothing of versions and leases: what comes in
-// goes to the member, and what that wants sent goes out. It belongs to the loop's goroutine.
+// Package controlclient exchanges messages between one ingress and the replicas of the control group over one TCP connection,
+// to one replica at a time. The goroutine of the event loop owns a Client. The package takes no decision on versions or
+// leases: it passes received messages to the member of the control group and sends the messages that the member returns.
 //
-// A replica takes the orderly end of a connection as proof that the process behind it has ended or has given up its
-// leases. So every connection that this process leaves while it may hold leases is ended by a reset; only
-// [Client.GiveUp] ends one in the orderly way.
+// A replica takes the orderly end of a connection (FIN) as proof that the process has ended or has given up its leases. So
+// every connection that is closed while the process may hold leases is closed by a reset; only [Client.GiveUp] closes one
+// in the orderly way.
 package controlclient
 
 import (
@@ -19,7 +19,7 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Member decides what is sent, see [controlgroup.Member].
+// Member is the protocol state machine that decides what is sent, see [controlgroup.Member].
 type Member interface {
 	Connected(now time.Duration) []controlgroup.Message
 	Disconnected(now time.Duration)
@@ -29,19 +29,21 @@
 	GiveUp(now time.Duration) []controlgroup.Message
 }
 
-// Config says where the replicas are and for whom the client speaks.
+// Config configures a Client.
 type Config struct {
-	Replicas     []string // addresses, one at least; the same in the same order at all ingresses
-	IngressIndex int      // of this ingress: spreads ingresses over the replicas
-	Seed         uint64   // of the jitter
+	Replicas     []string // addresses, at least one; the same in the same order at all ingresses
+	IngressIndex int      // of this ingress; spreads the ingresses over the replicas
+	Seed         uint64   // of the random backoff
 	Member       Member
-	OnChange     func(now time.Duration) // called when what the member tells may have changed, before that is reported
+	// OnChange is called after each message, tick and lost connection, since the member's state may have changed. It is
+	// called before the member's answers to a message are sent.
+	OnChange func(now time.Duration)
 }
 
-// Counts are from the opening of the client.
+// Counts are totals since the client was opened.
 type Counts struct {
-	SentBytes, ReceivedBytes uint64 // bytes
-	Connections              uint64 // that came up
+	SentBytes, ReceivedBytes uint64
+	Connections              uint64 // established connections
 }
 
 // Client keeps a connection to one replica, and goes on to the next when it fails.
@@ -52,23 +54,24 @@
 	cfg    Config
 	rng    *rand.Rand
 
-	replica     int           // index of the one that is, or is to be, connected
-	backoff     time.Duration // before the next connection; 0: the last one served
-	conn        *connection   // nil between two
+	replica     int           // index of the replica that is, or is next to be, connected
+	backoff     time.Duration // before the last redial; 0 once a replica has sent a message
+	conn        *connection   // nil between two connections
 	redialTimer *loop.Timer
-	tickTimer   *loop.Timer // the member's
-	tickAt      time.Duration
-	isClosed    bool
+	tickTimer   *loop.Timer   // nil while the member waits for no tick
+	tickAt      time.Duration // time of tickTimer
+	isClosed    bool          // Close or GiveUp was called
 
 	counts          Counts
-	isFailing       bool          // nothing was heard since the last failure
-	lastLossLogged  time.Duration // when a loss was last logged
-	logsNextConnect bool          // the next replica that is heard is to be logged
+	isFailing       bool          // no message was received since the last failure
+	lastLossLogged  time.Duration // 0: never
+	logsNextConnect bool          // the next replica that sends a message is logged
 	giveUpTimer     *loop.Timer
-	onGaveUp        func() // of GiveUp
+	onGaveUp        func() // the callback of GiveUp
 }
 
-// Open begins to connect to the ingress's first replica.
+// Open returns a client that connects to the replica of this ingress, and to the others in turn while none works. It reports
+// failures to the log only. The client runs on the loop l until Close or GiveUp.
 func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, c Config) *Client {
 	client := &Client{loop: l, limits: lim, log: log, cfg: c, replica: c.IngressIndex % len(c.Replicas), logsNextConnect: true,
 		rng: rand.New(rand.NewPCG(c.Seed, uint64(c.IngressIndex)))}
@@ -77,7 +80,7 @@
 	return client
 }
 
-// Replica is the address of the replica that is connected and has said something, empty: none has.
+// Replica returns the address of the connected replica, empty until it has sent a message.
 func (c *Client) Replica() string {
 	if c.conn == nil || !c.conn.hasReceived {
 		return ""
@@ -85,10 +88,10 @@
 	return c.cfg.Replicas[c.replica]
 }
 
-// Counts tells what went and came so far.
+// Counts returns the totals so far.
 func (c *Client) Counts() Counts { return c.counts }
 
-// Send sends messages of the member that came about outside of the client, if a replica is connected.
+// Send sends messages that the member produced outside of the client. They are dropped if no replica is connected.
 func (c *Client) Send(list []controlgroup.Message) {
 	if c.conn != nil && c.conn.isUp {
 		c.conn.send(list)
@@ -96,7 +99,7 @@
 	c.schedule()
 }
 
-// Close ends the connection by a reset: leases that are held may be held on.
+// Close closes the connection by a reset, so that the leases are not taken for given up. It is safe on nil and after GiveUp.
 func (c *Client) Close() {
 	if c == nil || c.isClosed {
 		return
@@ -107,9 +110,10 @@
 	c.finish()
 }
 
-// GiveUp has the member give up its leases and ends the connection in the orderly way, which tells the replica of it. Done
-// is called once the replica has ended its side, or after a limit; nil: nobody waits. The caller must have seen to it
-// that the share of joint budgets is used no more.
+// GiveUp makes the member give up its leases and closes the connection in the orderly way, which tells the replica of it. The
+// caller must have stopped using the share of joint budgets before. GiveUp calls done, unless it is nil, once the replica
+// has closed its side, the connection has failed or ControlReleaseTimeout has passed; at once if no replica is connected.
+// It is safe on nil.
 func (c *Client) GiveUp(done func()) {
 	if done == nil {
 		done = func() {}
@@ -120,7 +124,7 @@
 	}
 	c.stop()
 	c.onGaveUp = done
-	c.cfg.Member.GiveUp(c.loop.Now()) // what that would send says no more than the end of the connection
+	c.cfg.Member.GiveUp(c.loop.Now()) // its messages are not needed: the end of the connection says the same
 	if c.conn == nil || !c.conn.isUp {
 		c.conn.reset()
 		c.conn = nil
@@ -131,14 +135,15 @@
 	c.conn.closeGracefully()
 }
 
-// stop connects no more and lets no more time pass for the member.
+// stop ends redials and ticks.
 func (c *Client) stop() {
 	c.isClosed = true
 	c.redialTimer.Stop()
 	c.tickTimer.Stop()
 }
 
-// finishGiveUp ends waiting for the replica's end. The connection's own end was sent, unless the replica reads nothing.
+// finishGiveUp closes the connection of GiveUp, once the replica has closed its side or the timeout has passed. The FIN was
+// sent before, unless the replica did not read what precedes it.
 func (c *Client) finishGiveUp() {
 	if c.conn != nil {
 		c.conn.close()
@@ -147,6 +152,7 @@
 	c.finish()
 }
 
+// finish calls the callback of GiveUp, once.
 func (c *Client) finish() {
 	c.giveUpTimer.Stop()
 	if done := c.onGaveUp; done != nil {
@@ -155,10 +161,10 @@
 	}
 }
 
-// noDeadline is what a member is due at that waits for nothing.
+// noDeadline is returned by Member.Due if no tick is due.
 const noDeadline = time.Duration(math.MaxInt64)
 
-// schedule has the member ticked when it is due.
+// schedule sets the timer for the member's next tick.
 func (c *Client) schedule() {
 	at := c.cfg.Member.Due()
 	if c.isClosed || at == c.tickAt {
@@ -171,6 +177,7 @@
 	}
 }
 
+// tick lets the member act on its timeouts and sends its messages.
 func (c *Client) tick() {
 	c.tickAt = 0
 	now := c.loop.Now()
@@ -178,7 +185,7 @@
 	c.cfg.OnChange(now)
 }
 
-// dial begins a connection to the replica whose turn it is.
+// dial starts a connection to the current replica. A failure to start one counts as a lost replica.
 func (c *Client) dial() {
 	conn := &connection{client: c}
 	fd, err := loop.Dial(c.cfg.Replicas[c.replica])
@@ -196,7 +203,8 @@
 	conn.startSilenceTimer(c.limits.ControlDialTimeout)
 }
 
-// handleConnected: the connection is up. The replica counts as working only once it has said something.
+// handleConnected sends the member's first messages on an established connection. The replica counts as working only once it
+// has sent a message.
 func (c *Client) handleConnected() {
 	c.counts.Connections++
 	c.conn.startSilenceTimer(c.limits.ControlFirstMessageTimeout)
@@ -204,7 +212,7 @@
 	c.schedule()
 }
 
-// handleActive: the replica has sent a message.
+// handleActive records that the replica has sent a message, which resets the backoff.
 func (c *Client) handleActive() {
 	c.backoff, c.conn.hasReceived = 0, true
 	if c.logsNextConnect {
@@ -213,7 +221,7 @@
 	c.isFailing, c.logsNextConnect = false, false
 }
 
-// fail leaves the connection for the next replica.
+// fail resets the connection and, unless the client is closed, schedules one to the next replica.
 func (c *Client) fail(cause error) {
 	wasUp := c.conn.isUp
 	c.conn.reset()
@@ -231,11 +239,11 @@
 	c.cfg.OnChange(now)
 }
 
-// lossLogInterval: replicas that fail again and again are logged so often.
+// lossLogInterval is the minimum time between two warnings of a lost replica.
 const lossLogInterval = 10 * time.Second
 
-// scheduleRedial goes on to another replica after a while: longer with each failure in a row, at a random instant of that while,
-// since all ingresses of a replica lose it at once.
+// scheduleRedial schedules a connection to the next replica. The backoff doubles with each failure in a row; the wait is
+// random, from a tenth of it to all of it, since all ingresses of a replica lose it at the same time.
 func (c *Client) scheduleRedial(cause error) {
 	if now := c.loop.Now(); !c.isFailing && (c.lastLossLogged == 0 || now-c.lastLossLogged > lossLogInterval) {
 		c.lastLossLogged, c.logsNextConnect = now, true
@@ -248,8 +256,8 @@
 	c.redialTimer = c.loop.After(wait, c.dial)
 }
 
-// replicaStep is how far the next replica is. Half of the ingresses of one go round the one way, half the other: so those of a
-// replica that is lost are shared by its neighbours.
+// replicaStep returns the distance to the next replica, modulo their number. Half of the ingresses of a replica go through
+// the list in one direction and half in the other, so that both neighbours of a lost replica share its ingresses.
 func (c *Client) replicaStep() int {
 	n := len(c.cfg.Replicas)
 	if c.cfg.IngressIndex/n%2 == 1 {
@@ -258,8 +266,8 @@
 	return 1
 }
 
-// Causes of leaving a replica that are no errors of the connection.
+// Reasons to close a connection to a replica that are not network errors.
 var (
 	errSilent     = errors.New("silent")
-	errNotReading = errors.New("it does not read what is sent to it")
+	errNotReading = errors.New("replica does not read what is sent to it")
 )
--- a/internal/net/controlclient/connection.go
+++ b/internal/net/controlclient/connection.go
@@ -9,29 +9,29 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// connection is one to a replica.
+// connection is a connection to a replica.
 type connection struct {
 	client          *Client
 	source          *loop.Source
-	isUp            bool   // it has been established
+	isUp            bool   // the TCP connection is established
 	hasReceived     bool   // the replica has sent a message
-	isClosing       bool   // GiveUp: what is left is written, then our side ends; what comes is dropped
-	isAwaitingReply bool   // something was sent since the replica last sent anything
-	received        []byte // of a message that is not complete
-	unsent          []byte // not written yet
+	isClosing       bool   // by GiveUp: unsent is written and then FIN; received bytes are dropped
+	isAwaitingReply bool   // messages were sent since the replica last sent anything
+	received        []byte // start of an incomplete message
+	unsent          []byte
 	silenceTimer    *loop.Timer
-	// awaitingSince is when the first message was sent that asked is about.
-	awaitingSince time.Duration
+	awaitingSince   time.Duration // when the first message was sent that isAwaitingReply is about
 }
 
-// startSilenceTimer waits for the next sign of life.
+// startSilenceTimer sets the time within which the connection must be established or the replica must send something.
 func (c *connection) startSilenceTimer(timeout time.Duration) {
 	c.silenceTimer.Stop()
 	c.silenceTimer = c.client.loop.After(timeout, c.handleSilence)
 }
 
-// handleSilence ends waiting for a sign of life. A replica answers what it is asked, and a process that stood still, or had no
-// processor, has asked nothing meanwhile: it leaves a connection that works only when the replica has had its time.
+// handleSilence moves on to the next replica after a silence. It first waits until a replica that was sent messages has had
+// ControlFirstMessageTimeout to answer: a process that was stopped, or got no processor time, sent nothing meanwhile that the
+// replica would have answered, and keeps a connection that works.
 func (c *connection) handleSilence() {
 	remaining := c.awaitingSince + c.client.limits.ControlFirstMessageTimeout - c.client.loop.Now()
 	if c.isAwaitingReply && remaining > 0 {
@@ -41,13 +41,13 @@
 	c.client.fail(errSilent)
 }
 
-// close ends the connection; without a reset before it, in the orderly way.
+// close closes the connection: in the orderly way, unless a reset was set before.
 func (c *connection) close() {
 	c.silenceTimer.Stop()
 	c.source.Close()
 }
 
-// reset ends the connection so that the replica can't take it for the end of this process. It is safe on nil.
+// reset closes the connection by a TCP reset, which a replica does not take for the end of this process. It is safe on nil.
 func (c *connection) reset() {
 	if c != nil {
 		c.source.ResetOnClose()
@@ -55,7 +55,7 @@
 	}
 }
 
-// Ready goes on with the connection.
+// Ready handles the events of the socket.
 func (c *connection) Ready(events uint32) {
 	if !c.isUp {
 		if err := loop.DialResult(c.source.FD()); err != nil {
@@ -72,9 +72,10 @@
 	}
 }
 
-// isCurrent tells whether this connection is still the client's: any step may have ended it.
+// isCurrent reports whether the connection is still the client's; any call into the client may have closed it.
 func (c *connection) isCurrent() bool { return c.client.conn == c }
 
+// send encodes messages and writes what the socket takes.
 func (c *connection) send(list []controlgroup.Message) {
 	for _, m := range list {
 		c.unsent = controlgroup.Append(c.unsent, m)
@@ -85,7 +86,7 @@
 	c.flush()
 }
 
-// flush writes what there is room for.
+// flush writes what the socket takes of the unsent bytes. More than MaxControlQueueBytes left over is a failure.
 func (c *connection) flush() {
 	n, err := loop.Write(c.source.FD(), c.unsent)
 	c.client.counts.SentBytes += uint64(n)
@@ -104,13 +105,14 @@
 	}
 }
 
-// closeGracefully writes what waits, and then ends our side.
+// closeGracefully writes the unsent bytes and then FIN.
 func (c *connection) closeGracefully() {
 	c.isClosing = true
 	c.silenceTimer.Stop()
 	c.flush()
 }
 
+// closeWrite sends FIN and keeps reading for that of the replica.
 func (c *connection) closeWrite() {
 	if err := loop.CloseWrite(c.source.FD()); err != nil {
 		c.client.fail(err)
@@ -119,7 +121,7 @@
 	c.source.SetEvents(loop.In | loop.Hangup)
 }
 
-// read takes what one read brings: whatever a replica sends, the other connections have their turns.
+// read reads from the socket once, so that a replica that sends a lot does not hold up the other connections of the loop.
 func (c *connection) read() {
 	buf := c.client.loop.ReadBuffer()
 	n, err := loop.Read(c.source.FD(), buf)
@@ -140,16 +142,16 @@
 	c.handleMessages()
 }
 
-// handleReadError: the replica has ended the connection.
+// handleReadError handles the end of the connection by the replica, or an error.
 func (c *connection) handleReadError(err error) {
-	if c.isClosing && errors.Is(err, io.EOF) { // it has read our end
+	if c.isClosing && errors.Is(err, io.EOF) { // the replica has read the FIN
 		c.client.finishGiveUp()
 		return
 	}
 	c.client.fail(err)
 }
 
-// handleMessages hands on those that are complete.
+// handleMessages handles the complete messages among the received bytes and keeps the rest.
 func (c *connection) handleMessages() {
 	rest := c.received
 	for {
@@ -170,8 +172,9 @@
 	c.client.schedule()
 }
 
-// handleMessage hands one on, and tells whether the connection goes on. What follows from it takes effect before the answers
-// report it: the group retires a version on the word that a newer one is acted on.
+// handleMessage passes a message to the member and sends its answers. It reports whether the connection is still open. OnChange
+// takes effect before the answers are sent, since the group retires a version once members report that they act on a newer
+// one.
 func (c *connection) handleMessage(m controlgroup.Message) bool {
 	c.client.handleActive()
 	now := c.client.loop.Now()
