--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -8,9 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// What is written is read back the same, in at most one datagram; updates that do not fit are left out
-// from the end.
-func TestAMessageRoundTripsWithinADatagram(t *testing.T) {
+// A message is parsed as it was written, in at most one datagram; updates that do not fit are left out from the end.
+func TestMessageRoundTripsWithinADatagram(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		msg := Message{Kind: Kind(rapid.IntRange(0, int(JoinRequest)).Draw(t, "kind")), From: "ingress-0",
 			LeftDigest: rapid.Uint64().Draw(t, "out"), Seq: rapid.Uint64().Draw(t, "seq"),
@@ -36,7 +35,7 @@
 	})
 }
 
-// Nothing read from the wire ends or stalls the reader; what is wrong is named.
+// No input makes Parse panic or hang.
 func FuzzParse(f *testing.F) {
 	f.Add(Append(nil, Message{Kind: PingReq, From: "n4", Seq: 7, Target: "n2", Updates: []Update{{"n1", 3, Suspect}}}))
 	f.Add([]byte{0x08, 0x09})
@@ -50,7 +49,7 @@
 	})
 }
 
-func TestWhatIsWrongIsNamed(t *testing.T) {
+func TestParseErrorsNameTheField(t *testing.T) {
 	_, err := Parse([]byte{0x08, 0x09})
 	require.ErrorContains(t, err, "field kind")
 	_, err = Parse([]byte{0x22, 0x02, 0x10, 0x01})
--- a/internal/net/controlclient/replica_test.go
+++ b/internal/net/controlclient/replica_test.go
@@ -11,14 +11,14 @@
 	"ferryfront.example/ferryfront/internal/versions"
 )
 
-// member notes what it is told, and wants to send what a test says.
+// member records the calls of the client and answers as a test defines.
 type member struct {
 	connected, disconnected int
 	received                []controlgroup.Message
 	ticks                   int
 	due                     time.Duration
 	answer                  func(controlgroup.Message) ([]controlgroup.Message, error)
-	gaveUp                  bool
+	hasGivenUp              bool
 }
 
 func (m *member) Connected(time.Duration) []controlgroup.Message {
@@ -40,7 +40,7 @@
 }
 func (m *member) Due() time.Duration { return m.due }
 func (m *member) GiveUp(time.Duration) []controlgroup.Message {
-	m.gaveUp = true
+	m.hasGivenUp = true
 	return []controlgroup.Message{renew(9999)}
 }
 
@@ -53,23 +53,24 @@
 		Renewal: 100 * time.Millisecond, Term: 3}
 }
 
-// replica is a stand-in for one: it has each connection served by a function, and notes how each has ended.
+// replica is a fake control replica that serves each connection by a function and records the messages and how each connection
+// ended.
 type replica struct {
-	addr string
-	mu   sync.Mutex
-	seen []controlgroup.Message
-	ends []error // io.EOF: in the orderly way
-	came int
+	addr            string
+	mu              sync.Mutex
+	received        []controlgroup.Message
+	closeErrors     []error // by connection; io.EOF: ended in the orderly way
+	connectionCount int
 }
 
-// newReplica serves each connection, the first being number 1, and then reads it until its end.
+// newReplica returns a replica that calls serve for each connection, the first being number 1, and reads each until it ends.
 func newReplica(t *testing.T, serve func(c net.Conn, number int)) *replica {
 	r := &replica{}
 	r.start(t, serve)
 	return r
 }
 
-// newAnsweringReplica answers each message with a grant.
+// newAnsweringReplica returns a replica that answers each message with a grant.
 func newAnsweringReplica(t *testing.T) *replica {
 	r := &replica{}
 	r.start(t, r.answerEach)
@@ -77,15 +78,15 @@
 }
 
 func (r *replica) start(t *testing.T, serve func(c net.Conn, number int)) {
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
+	stop := make(chan struct{})
+	t.Cleanup(func() { close(stop) })
 	r.addr = nettest.Serve(t, func(c net.Conn) {
 		r.mu.Lock()
-		r.came++
-		number := r.came
+		r.connectionCount++
+		number := r.connectionCount
 		r.mu.Unlock()
 		go func() {
-			<-over
+			<-stop
 			_ = c.Close()
 		}()
 		go serve(c, number)
@@ -95,20 +96,20 @@
 
 func (r *replica) read(c net.Conn) {
 	var buf []byte
-	room := make([]byte, 4096)
+	chunk := make([]byte, 4096)
 	for {
-		n, err := c.Read(room)
-		buf = append(buf, room[:n]...)
+		n, err := c.Read(chunk)
+		buf = append(buf, chunk[:n]...)
 		r.mu.Lock()
 		for {
 			m, rest, bad := controlgroup.Next(buf)
 			if m == nil || bad != nil {
 				break
 			}
-			r.seen, buf = append(r.seen, m), rest
+			r.received, buf = append(r.received, m), rest
 		}
 		if err != nil {
-			r.ends = append(r.ends, err)
+			r.closeErrors = append(r.closeErrors, err)
 			r.mu.Unlock()
 			_ = c.Close()
 			return
@@ -117,7 +118,7 @@
 	}
 }
 
-// answerEach writes a grant for each message that has come, until the connection ends.
+// answerEach writes a grant for each received message, until the connection ends.
 func (r *replica) answerEach(c net.Conn, _ int) {
 	for answered := 0; ; time.Sleep(time.Millisecond) {
 		if len(r.messages()) == answered {
@@ -130,26 +131,26 @@
 	}
 }
 
-func (r *replica) ended() []error {
+func (r *replica) closedWith() []error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]error(nil), r.ends...)
+	return append([]error(nil), r.closeErrors...)
 }
 
 func (r *replica) messages() []controlgroup.Message {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]controlgroup.Message(nil), r.seen...)
+	return append([]controlgroup.Message(nil), r.received...)
 }
 
 func (r *replica) connections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.came
+	return r.connectionCount
 }
 
-// says writes messages.
-func says(list ...controlgroup.Message) func(net.Conn, int) {
+// sendMessages returns a serve function that writes the messages.
+func sendMessages(list ...controlgroup.Message) func(net.Conn, int) {
 	return func(c net.Conn, _ int) {
 		var b []byte
 		for _, m := range list {
