--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -154,7 +154,7 @@
 }
 
 // checkUnreachable declares the suspects dead that were not heard for suspicionTimeout, and pings one random suspect and one
-// random dead member when due. The ping tells a suspect of the suspicion, whoever raised it, so that it can refute. Dead
+// random dead member when due. The ping carries the suspicion, whichever member raised it, so that the suspect can refute. Dead
 // members are pinged because nothing else detects that a partition has healed.
 func (n *Node) checkUnreachable(now, wait time.Duration) {
 	var suspects, dead []string
--- a/internal/net/controlclient/client.go
+++ b/internal/net/controlclient/client.go
@@ -21,11 +21,17 @@
 
 // Member is the protocol state machine that decides what is sent, see [controlgroup.Member].
 type Member interface {
+	// Connected returns the first messages on a new connection.
 	Connected(now time.Duration) []controlgroup.Message
+	// Disconnected is called when an established connection has failed.
 	Disconnected(now time.Duration)
+	// Received returns the answers to a message. An error means that the replica violates the protocol; it ends the connection.
 	Received(m controlgroup.Message, now time.Duration) ([]controlgroup.Message, error)
+	// Tick acts on the timeouts that have passed and returns the messages to send.
 	Tick(now time.Duration) []controlgroup.Message
+	// Due returns the time of the next tick, noDeadline if none is due.
 	Due() time.Duration
+	// GiveUp makes the member give up its leases.
 	GiveUp(now time.Duration) []controlgroup.Message
 }
 
@@ -46,7 +52,7 @@
 	Connections              uint64 // established connections
 }
 
-// Client keeps a connection to one replica, and goes on to the next when it fails.
+// Client keeps a connection to one replica and connects to the next one when it fails. It is not safe for concurrent use.
 type Client struct {
 	loop   *loop.Loop
 	limits limits.Limits
@@ -110,10 +116,10 @@
 	c.finish()
 }
 
-// GiveUp makes the member give up its leases and closes the connection in the orderly way, which tells the replica of it. The
-// caller must have stopped using the share of joint budgets before. GiveUp calls done, unless it is nil, once the replica
-// has closed its side, the connection has failed or ControlReleaseTimeout has passed; at once if no replica is connected.
-// It is safe on nil.
+// GiveUp makes the member give up its leases and closes the connection in the orderly way, which the replica takes as proof of
+// it. The caller must have stopped using the share of joint budgets before. GiveUp calls done, unless it is nil, once the
+// replica has closed its side, the connection has failed or ControlReleaseTimeout has passed; at once if no replica is
+// connected. It is safe on nil.
 func (c *Client) GiveUp(done func()) {
 	if done == nil {
 		done = func() {}
--- a/internal/net/controlclient/client_test.go
+++ b/internal/net/controlclient/client_test.go
@@ -252,8 +252,8 @@
 	s.waitUntil(t, func() bool { return s.client.Replica() != "" && s.client.backoff == 0 })
 }
 
-// The member is ticked when it is due, and what it wants sent then goes out.
-func TestTheMemberIsTicked(t *testing.T) {
+// The member is ticked at the time that Due returns, and the messages that Tick returns are sent.
+func TestMemberIsTickedWhenDue(t *testing.T) {
 	r := newReplica(t, sendMessages(grant(1)))
 	s := openClient(t, 0, nil, r.addr)
 	s.waitUntil(t, func() bool { return s.client.Replica() != "" })
@@ -284,7 +284,7 @@
 	require.ErrorIs(t, r.closedWith()[1], syscall.ECONNRESET)
 }
 
-// GiveUp returns control after ControlReleaseTimeout if the replica does not close its side, and at once if none is connected.
+// GiveUp calls done after ControlReleaseTimeout if the replica does not close its side, and at once if none is connected.
 func TestGiveUpIsBoundedInTime(t *testing.T) {
 	stop := make(chan struct{})
 	defer close(stop)
