--- a/admission/answers.go
+++ b/admission/answers.go
@@ -16,8 +16,8 @@
 // cap and at the servers are free again. They may have run, and a cancelled attempt says nothing about its
 // server. Streams and requests that must not run twice are not cancelled.
 func (g *Gateway) cancelAttempts(r *request) {
-	for i, t := range r.attempts {
-		if t.isLive && g.settings.CanCancel && !r.class.IsStream && r.class.Effect != Unsafe {
+	for i, a := range r.attempts {
+		if a.isLive && g.settings.CanCancel && !r.class.IsStream && r.class.Effect != Unsafe {
 			g.emit(Cancel{ID: r.id, Attempt: i})
 		}
 	}
--- a/admission/api.go
+++ b/admission/api.go
@@ -78,8 +78,8 @@
 	IsRemoved      bool    // dropped from the settings
 }
 
-// Settings are what a gateway knows at its start. [New] returns an error for counts, times, rates and worths
-// that are out of range, but does not check every field.
+// Settings configure a gateway. [New] returns an error for counts, times, rates and worths that are out of
+// range, but does not check every field.
 type Settings struct {
 	Gateways int // gateways in the fleet, at least 1
 	Index    int // index of this gateway, from 0
@@ -95,7 +95,7 @@
 	MaxUnits       int           // units of the largest request
 
 	MaxAttempts       int           // attempts of a request; 0: no limit
-	MaxRetryAfter     time.Duration // longest retry-after advice for overload; that for a quota may be longer
+	MaxRetryAfter     time.Duration // advice when any answer would be late; below 100 ms: 100 ms
 	CanSendRetryAfter bool          // refusals may carry retry-after advice
 	CanCancel         bool          // the host carries out Cancel
 	CanProbe          bool          // the host carries out Probe; not used here
@@ -108,7 +108,7 @@
 	ReportNames        []string
 	HasAnswerReports   bool          // answers carry load reports; not used here
 	AnswerSlack        time.Duration // how long after the deadline a final answer is allowed; not used here
-	AskWithin          time.Duration // the value askWithin of the settings' rules; not used here
+	AskWithin          time.Duration // value of the rule askWithin in the settings document; not used here
 	DrainGrace         time.Duration // how long a draining server may still get requests; not used here
 	WarmUpTime         time.Duration // a started server has its full capacity after this time
 	InitialCapacity    float64       // least share of its capacity that a server has at its start, 0 to 1
--- a/admission/attempts.go
+++ b/admission/attempts.go
@@ -199,13 +199,13 @@
 // surely did not run costs no retry budget.
 func (g *Gateway) onAttemptEnded(ev AttemptEnded) {
 	r := g.requests[ev.ID]
-	t := g.endAttempt(r, ev)
-	if t == nil {
+	ended := g.endAttempt(r, ev)
+	if ended == nil {
 		return
 	}
 	didNotRun := ev.Outcome == Full || ev.Outcome == Unreachable || ev.Outcome == NotSent
 	if !didNotRun && ev.Outcome != OK && r.priorServer == nil {
-		r.priorServer, r.priorSentAt = t.server, t.sentAt
+		r.priorServer, r.priorSentAt = ended.server, ended.sentAt
 	}
 	if c := r.customer; ev.Billed > 0 && ev.Outcome == OK && !r.isDone && c != nil && c.plan.Rate > 0 {
 		correction := float64(ev.Billed) - r.units // added with the next counter call
@@ -232,10 +232,10 @@
 
 // learnFromAttempt updates what is known of the server, of the request's class and of all answers when an
 // attempt has ended.
-func (g *Gateway) learnFromAttempt(t *attempt, r *request, ev AttemptEnded) {
-	s, expected, took := t.server, g.expectedLatency(r), ev.Took.Seconds()
+func (g *Gateway) learnFromAttempt(a *attempt, r *request, ev AttemptEnded) {
+	s, expected, took := a.server, g.expectedLatency(r), ev.Took.Seconds()
 	s.relativeLatency = s.relativeLatencyAt(g.now)
-	if i := slices.Index(s.outstanding, t.sentAt); i >= 0 {
+	if i := slices.Index(s.outstanding, a.sentAt); i >= 0 {
 		s.outstanding = slices.Delete(s.outstanding, i, i+1)
 	}
 	switch ev.Outcome {
@@ -271,7 +271,7 @@
 			g.meanLatency > slowThreshold*(r.due-r.arrivedAt).Seconds()) {
 			g.adjustAdmitShare(true)
 		}
-		if s.lastResponseAt < t.sentAt {
+		if s.lastResponseAt < a.sentAt {
 			g.eject(s)
 		}
 		s.relativeLatency = math.Max(s.relativeLatency,
--- a/admission/ceiling.go
+++ b/admission/ceiling.go
@@ -14,7 +14,7 @@
 	// Smallest useful part of a ceiling, in requests of the largest size: with less a gateway can't serve
 	// uneven traffic.
 	minCeilingBurst = 4.0
-	// Share of the ceiling that is admitted by totals where the parts would be smaller than that.
+	// Share of the ceiling that is admitted by totals where the parts would be smaller than minCeilingBurst.
 	totalsCeilingShare = 0.3
 	// Exponent on the query share for a request for which its gateway has too few ceiling tokens: it queries
 	// more often.
@@ -26,9 +26,9 @@
 //
 // With many gateways a part would be smaller than a few requests, or than one and of no use at all. Then
 // totals of the counter admit a share of the ceiling, and the rest is split over only as many gateways as it
-// holds requests. Any span of time overlaps the counter windows inside it and one at each edge. As one window
-// admits at most half of the totals' share, all of them admit no more than that share and its refill, even
-// through gateways that know no earlier window.
+// holds requests. Any span of time overlaps the counter windows inside it and one at each edge. One window
+// admits at most half of the totals' share: the two at the edges admit the share, those inside its refill,
+// even through gateways that know no earlier window.
 //
 // The split harms customers whose traffic is uneven over their gateways.
 func (g *Gateway) splitCeiling(c *customer, firstGateway int) {
--- a/admission/ceiling_test.go
+++ b/admission/ceiling_test.go
@@ -26,7 +26,7 @@
 				d.endAttempt(a.ID, 0, a.Server, OK)
 			}
 			// A previous process may have used the whole part, so without a counter it starts empty. A counter
-			// that has lost its data admits this gateway's part of the ceiling's store once, and no more.
+			// that has lost its data admits this gateway's part of the ceiling's burst once, and no more.
 			limit := p.CeilingRate / 2 * (d.now - start).Seconds()
 			if hasCounter {
 				limit += (p.CeilingBurst + p.CeilingSlack) / 2
--- a/admission/counter_test.go
+++ b/admission/counter_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// A counter that is far away answers every call slowly, without being crowded: all requests still query it, and
-// its answers close the breaker. A counter that takes longer than it used to is crowded.
+// A counter that is far away answers every call slowly, without being overloaded: all requests still query it,
+// and its answers close the breaker. A counter that takes longer than it used to is overloaded.
 func TestDistantCounterIsNotTakenForCrowded(t *testing.T) {
 	s := testSettings()
 	s.Gateways = 1
--- a/admission/estimate/estimate.go
+++ b/admission/estimate/estimate.go
@@ -113,7 +113,7 @@
 // Mix is how often each kind of request has come recently, as decaying counts.
 type Mix []float64
 
-// Learn counts one more request of a kind, after all counts have decayed by the weight, 0 to 1.
+// Learn counts one more request of a kind, after all counts have lost the share weight, 0 to 1.
 func (m Mix) Learn(kind int, weight float64) {
 	for i := range m {
 		m[i] -= weight * m[i]
@@ -124,8 +124,8 @@
 // bisectionSteps is how often Level halves the interval that it searches.
 const bisectionSteps = 24
 
-// Level returns the level, 0 to 1, at which the given share of all requests is admitted if of each kind the
-// share level to the power of the kind's exponent is admitted. A share of 1 or more gives 1.
+// Level returns the level, 0 to 1, at which the given share of all requests is admitted. Of each kind the share
+// that is admitted is the level to the power of the kind's exponent. A share of 1 or more gives 1.
 func (m Mix) Level(exponents []float64, share float64) float64 {
 	if share >= 1 {
 		return 1
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -129,7 +129,7 @@
 }
 
 // A customer with a hard ceiling sends several times what it allows through many gateways, while the counter loses
-// answers and once all its data. Together the gateways must never send more than the ceiling's store holds.
+// answers and once all its data. Together the gateways must never send more than the ceiling's bucket holds.
 func TestManyGatewaysKeepCeilingTogether(t *testing.T) {
 	for _, gateways := range []int{3, 26, 80} {
 		f := newFleet(t, gateways, 12)
--- a/admission/large_fleet_test.go
+++ b/admission/large_fleet_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// A crowded counter is queried most for the plan where a wrong decision costs most. A counter that takes all calls
+// An overloaded counter is queried most for the plan where a wrong decision costs most. A counter that takes all calls
 // is queried for every plan.
 func TestCrowdedCounterIsQueriedForCostliestPlan(t *testing.T) {
 	s := largeFleetSettings()
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -11,19 +11,18 @@
 )
 
 const (
-	// A request is refused without a counter query when the local tokens are less than this share of its
-	// units.
+	// A request is presumed to be over its quota when the local tokens are less than this share of its units.
 	minTokensFactor = 0.7
-	// Counter calls per request, times the query share, that are kept up even where a refusal is already
-	// certain. The design asks for one call per request.
+	// The rule is one counter call per request. Requests presumed to be over are refused without a query only
+	// while the calls per request stay above this many, times the query share.
 	minCallsPerRequest = 0.75
-	// Longest wait of a request for the counter: short against any latency target, and many times what a
-	// call usually takes.
+	// Longest wait of a request for the counter, unless four ticks are longer: short against any latency
+	// target, and many times what a call usually takes.
 	counterWait = 25 * time.Millisecond
 	// Sum of the query shares of all gateways at their start; each begins with an equal part.
 	initialFleetQueryShare = 30.0
 	// Smallest query share (requests that query the counter, over all) of a gateway, however overloaded the
-	// counter is. The share of a single plan may fall to half of it.
+	// counter is. The smallest share of one plan's requests is half of this, see planQueryShare.
 	minQueryShare = 0.1
 	// Share of the demand that fits the quota, below which a sparse gateway (see isSparse) lets only a sample
 	// of the requests query the counter.
@@ -51,7 +50,8 @@
 	predictionThreshold = 0.5
 	// Least urgency of a customer (see customer.urgency): it has used nothing since the last total.
 	minUrgency = 0.5
-	// Urgency added by use since the last total, times the share of the local tokens that was used.
+	// Urgency added for use since the last total: this, times the share of the local tokens that was used. A
+	// share above 0.5 counts as 0.5.
 	urgencyFactor = 8.0
 	// EWMA weight of a request in the average query share.
 	queryShareWeight = 0.001
@@ -182,8 +182,10 @@
 }
 
 // onArrival decides on a new request: load shedding first, then the ceiling, then the quota and the
-// in-flight cap. It decides locally, or lets the request query the counter and wait for the total. A
-// request without a plan is only routed; one of an unknown class or a known id is ignored.
+// in-flight cap. It decides locally, or lets the request query the counter and wait for the total. A request
+// that is presumed to be over is refused without a query: too few local tokens or too many requests in flight
+// show it, or, at a sparse gateway, a random draw selects it by the share of the demand that fits. A request
+// without a plan is only routed; one of an unknown class or a known id is ignored.
 func (g *Gateway) onArrival(ev RequestArrived) {
 	if ev.Class < 0 || ev.Class >= len(g.settings.Classes) || g.requests[ev.ID] != nil {
 		return
@@ -216,10 +218,10 @@
 	if !g.isBreakerOpen {
 		g.queryShareAverage += queryShareWeight * (g.queryShare - g.queryShareAverage)
 	}
-	isKnownOver := p.Rate > 0 && c.quotaTokens < minTokensFactor*r.units ||
+	isPresumedOver := p.Rate > 0 && c.quotaTokens < minTokensFactor*r.units ||
 		p.MaxInFlight > 0 && c.inFlight >= p.MaxInFlight ||
 		c.isSparse(r.units) && g.rng.Float64() >= g.fitShare(c)/sampledFitThreshold
-	if isKnownOver && g.callsPerRequest > minCallsPerRequest*g.queryShare && !g.isBreakerOpen {
+	if isPresumedOver && g.callsPerRequest > minCallsPerRequest*g.queryShare && !g.isBreakerOpen {
 		g.decide(r, true, 1)
 		return
 	}
@@ -265,7 +267,7 @@
 		urgencyFactor*math.Min(0.5, (c.quotaCounter.pending+c.predictedUsage)/math.Max(1, c.quotaTokens))
 }
 
-// windowLength returns the length of the plan's counter windows: in it the rate fills the store once.
+// windowLength returns the length of the plan's counter windows: in it the rate fills the token bucket once.
 func (p Plan) windowLength() time.Duration { return seconds(p.Burst / p.Rate) }
 
 // wrongDecisionCost returns the cost of a wrong quota decision on this plan, relative to the worth of a
@@ -358,8 +360,8 @@
 	}
 }
 
-// decide admits a request, charged with its units times the weight, or refuses it with the advice to retry
-// after the end of the quota window, as the design says.
+// decide admits a request, charged with its units times the weight, or refuses it. The rule for a refusal is
+// to advise a retry when the quota window has ended.
 func (g *Gateway) decide(r *request, isOver bool, weight float64) {
 	c := r.customer
 	if r.detachCalls(); isOver {
--- a/admission/servers.go
+++ b/admission/servers.go
@@ -57,7 +57,8 @@
 	costJitter = 0.05
 	// Time constant in seconds of the measured rates of answers.
 	throughputMemory = 1.0
-	// An answer is late if it took more than this share of the time in which it is of use.
+	// For the share of requests that is admitted, an answer counts as late if it took more than this share of
+	// the time from its request's arrival to its latency target or, if earlier, its deadline.
 	lateThreshold = 0.5
 	// Factor on the share of requests that is admitted, applied for each late answer.
 	admitShareCut = 0.9
@@ -65,14 +66,14 @@
 	admitShareGain = 0.009
 	// A server is an outlier above this multiple of the mean relative latency of the servers in use.
 	outlierFactor = 1.4
-	// While the mean latency is above this share of the time in which an answer is of use, an attempt that
-	// times out counts as a late answer.
+	// While the mean latency is above this share of the same time, an attempt that times out counts as a late
+	// answer.
 	slowThreshold = 0.2
 	// Largest share of time-outs that can be due to lost answers: above it, they count as late answers.
 	maxLossShare = 0.5
 	// EWMA weight of an attempt in the share of attempts that time out.
 	timeoutShareWeight = 0.1
-	// Weight of a request in the decaying count of its class.
+	// Share by which the counts of all classes decay with each request, before its own class gains 1.
 	classMixWeight = 0.02
 	// Smallest share of requests that is admitted, however late the answers are: without any the gateway
 	// could not see that answers are prompt again.
@@ -142,7 +143,8 @@
 		s.throughput.rate(g.now, throughputMemory)*within)
 }
 
-// isLargeFleet reports whether one attempt from each gateway would be more than a server should hold.
+// isLargeFleet reports whether the fleet has more than minServerAttempts gateways: then one attempt from
+// each, which serverLimit always allows, is more than a server should hold.
 func (g *Gateway) isLargeFleet() bool { return float64(g.settings.Gateways) > minServerAttempts }
 
 // bulkhead returns how many attempts this gateway may have open in all: its part of minServerAttempts at each
@@ -161,9 +163,9 @@
 		g.now-s.outstanding[0] > max(minSilence, seconds(silenceFactor*s.relativeLatency*g.meanLatency))
 }
 
-// canCheckDown reports whether an attempt may go to a server that is down, to see if it is back: one at a
-// time, and seldom, however many are down. Otherwise, with a list so old that most of its servers are long
-// gone, most requests would go to those.
+// canCheckDown reports whether an attempt may go to a server that is down, to see if it is back. However many
+// are down, there is one such attempt at a time, and none for downCheckInterval after the last one failed.
+// Otherwise, with a list so old that most of its servers are long gone, most requests would go to those.
 func (g *Gateway) canCheckDown() bool {
 	return !slices.ContainsFunc(g.preferred, func(s *server) bool {
 		return s.connectionFailures >= downThreshold &&
@@ -213,8 +215,8 @@
 	leastCost, position := math.Inf(1), -1
 	for _, s := range g.preferred {
 		outstanding := float64(len(s.outstanding))
-		// A server that failed gets one attempt at a time and, for a while, none that can't be repeated. The
-		// latter must end, as there may be no other server.
+		// A server that failed gets one attempt at a time and, for a while, none that can't be repeated: not
+		// for good, as there may be no other server.
 		isRisky := r.class.Effect == Unsafe && g.now < s.ejectedUntil+downCheckInterval
 		isUnfit := g.isSuspect(s) || s.failures > 0 && (outstanding > 0 || isRisky) ||
 			s.connectionFailures >= downThreshold && (len(r.attempts) > 0 || !canCheck)
--- a/admission/settings_change.go
+++ b/admission/settings_change.go
@@ -36,9 +36,9 @@
 	elapsed := g.now - r.arrivedAt
 	r.arrivedAt, r.due, r.deadline = g.now, r.due+elapsed, r.deadline+elapsed
 	for i := range r.attempts {
-		if t := &r.attempts[i]; t.isLive {
-			t.sentAt = g.now
-			t.server.outstanding = append(t.server.outstanding, g.now)
+		if a := &r.attempts[i]; a.isLive {
+			a.sentAt = g.now
+			a.server.outstanding = append(a.server.outstanding, g.now)
 		}
 	}
 }
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -98,7 +98,7 @@
 	Throughput         DecayingCount   // good answers to the gateway
 }
 
-// WindowCounterState is one quantity of a customer on the shared counter.
+// WindowCounterState is one count of a customer on the shared counter.
 type WindowCounterState struct {
 	Length      time.Duration
 	Phase       time.Duration // by how much its windows start before multiples of Length
@@ -324,8 +324,8 @@
 	if r.customer != nil {
 		s.Customer, s.Plan = r.customer.id, r.customer.plan.Name
 	}
-	for _, t := range r.attempts {
-		s.Attempts = append(s.Attempts, AttemptState{t.server.Name, t.sentAt, t.isLive})
+	for _, a := range r.attempts {
+		s.Attempts = append(s.Attempts, AttemptState{a.server.Name, a.sentAt, a.isLive})
 	}
 	if r.priorServer != nil {
 		s.PriorServer, s.PriorZone, s.PriorCell = r.priorServer.Name, r.priorServer.Zone, r.priorServer.Cell
@@ -438,8 +438,8 @@
 	if s.HasCustomer {
 		r.customer = g.customerOnPlan(s.Customer, s.Plan)
 	}
-	for _, t := range s.Attempts {
-		if r.attempts = append(r.attempts, attempt{g.serverOrStub(t.Server), t.SentAt, t.IsLive}); t.IsLive {
+	for _, saved := range s.Attempts {
+		if r.attempts = append(r.attempts, attempt{g.serverOrStub(saved.Server), saved.SentAt, saved.IsLive}); saved.IsLive {
 			r.liveAttempts++
 		}
 	}
--- a/admission/util.go
+++ b/admission/util.go
@@ -124,13 +124,13 @@
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].isLive {
 		return nil
 	}
-	t := &r.attempts[ev.Attempt]
-	t.isLive = false
+	ended := &r.attempts[ev.Attempt]
+	ended.isLive = false
 	r.liveAttempts--
 	g.liveAttempts--
 	r.notReplayable = ev.NotReplayable
-	g.learnFromAttempt(t, r, ev)
-	return t
+	g.learnFromAttempt(ended, r, ev)
+	return ended
 }
 
 // usefulSeconds returns for how many seconds after the arrival of a request of the class an answer is of use:
--- a/admission/window_counter.go
+++ b/admission/window_counter.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// windowCounter is one quantity of a customer on the shared counter, which has a name for each window. A query
-// adds a request's units to the present window and returns the total of all gateways.
+// windowCounter is one count of a customer (quota units, requests in flight or demand) on the shared counter,
+// under a name of its own for each window. A query adds a request's units to the present window and returns the
+// total of all gateways.
 type windowCounter struct {
 	prefix      string
 	length      time.Duration
