--- a/admission/counter_test.go
+++ b/admission/counter_test.go
@@ -92,7 +92,7 @@
 
 // A counter that is far away answers every call slowly, without being overloaded: all requests still query it,
 // and its answers close the breaker. A counter that takes longer than it used to is overloaded.
-func TestDistantCounterIsNotTakenForCrowded(t *testing.T) {
+func TestDistantCounterIsNotTakenForOverloaded(t *testing.T) {
 	s := testSettings()
 	s.Gateways = 1
 	d := newDriver(t, s, "s1")
@@ -126,7 +126,7 @@
 	d.gateway.queryShare = 1
 	queryCounter(OK, 3*baseline)
 	if d.gateway.queryShare >= 1 {
-		t.Fatal("the query share does not fall when the counter is crowded")
+		t.Fatal("the query share does not fall when the counter is overloaded")
 	}
 }
 
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -168,7 +168,7 @@
 				Gateways: gateways})
 		}
 		if minTokens < -p.CeilingSlack || lostCalls == 0 {
-			t.Errorf("%d gateways: the ceiling's store went down to %.1f, its slack is %.1f (%d calls lost, want some)",
+			t.Errorf("%d gateways: the ceiling's bucket went down to %.1f, its slack is %.1f (%d calls lost, want some)",
 				gateways, minTokens, p.CeilingSlack, lostCalls)
 		}
 		// With a demand of 25 times the quota at least half of the quota is admitted, however small a gateway's part
--- a/admission/large_fleet_test.go
+++ b/admission/large_fleet_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// An overloaded counter is queried most for the plan where a wrong decision costs most. A counter that takes all calls
-// is queried for every plan.
-func TestCrowdedCounterIsQueriedForCostliestPlan(t *testing.T) {
+// An overloaded counter is queried most for the plan where a wrong decision costs most. A counter that takes all
+// calls is queried for every plan.
+func TestOverloadedCounterIsQueriedForCostliestPlan(t *testing.T) {
 	s := largeFleetSettings()
 	s.Plans[inFlightPlan].OverQuotaCost, s.Plans[inFlightPlan].OverQuotaWorth = 0, 0.3
 	d := newDriver(t, s, "s1")
@@ -152,7 +152,7 @@
 	}
 }
 
-// An attempt has a time limit at the latency target, unless late answers still have worth.
+// Where no retry is possible, an attempt has a time limit at the latency target, unless late answers have worth.
 func TestAttemptEndsWhenItsAnswerIsWorthless(t *testing.T) {
 	d := newDriver(t, largeFleetSettings(), "s1")
 	d.gateway.retryBudget = 0
--- a/admission/membership_test.go
+++ b/admission/membership_test.go
@@ -81,7 +81,7 @@
 		t.Errorf("uncertain gateways sent %d requests, want 0", n)
 	}
 	changeMembership(f, now+3*time.Second, FleetChanged{}, 0, 1)
-	for index, d := range f.drivers { // nor has a customer whose first request comes now tokens saved up
+	for index, d := range f.drivers { // a customer whose first request comes now has no tokens saved up either
 		if c := d.gateway.ensureCustomer(8, ceilingPlan, 2, 0); c.hasCeilingTokens(now+3*time.Second+ms, 1) {
 			t.Errorf("gateway %d has ceiling tokens at once, want an empty part", index)
 		}
