--- a/admission/answers.go
+++ b/admission/answers.go
@@ -29,7 +29,7 @@
 	if g.canRefuse(r) {
 		after := overloadRetryAfter
 		if g.now >= r.due { // any answer to this request would be too late now
-			after = max(after, g.settings.MaxRetryAfter)
+			after = max(after, g.settings.LateRetryAfter)
 		}
 		g.refuse(r, after, reason)
 		return
--- a/admission/api.go
+++ b/admission/api.go
@@ -95,7 +95,7 @@
 	MaxUnits       int           // units of the largest request
 
 	MaxAttempts       int           // attempts of a request; 0: no limit
-	MaxRetryAfter     time.Duration // advice when any answer would be late; below 100 ms: 100 ms
+	LateRetryAfter    time.Duration // advice when any answer would be late; below 100 ms: 100 ms
 	CanSendRetryAfter bool          // refusals may carry retry-after advice
 	CanCancel         bool          // the host carries out Cancel
 	CanProbe          bool          // the host carries out Probe; not used here
--- a/admission/driver_test.go
+++ b/admission/driver_test.go
@@ -28,7 +28,7 @@
 			{Name: "hard", Rate: 1000, Burst: 4000, CeilingRate: 4, CeilingBurst: 16, CeilingSlack: 4},
 		},
 		HasCounter: true, HasBilledUnits: true, CounterTimeout: 80 * ms, MaxUnits: 8, MaxAttempts: 4,
-		MaxRetryAfter: time.Second, CanSendRetryAfter: true, CanCancel: true, DialTimeout: 250 * ms,
+		LateRetryAfter: time.Second, CanSendRetryAfter: true, CanCancel: true, DialTimeout: 250 * ms,
 		AnswerSlack: 16 * ms, DrainGrace: 250 * ms, WarmUpTime: 10 * time.Second, InitialCapacity: 0.2,
 		ColdOverloadFactor: 3, ColdOverloadTime: time.Second,
 	}
--- a/admission/snapshot_test.go
+++ b/admission/snapshot_test.go
@@ -14,7 +14,7 @@
 // handover covers all state.
 func handoverSettings() Settings {
 	return Settings{Gateways: 3, Index: 1, Zone: "a", Tick: ms, HasCounter: true, CounterTimeout: 30 * ms, MaxUnits: 1,
-		MaxAttempts: 3, MaxRetryAfter: time.Second, CanSendRetryAfter: true, CanCancel: true,
+		MaxAttempts: 3, LateRetryAfter: time.Second, CanSendRetryAfter: true, CanCancel: true,
 		WarmUpTime: 5 * time.Second, InitialCapacity: 0.2,
 		Classes: []Class{
 			{Name: "stock", LatencyTarget: 300 * ms, Deadline: time.Second, Worth: 3, Effect: Safe},
--- a/internal/capacity/decision_load.go
+++ b/internal/capacity/decision_load.go
@@ -24,7 +24,7 @@
 	return admission.Settings{Gateways: ingresses, Index: ingresses - 1, Zone: zoneOf(ingresses - 1),
 		Classes:   []admission.Class{class("stock", admission.Safe, 3), class("order", admission.Keyed, 2)},
 		Plans:     []admission.Plan{{Name: "boutique", Rate: 50, Burst: 200, WorthFactor: 1.2}},
-		CanCancel: true, MaxAttempts: 3, MaxUnits: 2, MaxRetryAfter: 2 * time.Second, CanSendRetryAfter: true,
+		CanCancel: true, MaxAttempts: 3, MaxUnits: 2, LateRetryAfter: 2 * time.Second, CanSendRetryAfter: true,
 		DialTimeout: 250 * time.Millisecond, AnswerSlack: 16 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
 		WarmUpTime: 8 * time.Second, InitialCapacity: 0.2, ColdOverloadFactor: 2, ColdOverloadTime: 3 * time.Second, CrossZoneCost: 0.01}
 }
--- a/internal/capacity/fleet_sim.go
+++ b/internal/capacity/fleet_sim.go
@@ -51,7 +51,7 @@
 			planCeiling: {Name: "distributeur", Rate: planCeilingQuota, Burst: 18, WorthFactor: 1.6, OverQuotaCost: 1, CeilingRate: 17,
 				CeilingBurst: 40, CeilingSlack: 4}},
 		HasCounter: hasCounter, CounterTimeout: counterLimit, MaxUnits: 2, MaxAttempts: 3, CanCancel: true,
-		CanSendRetryAfter: true, MaxRetryAfter: 2 * time.Second, DialTimeout: 250 * time.Millisecond,
+		CanSendRetryAfter: true, LateRetryAfter: 2 * time.Second, DialTimeout: 250 * time.Millisecond,
 		AnswerSlack: 16 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
 		WarmUpTime: coldFor, InitialCapacity: coldFrom, ColdOverloadFactor: tipMultiple, ColdOverloadTime: tipTime, CrossZoneCost: 0.01}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -230,7 +230,7 @@
 		Gateways: p.Int("balancers"), Index: p.Int("me"), Zone: p.Text("zone"), Tick: p.Millis("period"),
 		MustSubscribe: discovery == "ask", HasCounter: extra.Bool("hasCounter"), HasBilledUnits: extra.Bool("settles"),
 		CounterTimeout: extra.Millis("counterTimeout"), MaxUnits: extra.Int("maxUnits"),
-		MaxAttempts: limits.Int("maxAttempts"), MaxRetryAfter: limits.Millis("maxRetryAfter"),
+		MaxAttempts: limits.Int("maxAttempts"), LateRetryAfter: limits.Millis("maxRetryAfter"),
 		CanSendRetryAfter: limits.Bool("retryAfter"), CanCancel: limits.Bool("cancelling"),
 		CanProbe: limits.Bool("probes"), CanMessagePeers: limits.Bool("mayTell"),
 		CanHedge: limits.Bool("parallelTries"), DialTimeout: limits.Millis("dialTimeout"),
