--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -8,13 +8,12 @@
 	"ferryfront.example/ferryfront/internal/settings"
 )
 
-// Entry is an upstream host in a list, with its address, host:port. Started and Boot are the time of the host's last start,
-// 0 if that was long ago: Started as discovery reports it, by the wall clock; Boot, a field of ServerEntry, by the loop's
-// clock once a Watcher has applied the list. ReadList sets both to the reported time.
+// Entry is an upstream host in a list. ServerEntry.Boot is the time of the host's last start: by the wall clock as ReadList
+// returns it, by the loop's clock once a Watcher has applied the list; 0 if that was long ago.
 type Entry struct {
 	admission.ServerEntry
-	Addr    string
-	Started time.Duration
+	Addr    string        // host:port
+	Started time.Duration // time of the last start as discovery reports it, by the wall clock; 0: long ago
 }
 
 // List is one message of discovery. A full list replaces all hosts, any other one adds and changes hosts. A host in state
@@ -25,8 +24,8 @@
 	Entries []Entry
 }
 
-// stateNames maps the states in discovery's messages to those of the decision module.
-var stateNames = map[string]admission.ServerState{
+// statesByName maps the states in discovery's messages to those of the decision module.
+var statesByName = map[string]admission.ServerState{
 	"Ready": admission.Up, "Terminating": admission.Draining, "Gone": admission.Gone,
 }
 
@@ -35,13 +34,13 @@
 func ReadList(r settings.Reader) (List, error) {
 	list := List{Version: uint64(max(0, r.Int("version"))), Full: r.Bool("full")}
 	for _, e := range r.List("servers") {
-		state, ok := stateNames[e.Text("state")]
+		state, ok := statesByName[e.Text("state")]
 		if !ok {
 			state = admission.Draining
 		}
 		e.Need("id")
 		startedMS := e.Float("started_ms")
-		if math.Abs(startedMS) > 1e13 { // over 300 years from the epoch: taken as not given
+		if math.Abs(startedMS) > 1e13 { // over 300 years from the epoch: treated as not given
 			startedMS = 0
 		}
 		started := time.Duration(startedMS*1e3) * time.Microsecond
