--- a/admission/quota.go
+++ b/admission/quota.go
@@ -57,7 +57,8 @@
 	queryShareWeight = 0.001
 	// Windows for which the shared counter keeps the name of a window: the next window still reads it.
 	counterTTLWindows = 2.5
-	// A customer that sends nothing for this time is dropped: by then its token buckets are full again.
+	// A customer that sends nothing for this time is dropped. It starts anew with full local tokens, and with
+	// ceiling tokens for the time since the gateway's start: this time is taken to be enough to fill both.
 	customerTTL = 90 * time.Second
 	// Interval between searches for customers to drop.
 	expiryInterval = 5 * time.Second
