--- a/internal/capacity/gossip_sim.go
+++ b/internal/capacity/gossip_sim.go
@@ -33,7 +33,7 @@
 
 // pieceSize is how many bytes of a document the member of a name sends in one message, as internal/daemon/gossip.go has it.
 func pieceSize(name string) int {
-	return membership.Datagram - versions.Overhead - len(documentName) - len(name)
+	return membership.Datagram - versions.MaxChunkOverhead - len(documentName) - len(name)
 }
 
 // gossipFleet is a fleet whose members agree on versions, each by the real [versions.Node], on a simulated network.
@@ -55,9 +55,9 @@
 	for member := range members {
 		name := strconv.Itoa(member)
 		f.down[member] = member >= members-dead
-		f.nodes[member] = versions.New(versions.Config{Me: name, Doc: documentName, Seed: uint64(member),
-			Period: bounds.MemberProbeInterval, AskAgain: bounds.MemberAckTimeout, Lease: time.Duration(members+1) * bounds.MemberProbeInterval,
-			Check: func([]byte) error { return nil }, TextMost: documentMost, PieceMost: pieceSize(name)}, first, f.now)
+		f.nodes[member] = versions.New(versions.Config{Self: name, Document: documentName, Seed: uint64(member),
+			ReportInterval: bounds.MemberProbeInterval, RetryInterval: bounds.MemberAckTimeout, Lease: time.Duration(members+1) * bounds.MemberProbeInterval,
+			Check: func([]byte) error { return nil }, MaxTextBytes: documentMost, MaxChunkBytes: pieceSize(name)}, first, f.now)
 	}
 	for member, node := range f.nodes {
 		if f.down[member] {
@@ -69,7 +69,7 @@
 				others = append(others, strconv.Itoa(other))
 			}
 		}
-		f.sent(node.Fleet(others, f.now))
+		f.sent(node.SetMembers(others, f.now))
 	}
 	return f, nil
 }
@@ -83,14 +83,14 @@
 	f.sent(f.nodes[member].Handle(message, f.now))
 }
 
-func (f *gossipFleet) sent(out []versions.Send) {
+func (f *gossipFleet) sent(out []versions.Outgoing) {
 	for _, s := range out {
 		to, err := strconv.Atoi(s.To)
 		if err != nil {
 			f.err = errors.Join(f.err, err)
 			continue
 		}
-		f.send(to, versions.Append(nil, s.Msg))
+		f.send(to, versions.Append(nil, s.Message))
 	}
 }
 
--- a/internal/capacity/settings_version.go
+++ b/internal/capacity/settings_version.go
@@ -81,7 +81,7 @@
 				combined = settings.Stricter(was, combined)
 			}
 		}
-		followed, err := settings.Follow(was, combined)
+		followed, err := settings.KeepIndexes(was, combined)
 		if err != nil {
 			return err
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -94,7 +94,7 @@
 		return none, fmt.Errorf("not JSON: %w", err)
 	}
 	r := settings.NewReader(doc, "")
-	r.Need("limits", "settings")
+	r.Require("limits", "settings")
 	c := Config{
 		getenv:     getenv,
 		keys:       keys(doc),
--- a/internal/config/versions.go
+++ b/internal/config/versions.go
@@ -16,16 +16,16 @@
 	if err := r.Err(); err != nil {
 		return 0, err
 	}
-	if v < 1 || v > versions.NumberMost || v != math.Trunc(v) {
-		return 0, fmt.Errorf("%s is %v, need a whole number from 1 to %d", r.Name(key), v, versions.NumberMost)
+	if v < 1 || v > versions.MaxNumber || v != math.Trunc(v) {
+		return 0, fmt.Errorf("%s is %v, need a whole number from 1 to %d", r.FieldPath(key), v, versions.MaxNumber)
 	}
 	return uint64(v), nil
 }
 
 // drained reads a list of hosts with its version: in order, each once.
 func drained(r settings.Reader) ([]string, uint64, error) {
-	r.Need("version", "hosts")
-	r.Only("version", "hosts")
+	r.Require("version", "hosts")
+	r.AllowOnly("version", "hosts")
 	hosts := r.Texts("hosts")
 	n, err := number(r, "version")
 	if err != nil {
--- a/internal/controlgroup/state.go
+++ b/internal/controlgroup/state.go
@@ -21,7 +21,7 @@
 var (
 	ErrOlder        = errors.New("older than the newest version in force")
 	ErrOtherContent = errors.New("the number is in force with another content")
-	ErrTooMany      = versions.ErrRollouts
+	ErrTooMany      = versions.ErrTooManyRollouts
 	ErrTooLong      = fmt.Errorf("text of over %d bytes", TextMost)
 	ErrInvalid      = errors.New("invalid command")
 	ErrNotInForce   = errors.New("version is not in force")
@@ -147,8 +147,8 @@
 	switch {
 	case c.Document == "" || len(c.Document) > NameMost:
 		return fmt.Errorf("%w: a document's name has 1 to %d bytes", ErrInvalid, NameMost)
-	case c.Version.Number == 0 || c.Version.Number > versions.NumberMost:
-		return fmt.Errorf("%w: a version's number is from 1 to %d", ErrInvalid, uint64(versions.NumberMost))
+	case c.Version.Number == 0 || c.Version.Number > versions.MaxNumber:
+		return fmt.Errorf("%w: a version's number is from 1 to %d", ErrInvalid, uint64(versions.MaxNumber))
 	case len(c.Text) > TextMost:
 		return ErrTooLong
 	case versions.NewDoc(c.Version.Number, c.Text).Version != c.Version:
--- a/internal/controlgroup/state_test.go
+++ b/internal/controlgroup/state_test.go
@@ -108,7 +108,7 @@
 		"too long":           {proposal("settings", long), ErrTooLong},
 		"wrong hash":         {wrongHash, ErrInvalid},
 		"number 0":           {proposal("settings", versions.NewDoc(0, nil)), ErrInvalid},
-		"number too large":   {proposal("settings", versions.NewDoc(versions.NumberMost+1, nil)), ErrInvalid},
+		"number too large":   {proposal("settings", versions.NewDoc(versions.MaxNumber+1, nil)), ErrInvalid},
 		"no name":            {proposal("", testDoc(1)), ErrInvalid},
 		"nothing":            {nil, ErrInvalid},
 		"retire unknown":     {RetireVersion{"settings", testDoc(4).Version}, ErrNotInForce},
@@ -126,7 +126,7 @@
 
 	require.NoError(t, s.Apply(proposal("settings", testDoc(6))))
 	require.NoError(t, s.Apply(proposal("settings", testDoc(7))))
-	require.ErrorIs(t, s.Apply(proposal("settings", testDoc(8))), versions.ErrRollouts)
+	require.ErrorIs(t, s.Apply(proposal("settings", testDoc(8))), versions.ErrTooManyRollouts)
 	require.NoError(t, s.Apply(RetireVersion{"settings", testDoc(5).Version}), "with what is older")
 	require.Equal(t, []uint64{6, 7}, numbersOf(s.InForce("settings")))
 	require.Equal(t, []uint64{3, 5}, numbersOf(earlier), "a slice that was returned stays")
--- a/internal/controlgroup/wire_test.go
+++ b/internal/controlgroup/wire_test.go
@@ -12,7 +12,7 @@
 
 func drawVersion(t *rapid.T) versions.Version {
 	return versions.Version{
-		Number: rapid.Uint64Range(1, versions.NumberMost).Draw(t, "number"),
+		Number: rapid.Uint64Range(1, versions.MaxNumber).Draw(t, "number"),
 		Hash:   rapid.Uint64().Draw(t, "hash"),
 	}
 }
--- a/internal/controlserver/documents.go
+++ b/internal/controlserver/documents.go
@@ -19,9 +19,9 @@
 	switch {
 	case len(p.Text) > controlgroup.TextMost:
 		return fmt.Errorf("%s: %d bytes, at most %d", p.Document, len(p.Text), controlgroup.TextMost)
-	case p.Version.Number < 1 || p.Version.Number > versions.NumberMost:
+	case p.Version.Number < 1 || p.Version.Number > versions.MaxNumber:
 		return fmt.Errorf("%s: version is %d, need a whole number from 1 to %d", p.Document, p.Version.Number,
-			uint64(versions.NumberMost))
+			uint64(versions.MaxNumber))
 	case versions.NewDoc(p.Version.Number, p.Text).Version != p.Version:
 		return fmt.Errorf("%s: the text is not that of version %v", p.Document, p.Version)
 	}
--- a/internal/daemon/agreement.go
+++ b/internal/daemon/agreement.go
@@ -196,7 +196,7 @@
 func (d *Daemon) combineVersions(base config.Config) (combined config.Config, err error) {
 	source := d.settingsSource()
 	if source == nil {
-		base.Settings, err = settings.Follow(d.cfg.Settings, base.Settings)
+		base.Settings, err = settings.KeepIndexes(d.cfg.Settings, base.Settings)
 		return base, err
 	}
 	for i, doc := range source.Acting() {
@@ -213,7 +213,7 @@
 	drainTimeout := combined.Limits.DrainTimeout
 	combined.Limits = base.Limits
 	combined.Limits.DrainTimeout = drainTimeout
-	combined.Settings, err = settings.Follow(d.cfg.Settings, combined.Settings)
+	combined.Settings, err = settings.KeepIndexes(d.cfg.Settings, combined.Settings)
 	return combined, err
 }
 
@@ -239,7 +239,7 @@
 	case next.Number == 0:
 		return fmt.Errorf("%s is missing, and %d is in force", field, inForce.Number)
 	}
-	if err := inForce.Follows(next.Version); err != nil {
+	if err := inForce.CheckSuccessor(next.Version); err != nil {
 		return fmt.Errorf("%s: %w", field, err)
 	}
 	return nil
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -23,8 +23,8 @@
 
 // Admissible returns an error if too many versions are active for another one to join them.
 func (s gossipSource) Admissible(doc versions.Doc) error {
-	if s.Full() && doc.Version != s.Newest().Version {
-		return versions.ErrRollouts
+	if s.IsFull() && doc.Version != s.Newest().Version {
+		return versions.ErrTooManyRollouts
 	}
 	return nil
 }
@@ -58,10 +58,10 @@
 
 func (d *Daemon) newGossipSource(document string, first versions.Doc, check func([]byte) error, now time.Duration) gossipSource {
 	cfg, bounds, self := d.cfg, d.cfg.Limits, d.members.self
-	node := versions.New(versions.Config{Me: self, Doc: document, Seed: cfg.Seed + uint64(cfg.Settings.Index),
-		Period: bounds.MemberProbeInterval, AskAgain: bounds.MemberAckTimeout, Check: check, TextMost: maxDocumentBytes,
-		Lease:     time.Duration(cfg.Settings.Gateways+1) * bounds.MemberProbeInterval,
-		PieceMost: membership.Datagram - versions.Overhead - len(document) - len(self)}, first, now)
+	node := versions.New(versions.Config{Self: self, Document: document, Seed: cfg.Seed + uint64(cfg.Settings.Index),
+		ReportInterval: bounds.MemberProbeInterval, RetryInterval: bounds.MemberAckTimeout, Check: check, MaxTextBytes: maxDocumentBytes,
+		Lease:         time.Duration(cfg.Settings.Gateways+1) * bounds.MemberProbeInterval,
+		MaxChunkBytes: membership.Datagram - versions.MaxChunkOverhead - len(document) - len(self)}, first, now)
 	d.members.gossip.nodes = append(d.members.gossip.nodes, node)
 	return gossipSource{node, d}
 }
@@ -88,9 +88,9 @@
 }
 
 // sendGossip sends messages to other members.
-func (d *Daemon) sendGossip(messages []versions.Send) {
+func (d *Daemon) sendGossip(messages []versions.Outgoing) {
 	for _, message := range messages {
-		d.members.Send(message.To, versions.Append(nil, message.Msg))
+		d.members.Send(message.To, versions.Append(nil, message.Message))
 	}
 }
 
@@ -107,13 +107,13 @@
 			}
 		}
 		for _, node := range g.nodes {
-			d.sendGossip(node.Fleet(others, now))
+			d.sendGossip(node.SetMembers(others, now))
 		}
 	}
 	isReady, isAlone := true, false
 	for _, node := range g.nodes {
 		d.sendGossip(node.Tick(now))
-		isReady, isAlone = isReady && node.Ready(now), isAlone || node.Alone(now)
+		isReady, isAlone = isReady && node.IsReady(now), isAlone || node.Alone(now)
 	}
 	if !d.agreement.isReady && isReady {
 		d.markVersionsKnown(isAlone)
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -40,7 +40,7 @@
 	}
 	self, now := cfg.Settings.Index, d.loop.Now()
 	c := peers.Config{Listen: cfg.PeerListen, Addrs: map[string]string{}, TickInterval: bounds.MemberAckTimeout / 4, OnChange: d.handleMembershipChange,
-		AppPrefix: versions.Mark, OnAppMessage: d.receiveGossip}
+		AppPrefix: versions.MessagePrefix, OnAppMessage: d.receiveGossip}
 	if d.options.Embedded != nil {
 		c.IsReachable = d.options.Embedded.IsReachable
 	}
--- a/internal/front/openapi/file.go
+++ b/internal/front/openapi/file.go
@@ -59,7 +59,7 @@
 		return File{}, fmt.Errorf("%s: not JSON: %w", path, err)
 	}
 	r := settings.NewReader(v, "")
-	r.Need("listen", "customer", "plan")
+	r.Require("listen", "customer", "plan")
 	f := File{Listen: r.Text("listen"), Description: r.Text("description"), Customer: place(r, "customer"),
 		Plan: place(r, "plan"), Deadline: place(r, "deadline"), Doors: place(r, "doors")}
 	for _, s := range r.List("routes") {
@@ -191,7 +191,7 @@
 		return fmt.Errorf("%s: %w", Extension, err)
 	}
 	r := settings.NewReader(v, Extension)
-	r.Only("class", "cost", "repeat")
+	r.AllowOnly("class", "cost", "repeat")
 	s.Class, s.Cost, s.Repeat = r.Text("class"), cost(r), r.Text("repeat")
 	if err := r.Err(); err != nil {
 		return err
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -39,7 +39,7 @@
 		if !ok {
 			state = admission.Draining
 		}
-		e.Need("id")
+		e.Require("id")
 		startedMS := e.Float("started_ms")
 		if math.Abs(startedMS) > 1e13 { // over 300 years from the epoch: taken as not given
 			startedMS = 0
--- a/internal/settings/follow.go
+++ b/internal/settings/follow.go
@@ -10,9 +10,9 @@
 // kept, since figures and open streams still have them.
 const mostNames = 256
 
-// Follow returns new settings for who has worked with others: classes and plans keep the places that they had, by
+// KeepIndexes returns new settings for who has worked with others: classes and plans keep the places that they had, by
 // their names; those that are not there any more are Gone, and new ones come behind.
-func Follow(was, now admission.Settings) (admission.Settings, error) {
+func KeepIndexes(was, now admission.Settings) (admission.Settings, error) {
 	var err error
 	now.Classes, err = places("classes", was.Classes, now.Classes, func(c *admission.Class) (string, *bool) { return c.Name, &c.IsRemoved })
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -52,8 +52,8 @@
 // Err is the first thing that was wrong.
 func (r Reader) Err() error { return *r.err }
 
-// Name is a field's full name.
-func (r Reader) Name(key string) string {
+// FieldPath is a field's full name.
+func (r Reader) FieldPath(key string) string {
 	if key == "" || r.path == "" {
 		return r.path + key
 	}
@@ -62,7 +62,7 @@
 
 func (r Reader) fail(key, format string, args ...any) {
 	if *r.err == nil {
-		*r.err = fmt.Errorf("%s %s", r.Name(key), fmt.Sprintf(format, args...))
+		*r.err = fmt.Errorf("%s %s", r.FieldPath(key), fmt.Sprintf(format, args...))
 	}
 }
 
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// Need notes it as an error if one of the fields is absent.
-func (r Reader) Need(keys ...string) {
+// Require notes it as an error if one of the fields is absent.
+func (r Reader) Require(keys ...string) {
 	for _, k := range keys {
 		if r.get(k) == nil {
 			r.fail(k, "is missing")
@@ -89,8 +89,8 @@
 // Has tells whether a field is there.
 func (r Reader) Has(key string) bool { return r.get(key) != nil }
 
-// Only notes it as an error if the object has a field of another name.
-func (r Reader) Only(keys ...string) {
+// AllowOnly notes it as an error if the object has a field of another name.
+func (r Reader) AllowOnly(keys ...string) {
 	if r.v == nil || r.v.Type() != fastjson.TypeObject {
 		return
 	}
@@ -167,14 +167,14 @@
 		r.fail(key, "is no object")
 		v = nil
 	}
-	return Reader{v: v, path: r.Name(key), err: r.err}
+	return Reader{v: v, path: r.FieldPath(key), err: r.err}
 }
 
 // List reads the objects of an array; absent is empty.
 func (r Reader) List(key string) []Reader {
 	var list []Reader
 	for i, v := range r.array(key) {
-		e := Reader{v: v, path: fmt.Sprintf("%s[%d]", r.Name(key), i), err: r.err}
+		e := Reader{v: v, path: fmt.Sprintf("%s[%d]", r.FieldPath(key), i), err: r.err}
 		if v.Type() != fastjson.TypeObject {
 			e.fail("", "is no object")
 			e.v = nil
@@ -220,7 +220,7 @@
 
 // Read reads settings from an object of a larger document.
 func Read(p Reader) (admission.Settings, error) {
-	p.Need("balancers", "me", "period", "limits", "rules")
+	p.Require("balancers", "me", "period", "limits", "rules")
 	limits, rules, extra, stats := p.Object("limits"), p.Object("rules"), p.Object("extra"), p.Object("stats")
 	discovery := p.Text("discovery")
 	if discovery != "push" && discovery != "ask" {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -59,7 +59,7 @@
 		return admission.Class{Name: name, Deadline: time.Duration(ms) * time.Millisecond}
 	}
 	start := admission.Settings{Classes: []admission.Class{class("a", 1), class("b", 2)}, Plans: []admission.Plan{{Name: "p"}}}
-	next, err := Follow(start, admission.Settings{MaxAttempts: 2, Classes: []admission.Class{class("c", 3), class("b", 4)},
+	next, err := KeepIndexes(start, admission.Settings{MaxAttempts: 2, Classes: []admission.Class{class("c", 3), class("b", 4)},
 		Plans: []admission.Plan{{Name: "q"}}})
 	require.NoError(t, err)
 	gone := class("a", 1)
@@ -68,16 +68,16 @@
 	require.Equal(t, []admission.Plan{{Name: "p", IsRemoved: true}, {Name: "q"}}, next.Plans)
 	require.Equal(t, 2, next.MaxAttempts)
 	require.False(t, start.Classes[0].IsRemoved, "who has the old settings keeps them as they are")
-	back, err := Follow(next, admission.Settings{Classes: []admission.Class{class("a", 5)}, Plans: []admission.Plan{{Name: "p"}}})
+	back, err := KeepIndexes(next, admission.Settings{Classes: []admission.Class{class("a", 5)}, Plans: []admission.Plan{{Name: "p"}}})
 	require.NoError(t, err)
 	require.Equal(t, class("a", 5), back.Classes[0], "one that returns has its place")
 
-	_, err = Follow(start, admission.Settings{Classes: []admission.Class{class("a", 1), class("a", 2)}})
+	_, err = KeepIndexes(start, admission.Settings{Classes: []admission.Class{class("a", 1), class("a", 2)}})
 	require.ErrorContains(t, err, `settings.classes[1].name is there twice: "a"`)
 	many := admission.Settings{}
 	for i := range mostNames {
 		many.Classes = append(many.Classes, class(strings.Repeat("x", i+1), 1))
 	}
-	_, err = Follow(start, many)
+	_, err = KeepIndexes(start, many)
 	require.ErrorContains(t, err, "more than 256 names")
 }
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -38,15 +38,15 @@
 
 // Config of a node.
 type Config struct {
-	Me        string
-	Doc       string // which document: nodes of one name talk to each other
-	Seed      uint64
-	Period    time.Duration           // in which each member tells some other what it acts on, unasked
-	AskAgain  time.Duration           // a piece of a document that has not come is asked for again
-	Lease     time.Duration           // without a word of any other this long, a member is cut off
-	Check     func(text []byte) error // whether a content can be acted on
-	TextMost  int                     // bytes of a document
-	PieceMost int                     // bytes of one piece of it, in a message
+	Self           string
+	Document       string // which document: nodes of one name talk to each other
+	Seed           uint64
+	ReportInterval time.Duration           // in which each member tells some other what it acts on, unasked
+	RetryInterval  time.Duration           // a piece of a document that has not come is asked for again
+	Lease          time.Duration           // without a word of any other this long, a member is cut off
+	Check          func(text []byte) error // whether a content can be acted on
+	MaxTextBytes   int                     // bytes of a document
+	MaxChunkBytes  int                     // bytes of one piece of it, in a message
 }
 
 // rolloutsMost is how many versions a member acts on together when one more is given to it; that one waits.
@@ -57,11 +57,11 @@
 	actingMost   = 10
 )
 
-// Full tells whether a version that is given to this member would have to wait.
-func (n *Node) Full() bool { return len(n.acting) >= rolloutsMost }
+// IsFull tells whether a version that is given to this member would have to wait.
+func (n *Node) IsFull() bool { return len(n.acting) >= rolloutsMost }
 
-// NumberMost is the highest number of a version.
-const NumberMost = 1<<32 - 1
+// MaxNumber is the highest number of a version.
+const MaxNumber = 1<<32 - 1
 
 // piecesOut is how many pieces of a document are asked for at a time.
 const piecesOut = 8
@@ -70,28 +70,28 @@
 type Kind int
 
 const (
-	Tell   Kind = iota // what its sender acts on
-	Pull               // send the piece At of Want
-	Piece              // the piece At of Want, of Total bytes in all
-	Answer             // as Tell, and not answered itself
+	KindReport Kind = iota // what its sender acts on
+	KindFetch              // send the piece At of Want
+	KindChunk              // the piece At of Want, of Total bytes in all
+	KindReply              // as Tell, and not answered itself
 )
 
 // Message is what goes between members.
 type Message struct {
-	Kind      Kind
-	From      string
-	Doc       string
-	Acting    []Version // of a Tell or Answer: what its sender acts on, the oldest first,
-	Refused   Version   // and the newest that it turned down; zero: none
-	Want      Version
-	At, Total int
-	Bytes     []byte
+	Kind                   Kind
+	From                   string
+	Document               string
+	Active                 []Version // of a Tell or Answer: what its sender acts on, the oldest first,
+	Rejected               Version   // and the newest that it turned down; zero: none
+	Version                Version
+	ChunkIndex, TotalBytes int
+	Chunk                  []byte
 }
 
-// Send is a message to a member, which may be lost or late.
-type Send struct {
-	To  string
-	Msg Message
+// Outgoing is a message to a member, which may be lost or late.
+type Outgoing struct {
+	To      string
+	Message Message
 }
 
 type report struct {
@@ -123,7 +123,7 @@
 	next    time.Duration
 	born    time.Duration
 	rng     *rand.Rand
-	out     []Send
+	out     []Outgoing
 	changed bool
 }
 
@@ -137,7 +137,7 @@
 func (n *Node) Acting() []Doc { return n.acting }
 
 // Document is the name of what is agreed on.
-func (n *Node) Document() string { return n.cfg.Doc }
+func (n *Node) Document() string { return n.cfg.Document }
 
 // Newest is the newest of them.
 func (n *Node) Newest() Doc { return n.acting[len(n.acting)-1] }
@@ -172,17 +172,17 @@
 	return len(n.others) > 0
 }
 
-// Ready tells whether the node has heard what any other acts on, and has it, or has waited for that long enough:
+// IsReady tells whether the node has heard what any other acts on, and has it, or has waited for that long enough:
 // a member that begins with an old version is not to act on it while it could know better.
-func (n *Node) Ready(now time.Duration) bool {
+func (n *Node) IsReady(now time.Duration) bool {
 	if len(n.others) == 0 || now-n.born > n.cfg.Lease {
 		return true
 	}
 	return len(n.reports) > 0 && n.pull == nil
 }
 
-// Fleet tells which other members there are that have not left.
-func (n *Node) Fleet(others []string, now time.Duration) []Send {
+// SetMembers tells which other members there are that have not left.
+func (n *Node) SetMembers(others []string, now time.Duration) []Outgoing {
 	n.out = n.out[:0]
 	if slices.Equal(others, n.others) {
 		return n.out
@@ -203,7 +203,7 @@
 
 // Offer takes a version that came to this member, as a file. An error tells why it is turned down; then nothing
 // has changed.
-func (n *Node) Offer(d Doc, now time.Duration) ([]Send, error) {
+func (n *Node) Offer(d Doc, now time.Duration) ([]Outgoing, error) {
 	n.out = n.out[:0]
 	if err := n.fits(d.Version); err != nil {
 		return nil, err
@@ -211,21 +211,21 @@
 	switch {
 	case d.Version == n.Newest().Version:
 		return nil, nil
-	case n.Full():
-		return nil, ErrRollouts
+	case n.IsFull():
+		return nil, ErrTooManyRollouts
 	}
 	err := n.take(d)
 	return n.out, err
 }
 
 // fits tells why a version can't follow the newest.
-func (n *Node) fits(v Version) error { return n.Newest().Follows(v) }
+func (n *Node) fits(v Version) error { return n.Newest().CheckSuccessor(v) }
 
-// Follows tells why another version can't follow this one; nil: it can, or is the same.
-func (v Version) Follows(next Version) error {
+// CheckSuccessor tells why another version can't follow this one; nil: it can, or is the same.
+func (v Version) CheckSuccessor(next Version) error {
 	switch {
-	case next.Number > NumberMost:
-		return fmt.Errorf("version %d is above %d", next.Number, uint64(NumberMost))
+	case next.Number > MaxNumber:
+		return fmt.Errorf("version %d is above %d", next.Number, uint64(MaxNumber))
 	case next.Number < v.Number:
 		return fmt.Errorf("version %d is older than %d, which is in force", next.Number, v.Number)
 	case next.Number == v.Number && next.Hash != v.Hash:
@@ -234,19 +234,19 @@
 	return nil
 }
 
-// ErrRollouts: too many versions are not agreed on yet.
-var ErrRollouts = errors.New("earlier versions are not agreed on by all members yet")
+// ErrTooManyRollouts: too many versions are not agreed on yet.
+var ErrTooManyRollouts = errors.New("earlier versions are not agreed on by all members yet")
 
 // take acts on a further version from now on, and tells all others.
 func (n *Node) take(d Doc) error {
-	if len(d.Text) > n.cfg.TextMost {
-		return n.refuse(d.Version, fmt.Errorf("%d bytes, at most %d", len(d.Text), n.cfg.TextMost))
+	if len(d.Text) > n.cfg.MaxTextBytes {
+		return n.refuse(d.Version, fmt.Errorf("%d bytes, at most %d", len(d.Text), n.cfg.MaxTextBytes))
 	}
 	if err := n.cfg.Check(d.Text); err != nil {
 		return n.refuse(d.Version, err)
 	}
 	if len(n.acting) >= actingMost {
-		return ErrRollouts
+		return ErrTooManyRollouts
 	}
 	n.acting = append(n.acting, d)
 	n.changed = true
@@ -287,17 +287,17 @@
 }
 
 // Handle takes a message.
-func (n *Node) Handle(m Message, now time.Duration) []Send {
+func (n *Node) Handle(m Message, now time.Duration) []Outgoing {
 	n.out = n.out[:0]
-	if m.From == "" || m.From == n.cfg.Me || m.Doc != n.cfg.Doc {
+	if m.From == "" || m.From == n.cfg.Self || m.Document != n.cfg.Document {
 		return nil
 	}
 	switch m.Kind {
-	case Tell, Answer:
+	case KindReport, KindReply:
 		n.heard(m, now)
-	case Pull:
+	case KindFetch:
 		n.give(m)
-	case Piece:
+	case KindChunk:
 		n.piece(m, now)
 	}
 	return n.out
@@ -305,12 +305,12 @@
 
 // heard books what another acts on. Who has not all that this one has, or has more, is answered.
 func (n *Node) heard(m Message, now time.Duration) {
-	if len(m.Acting) == 0 || !slices.IsSortedFunc(m.Acting, func(a, b Version) int { return int(int64(a.Number - b.Number)) }) {
+	if len(m.Active) == 0 || !slices.IsSortedFunc(m.Active, func(a, b Version) int { return int(int64(a.Number - b.Number)) }) {
 		return
 	}
 	before, known := n.reports[m.From]
-	n.reports[m.From] = report{slices.Clone(m.Acting), m.Refused, now}
-	newest := m.Acting[len(m.Acting)-1]
+	n.reports[m.From] = report{slices.Clone(m.Active), m.Rejected, now}
+	newest := m.Active[len(m.Active)-1]
 	n.settle()
 	switch {
 	case newest.Number > n.Newest().Number && n.refused[newest] == "":
@@ -318,42 +318,42 @@
 			n.pull = &pull{Version: newest, from: m.From}
 			n.ask(now)
 		}
-	case m.Kind == Answer:
-	case newest.Number < n.Newest().Number, !known, !slices.Equal(before.acting, m.Acting), len(m.Acting) > 1:
-		n.say(Answer, m.From) // one that acts on several waits for a word of somebody, maybe ours
+	case m.Kind == KindReply:
+	case newest.Number < n.Newest().Number, !known, !slices.Equal(before.acting, m.Active), len(m.Active) > 1:
+		n.say(KindReply, m.From) // one that acts on several waits for a word of somebody, maybe ours
 	}
 }
 
 // tell says what this member acts on, and is answered where the other has news.
-func (n *Node) tell(to string) { n.say(Tell, to) }
+func (n *Node) tell(to string) { n.say(KindReport, to) }
 
 func (n *Node) say(kind Kind, to string) {
-	m := Message{Kind: kind, Refused: n.worst}
+	m := Message{Kind: kind, Rejected: n.worst}
 	for _, d := range n.acting {
-		m.Acting = append(m.Acting, d.Version)
+		m.Active = append(m.Active, d.Version)
 	}
 	n.send(to, m)
 }
 
 func (n *Node) send(to string, m Message) {
-	m.From, m.Doc = n.cfg.Me, n.cfg.Doc
-	n.out = append(n.out, Send{to, m})
+	m.From, m.Document = n.cfg.Self, n.cfg.Document
+	n.out = append(n.out, Outgoing{to, m})
 }
 
 // give sends a piece of a version that this member acts on.
 func (n *Node) give(m Message) {
-	i := slices.IndexFunc(n.acting, func(d Doc) bool { return d.Version == m.Want })
+	i := slices.IndexFunc(n.acting, func(d Doc) bool { return d.Version == m.Version })
 	if i < 0 {
 		n.tell(m.From)
 		return
 	}
 	text := n.acting[i].Text
-	at := m.At * n.cfg.PieceMost
-	if m.At < 0 || at >= max(1, len(text)) {
+	at := m.ChunkIndex * n.cfg.MaxChunkBytes
+	if m.ChunkIndex < 0 || at >= max(1, len(text)) {
 		return
 	}
-	n.send(m.From, Message{Kind: Piece, Want: m.Want, At: m.At, Total: len(text),
-		Bytes: text[at:min(len(text), at+n.cfg.PieceMost)]})
+	n.send(m.From, Message{Kind: KindChunk, Version: m.Version, ChunkIndex: m.ChunkIndex, TotalBytes: len(text),
+		Chunk: text[at:min(len(text), at+n.cfg.MaxChunkBytes)]})
 }
 
 // ask asks for pieces that have not come: the first alone, which tells how many there are.
@@ -361,14 +361,14 @@
 	p := n.pull
 	p.asked, p.out = now, 1
 	if p.have == nil {
-		n.send(p.from, Message{Kind: Pull, Want: p.Version})
+		n.send(p.from, Message{Kind: KindFetch, Version: p.Version})
 		return
 	}
 	p.out = 0
 	for i, have := range p.have {
 		if !have && p.out < piecesOut {
 			p.out++
-			n.send(p.from, Message{Kind: Pull, Want: p.Version, At: i})
+			n.send(p.from, Message{Kind: KindFetch, Version: p.Version, ChunkIndex: i})
 		}
 	}
 }
@@ -376,17 +376,17 @@
 // piece takes one. A whole document is acted on if its content is what its version says and can be.
 func (n *Node) piece(m Message, now time.Duration) {
 	p := n.pull
-	if p == nil || m.Want != p.Version || m.From != p.from || m.Total < 0 || m.Total > n.cfg.TextMost || m.At < 0 {
+	if p == nil || m.Version != p.Version || m.From != p.from || m.TotalBytes < 0 || m.TotalBytes > n.cfg.MaxTextBytes || m.ChunkIndex < 0 {
 		return
 	}
 	if p.have == nil && !p.begin(m) {
 		return
 	}
-	if m.At >= len(p.have) || m.Total != len(p.text) || p.have[m.At] || len(m.Bytes) != min(p.size, m.Total-m.At*p.size) {
+	if m.ChunkIndex >= len(p.have) || m.TotalBytes != len(p.text) || p.have[m.ChunkIndex] || len(m.Chunk) != min(p.size, m.TotalBytes-m.ChunkIndex*p.size) {
 		return
 	}
-	copy(p.text[m.At*p.size:], m.Bytes)
-	p.have[m.At], p.tries = true, 0
+	copy(p.text[m.ChunkIndex*p.size:], m.Chunk)
+	p.have[m.ChunkIndex], p.tries = true, 0
 	p.out--
 	if slices.Contains(p.have, false) {
 		if p.out <= 0 {
@@ -408,11 +408,11 @@
 // begin makes room for a document by its first piece. Its sender decides how long pieces are: they leave room for the
 // sender's name, which may be longer or shorter than this member's.
 func (p *pull) begin(first Message) bool {
-	if first.At != 0 || len(first.Bytes) == 0 && first.Total > 0 || len(first.Bytes) > first.Total {
+	if first.ChunkIndex != 0 || len(first.Chunk) == 0 && first.TotalBytes > 0 || len(first.Chunk) > first.TotalBytes {
 		return false
 	}
-	p.size = max(1, len(first.Bytes))
-	p.text, p.have = make([]byte, first.Total), make([]bool, max(1, (first.Total+p.size-1)/p.size))
+	p.size = max(1, len(first.Chunk))
+	p.text, p.have = make([]byte, first.TotalBytes), make([]bool, max(1, (first.TotalBytes+p.size-1)/p.size))
 	return true
 }
 
@@ -420,9 +420,9 @@
 const triesMost = 20
 
 // Tick lets time pass; the host calls it at least every AskAgain/2.
-func (n *Node) Tick(now time.Duration) []Send {
+func (n *Node) Tick(now time.Duration) []Outgoing {
 	n.out = n.out[:0]
-	if p := n.pull; p != nil && now-p.asked >= n.cfg.AskAgain {
+	if p := n.pull; p != nil && now-p.asked >= n.cfg.RetryInterval {
 		if p.tries++; p.tries > triesMost {
 			n.pull = nil
 		} else {
@@ -430,7 +430,7 @@
 		}
 	}
 	if now >= n.next && len(n.others) > 0 {
-		n.next = now + n.cfg.Period
+		n.next = now + n.cfg.ReportInterval
 		n.tell(n.others[n.rng.IntN(len(n.others))])
 		// Who is not known to have the newest is told more often: a rollout waits for it.
 		if stale := n.Stale(); len(stale) > 0 {
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -55,23 +55,23 @@
 
 func (f *fleet) begin(name string, first Doc) {
 	f.down[name] = false
-	f.nodes[name] = New(Config{Me: name, Seed: f.rng.Uint64(), Period: 300 * ms, AskAgain: 100 * ms, Lease: lease,
-		TextMost: 64 << 10, PieceMost: 180 - len(name), Check: func(text []byte) error { // as the daemon has it
+	f.nodes[name] = New(Config{Self: name, Seed: f.rng.Uint64(), ReportInterval: 300 * ms, RetryInterval: 100 * ms, Lease: lease,
+		MaxTextBytes: 64 << 10, MaxChunkBytes: 180 - len(name), Check: func(text []byte) error { // as the daemon has it
 			if strings.Contains(string(text), "bad") {
 				return errors.New("field classes: missing")
 			}
 			return nil
 		}}, first, f.now)
 	others := slices.DeleteFunc(slices.Clone(f.names), func(o string) bool { return o == name })
-	f.put(name, f.nodes[name].Fleet(others, f.now))
+	f.put(name, f.nodes[name].SetMembers(others, f.now))
 }
 
-func (f *fleet) put(from string, out []Send) {
+func (f *fleet) put(from string, out []Outgoing) {
 	for _, s := range out {
 		if f.rng.Float64() < f.loss || f.cut != nil && f.cut(from, s.To) {
 			continue
 		}
-		m, err := Parse(Append(nil, s.Msg))
+		m, err := Parse(Append(nil, s.Message))
 		if err != nil {
 			panic(err)
 		}
@@ -186,7 +186,7 @@
 					newest++
 					f.put(to, out)
 				} else {
-					require.ErrorIs(t, err, ErrRollouts)
+					require.ErrorIs(t, err, ErrTooManyRollouts)
 				}
 			}
 			f.run(time.Second, func() { require.Empty(t, f.apart()) })
@@ -218,7 +218,7 @@
 		if leaves {
 			for _, name := range []string{"0", "1", "2"} {
 				others := slices.DeleteFunc([]string{"0", "1", "2"}, func(o string) bool { return o == name })
-				f.put(name, f.nodes[name].Fleet(others, f.now))
+				f.put(name, f.nodes[name].SetMembers(others, f.now))
 			}
 		} else {
 			f.down["3"] = false
@@ -239,23 +239,23 @@
 	f.put("0", out)
 	f.run(3*time.Second, nothing)
 	f.begin("2", doc(1))
-	require.False(t, f.nodes["2"].Ready(f.now))
+	require.False(t, f.nodes["2"].IsReady(f.now))
 	for range 200 {
 		f.run(10*ms, func() {
-			if f.nodes["2"].Ready(f.now) {
+			if f.nodes["2"].IsReady(f.now) {
 				require.Contains(t, numbers(f.nodes["2"]), uint64(2))
 			}
 		})
 	}
-	require.True(t, f.nodes["2"].Ready(f.now))
+	require.True(t, f.nodes["2"].IsReady(f.now))
 	require.Equal(t, []uint64{2}, numbers(f.nodes["2"]))
 
 	f.cut = func(from, to string) bool { return from == "2" || to == "2" }
 	f.begin("2", doc(1))
 	f.run(lease, nothing)
-	require.False(t, f.nodes["2"].Ready(f.now))
+	require.False(t, f.nodes["2"].IsReady(f.now))
 	f.run(100*ms, nothing)
-	require.True(t, f.nodes["2"].Ready(f.now), "it serves, cut off as it is")
+	require.True(t, f.nodes["2"].IsReady(f.now), "it serves, cut off as it is")
 	require.True(t, f.nodes["2"].Alone(f.now))
 	require.False(t, f.nodes["1"].Alone(f.now))
 }
@@ -304,22 +304,22 @@
 func TestAMessageRoundTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		version := func(label string) Version {
-			return Version{rapid.Uint64Range(1, NumberMost).Draw(t, label), rapid.Uint64().Draw(t, label)}
+			return Version{rapid.Uint64Range(1, MaxNumber).Draw(t, label), rapid.Uint64().Draw(t, label)}
 		}
-		m := Message{Kind: Kind(rapid.IntRange(0, int(Answer)).Draw(t, "kind")), From: "299", Doc: "settings",
-			At: rapid.IntRange(0, 1<<30).Draw(t, "at"), Total: rapid.IntRange(0, 1<<30).Draw(t, "total")}
-		if m.Kind == Tell || m.Kind == Answer {
+		m := Message{Kind: Kind(rapid.IntRange(0, int(KindReply)).Draw(t, "kind")), From: "299", Document: "settings",
+			ChunkIndex: rapid.IntRange(0, 1<<30).Draw(t, "at"), TotalBytes: rapid.IntRange(0, 1<<30).Draw(t, "total")}
+		if m.Kind == KindReport || m.Kind == KindReply {
 			for range rapid.IntRange(1, actingMost).Draw(t, "acting") {
-				m.Acting = append(m.Acting, version("v"))
+				m.Active = append(m.Active, version("v"))
 			}
-			m.Refused = version("refused")
+			m.Rejected = version("refused")
 		} else {
-			m.Want = version("want")
-			m.Bytes = rapid.SliceOfN(rapid.Byte(), 1, 256-Overhead-3-8).Draw(t, "bytes")
+			m.Version = version("want")
+			m.Chunk = rapid.SliceOfN(rapid.Byte(), 1, 256-MaxChunkOverhead-3-8).Draw(t, "bytes")
 		}
 		b := Append(nil, m)
 		require.LessOrEqual(t, len(b), 256)
-		require.Equal(t, Mark, b[0])
+		require.Equal(t, MessagePrefix, b[0])
 		got, err := Parse(b)
 		require.NoError(t, err)
 		require.Equal(t, m, got)
@@ -327,12 +327,12 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(Append(nil, Message{Kind: Tell, From: "1", Acting: []Version{{1, 2}, {3, 4}}}))
-	f.Add([]byte{Mark, 9})
-	f.Add([]byte{Mark, 0, 0x12, 2, 8, 0})
+	f.Add(Append(nil, Message{Kind: KindReport, From: "1", Active: []Version{{1, 2}, {3, 4}}}))
+	f.Add([]byte{MessagePrefix, 9})
+	f.Add([]byte{MessagePrefix, 0, 0x12, 2, 8, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := Parse(b)
-		n := New(Config{Me: "0", Period: 300 * ms, AskAgain: 100 * ms, TextMost: 1 << 16, PieceMost: 180,
+		n := New(Config{Self: "0", ReportInterval: 300 * ms, RetryInterval: 100 * ms, MaxTextBytes: 1 << 16, MaxChunkBytes: 180,
 			Check: func([]byte) error { return nil }}, doc(1), 0)
 		if err == nil {
 			n.Handle(m, ms)
--- a/internal/versions/wire.go
+++ b/internal/versions/wire.go
@@ -16,11 +16,11 @@
 	vNumber, vHash                                                    = 1, 2
 )
 
-// Mark is the first byte of every message of this package.
-const Mark = fKind<<3 | byte(protowire.VarintType)
+// MessagePrefix is the first byte of every message of this package.
+const MessagePrefix = fKind<<3 | byte(protowire.VarintType)
 
-// Overhead is the most bytes of a message with a piece, beside the piece, its sender's name and the document's.
-const Overhead = 52
+// MaxChunkOverhead is the most bytes of a message with a piece, beside the piece, its sender's name and the document's.
+const MaxChunkOverhead = 52
 
 func appendVersion(b []byte, num protowire.Number, v Version) []byte {
 	var u []byte
@@ -43,23 +43,23 @@
 	number(fKind, int(m.Kind))
 	b = protowire.AppendTag(b, fFrom, protowire.BytesType)
 	b = protowire.AppendString(b, m.From)
-	if m.Doc != "" {
+	if m.Document != "" {
 		b = protowire.AppendTag(b, fDoc, protowire.BytesType)
-		b = protowire.AppendString(b, m.Doc)
+		b = protowire.AppendString(b, m.Document)
 	}
-	for _, v := range m.Acting {
+	for _, v := range m.Active {
 		b = appendVersion(b, fActing, v)
 	}
-	for num, v := range map[protowire.Number]Version{fRefused: m.Refused, fWant: m.Want} {
+	for num, v := range map[protowire.Number]Version{fRefused: m.Rejected, fWant: m.Version} {
 		if v != (Version{}) {
 			b = appendVersion(b, num, v)
 		}
 	}
-	number(fAt, m.At)
-	number(fTotal, m.Total)
-	if len(m.Bytes) > 0 {
+	number(fAt, m.ChunkIndex)
+	number(fTotal, m.TotalBytes)
+	if len(m.Chunk) > 0 {
 		b = protowire.AppendTag(b, fBytes, protowire.BytesType)
-		b = protowire.AppendBytes(b, m.Bytes)
+		b = protowire.AppendBytes(b, m.Chunk)
 	}
 	return b
 }
@@ -75,16 +75,16 @@
 				return n, nil
 			}
 			switch {
-			case num == fKind && v > uint64(Answer):
+			case num == fKind && v > uint64(KindReply):
 				return 0, fmt.Errorf("versions: field kind: %d not known", v)
 			case v > 1<<30:
 				return 0, fmt.Errorf("versions: field %d: %d is too large", num, v)
 			case num == fKind:
 				m.Kind = Kind(v)
 			case num == fAt:
-				m.At = int(v)
+				m.ChunkIndex = int(v)
 			default:
-				m.Total = int(v)
+				m.TotalBytes = int(v)
 			}
 			return n, nil
 		case typ != protowire.BytesType:
@@ -99,17 +99,17 @@
 		case fFrom:
 			m.From = string(v)
 		case fDoc:
-			m.Doc = string(v)
+			m.Document = string(v)
 		case fActing:
 			var ver Version
 			ver, err = parseVersion(v)
-			m.Acting = append(m.Acting, ver)
+			m.Active = append(m.Active, ver)
 		case fRefused:
-			m.Refused, err = parseVersion(v)
+			m.Rejected, err = parseVersion(v)
 		case fWant:
-			m.Want, err = parseVersion(v)
+			m.Version, err = parseVersion(v)
 		case fBytes:
-			m.Bytes = append([]byte(nil), v...)
+			m.Chunk = append([]byte(nil), v...)
 		}
 		return n, err
 	})
