--- a/internal/settings/combine.go
+++ b/internal/settings/combine.go
@@ -10,55 +10,57 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// own are the fields of settings that differ from one ingress to the next. They are no part of a version.
-var own = []string{"me", "zone"}
+// localKeys are the fields of the settings that differ between ingresses. They are not part of a version.
+var localKeys = []string{"me", "zone"}
 
-// Shared returns the part of settings that all ingresses have in common, in one form however it was written: JSON
-// with its keys sorted.
+// Shared returns the part of the settings that all ingresses have in common. Its form does not depend on how raw was
+// written: JSON with sorted keys. It returns an error if raw is not a JSON object.
 func Shared(raw []byte) ([]byte, error) {
-	o, err := object(raw)
+	fields, err := parseObject(raw)
 	if err != nil {
 		return nil, err
 	}
-	for _, key := range own {
-		delete(o, key)
+	for _, key := range localKeys {
+		delete(fields, key)
 	}
-	return json.Marshal(o)
+	return json.Marshal(fields)
 }
 
-// Localize puts the ingress's own fields, of its own settings, into the shared part of others.
-func Localize(shared, mine []byte) ([]byte, error) {
-	to, err := object(shared)
+// Localize returns the shared part of settings with the fields of this ingress added, which it takes from the ingress's
+// own settings. It returns an error if either is not a JSON object.
+func Localize(shared, own []byte) ([]byte, error) {
+	combined, err := parseObject(shared)
 	if err != nil {
 		return nil, err
 	}
-	from, err := object(mine)
+	ownFields, err := parseObject(own)
 	if err != nil {
 		return nil, err
 	}
-	for _, key := range own {
-		if v, ok := from[key]; ok {
-			to[key] = v
+	for _, key := range localKeys {
+		if v, ok := ownFields[key]; ok {
+			combined[key] = v
 		}
 	}
-	return json.Marshal(to)
+	return json.Marshal(combined)
 }
 
-func object(raw []byte) (map[string]any, error) {
-	var o map[string]any
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber() // as they were written
-	if err := d.Decode(&o); err != nil {
+// parseObject parses a JSON object.
+func parseObject(raw []byte) (map[string]any, error) {
+	var fields map[string]any
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber() // keeps numbers as they were written
+	if err := decoder.Decode(&fields); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if o == nil {
+	if fields == nil {
 		return nil, fmt.Errorf("settings are no object")
 	}
-	return o, nil
+	return fields, nil
 }
 
-// least is the smaller of two bounds, of which 0 is none.
-func least[T int | float64 | time.Duration](a, b T) T {
+// minLimit returns the lower of two limits, where 0 means no limit.
+func minLimit[T int | float64 | time.Duration](a, b T) T {
 	switch {
 	case a == 0:
 		return b
@@ -68,21 +70,21 @@
 	return min(a, b)
 }
 
-// Stricter returns settings under which nothing is done that either forbids: of each limit the lower, of each class
-// the effect that may be repeated less. What is no limit is as the newer ones say. Classes and plans that only one
-// has are there.
+// Stricter returns settings that allow nothing that either of the two forbids: the lower of each limit, and for each
+// class the effect that allows fewer repeats. What is not a limit is taken from newer. Classes and plans that only one
+// of the two has are included.
 func Stricter(older, newer admission.Settings) admission.Settings {
 	s := newer
 	s.Gateways = max(older.Gateways, newer.Gateways)
 	s.MaxUnits = max(older.MaxUnits, newer.MaxUnits)
-	s.MaxAttempts = least(older.MaxAttempts, newer.MaxAttempts)
+	s.MaxAttempts = minLimit(older.MaxAttempts, newer.MaxAttempts)
 	s.CanHedge = older.CanHedge && newer.CanHedge
 	s.CanProbe = older.CanProbe && newer.CanProbe
 	s.CanMessagePeers = older.CanMessagePeers && newer.CanMessagePeers
-	s.DrainGrace = least(older.DrainGrace, newer.DrainGrace)
+	s.DrainGrace = minLimit(older.DrainGrace, newer.DrainGrace)
 	s.WarmUpTime = max(older.WarmUpTime, newer.WarmUpTime)
 	s.InitialCapacity = min(older.InitialCapacity, newer.InitialCapacity)
-	s.ColdOverloadFactor = least(older.ColdOverloadFactor, newer.ColdOverloadFactor)
+	s.ColdOverloadFactor = minLimit(older.ColdOverloadFactor, newer.ColdOverloadFactor)
 	s.Classes = slices.Clone(newer.Classes)
 	for _, o := range older.Classes {
 		i := slices.IndexFunc(s.Classes, func(c admission.Class) bool { return c.Name == o.Name })
@@ -92,12 +94,12 @@
 		}
 		c := &s.Classes[i]
 		if c.Effect == admission.Keyed && o.Effect == admission.Keyed {
-			c.RepeatWindow = least(c.RepeatWindow, o.RepeatWindow)
+			c.RepeatWindow = minLimit(c.RepeatWindow, o.RepeatWindow)
 		} else if o.Effect > c.Effect {
 			c.RepeatWindow = o.RepeatWindow
 		}
 		c.Effect, c.Scope = max(c.Effect, o.Effect), max(c.Scope, o.Scope)
-		c.Deadline = least(c.Deadline, o.Deadline)
+		c.Deadline = minLimit(c.Deadline, o.Deadline)
 	}
 	s.Plans = slices.Clone(newer.Plans)
 	for _, o := range older.Plans {
@@ -107,14 +109,14 @@
 			continue
 		}
 		p := &s.Plans[i]
-		p.Rate, p.Burst = least(p.Rate, o.Rate), least(p.Burst, o.Burst)
-		p.MaxInFlight = least(p.MaxInFlight, o.MaxInFlight)
+		p.Rate, p.Burst = minLimit(p.Rate, o.Rate), minLimit(p.Burst, o.Burst)
+		p.MaxInFlight = minLimit(p.MaxInFlight, o.MaxInFlight)
 		if o.CeilingRate > 0 && p.CeilingRate > 0 {
 			p.CeilingSlack = min(p.CeilingSlack, o.CeilingSlack)
 		} else if o.CeilingRate > 0 {
 			p.CeilingSlack = o.CeilingSlack
 		}
-		p.CeilingRate, p.CeilingBurst = least(p.CeilingRate, o.CeilingRate), least(p.CeilingBurst, o.CeilingBurst)
+		p.CeilingRate, p.CeilingBurst = minLimit(p.CeilingRate, o.CeilingRate), minLimit(p.CeilingBurst, o.CeilingBurst)
 	}
 	return s
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads the settings of an instance, as the simulator's first
-// message and the daemon's configuration both hold them, into the decision
-// module's own type. It translates names and units and decides nothing.
+// Package settings reads the settings of an instance from JSON into the decision module's own type, and combines the
+// versions of them that are active together. The simulator's first message and the daemon's configuration hold the
+// settings in the same form. The package translates names and units and makes no decisions. It has no state; a bad
+// field is an error with the field's full name.
 package settings
 
 import (
@@ -15,44 +16,48 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// longest is the largest time a field may hold, in milliseconds: a hundred years.
-const longest = 100 * 365 * 24 * 3600 * 1e3
+// maxMillis is the maximum time that a field may hold, in milliseconds: a hundred years.
+const maxMillis = 100 * 365 * 24 * 3600 * 1e3
 
 var (
+	// effects maps the values of a class's field effect.
 	effects = map[string]admission.Effect{
 		"retryable": admission.Safe, "dedup": admission.Keyed, "fragile": admission.Unsafe,
 	}
-	groups = map[string]admission.Scope{
+	// scopes maps the values of a class's field dedupScope.
+	scopes = map[string]admission.Scope{
 		"all": admission.ScopeAll, "": admission.ScopeAll, "zone": admission.ScopeZone, "cell": admission.ScopeCell,
 	}
-	// reports gives the fields of a load report their usual names.
-	reports = map[string]string{
+	// reportNames maps the field names of load reports to those of the decision module. Other names stay as they are.
+	reportNames = map[string]string{
 		"active": "inflight", "waiting": "queued", "cpu": "utilization", "avg_ms": "latency_ms",
 		"rps": "rate", "err_rps": "errors",
 	}
 )
 
-// Reader takes typed fields out of a JSON object and keeps the first thing that is
-// wrong, with the field's full name.
+// Reader reads typed fields of a JSON object. An absent field or null reads as the zero value. A bad field records an
+// error with the field's full name. Only the first error is kept, in common for an object and the objects inside it, so
+// callers check Err once at the end and must not use the values before.
 type Reader struct {
-	v    *fastjson.Value
-	path string
-	err  *error
+	value *fastjson.Value
+	path  string
+	err   *error
 }
 
-// NewReader reads the fields of v, an object that messages call path.
+// NewReader returns a reader of the fields of v, an object that errors call path. It is an error if v is nil or not an
+// object.
 func NewReader(v *fastjson.Value, path string) Reader {
-	r := Reader{v: v, path: path, err: new(error)}
+	r := Reader{value: v, path: path, err: new(error)}
 	if v == nil || v.Type() != fastjson.TypeObject {
 		r.fail("", "is missing or no object")
 	}
 	return r
 }
 
-// Err is the first thing that was wrong.
+// Err returns the first error.
 func (r Reader) Err() error { return *r.err }
 
-// FieldPath is a field's full name.
+// FieldPath returns the full name of a field, from the root of the document; of the object itself if key is empty.
 func (r Reader) FieldPath(key string) string {
 	if key == "" || r.path == "" {
 		return r.path + key
@@ -60,50 +65,51 @@
 	return r.path + "." + key
 }
 
+// fail records an error about a field unless there is one already.
 func (r Reader) fail(key, format string, args ...any) {
 	if *r.err == nil {
 		*r.err = fmt.Errorf("%s %s", r.FieldPath(key), fmt.Sprintf(format, args...))
 	}
 }
 
-// get returns a field, nil where it is absent or null.
-func (r Reader) get(key string) *fastjson.Value {
-	if r.v == nil {
+// field returns a field's value, or nil if it is absent or null.
+func (r Reader) field(key string) *fastjson.Value {
+	if r.value == nil {
 		return nil
 	}
-	if v := r.v.Get(key); v != nil && v.Type() != fastjson.TypeNull {
+	if v := r.value.Get(key); v != nil && v.Type() != fastjson.TypeNull {
 		return v
 	}
 	return nil
 }
 
-// Require notes it as an error if one of the fields is absent.
+// Require records an error if one of the fields is absent or null.
 func (r Reader) Require(keys ...string) {
 	for _, k := range keys {
-		if r.get(k) == nil {
+		if r.field(k) == nil {
 			r.fail(k, "is missing")
 		}
 	}
 }
 
-// Has tells whether a field is there.
-func (r Reader) Has(key string) bool { return r.get(key) != nil }
+// Has reports whether a field is present and not null.
+func (r Reader) Has(key string) bool { return r.field(key) != nil }
 
-// AllowOnly notes it as an error if the object has a field of another name.
+// AllowOnly records an error if the object has a field other than those.
 func (r Reader) AllowOnly(keys ...string) {
-	if r.v == nil || r.v.Type() != fastjson.TypeObject {
+	if r.value == nil || r.value.Type() != fastjson.TypeObject {
 		return
 	}
-	r.v.GetObject().Visit(func(key []byte, _ *fastjson.Value) {
+	r.value.GetObject().Visit(func(key []byte, _ *fastjson.Value) {
 		if !slices.Contains(keys, string(key)) {
 			r.fail(string(key), "is no field known here")
 		}
 	})
 }
 
-// Float reads a number; absent is 0.
+// Float returns a number, or 0 if it is absent.
 func (r Reader) Float(key string) float64 {
-	v := r.get(key)
+	v := r.field(key)
 	if v == nil {
 		return 0
 	}
@@ -114,7 +120,7 @@
 	return f
 }
 
-// Int reads a whole number; absent is 0.
+// Int returns a whole number of at most 2^53 either way, or 0 if it is absent.
 func (r Reader) Int(key string) int {
 	f := r.Float(key)
 	if f != math.Trunc(f) || math.Abs(f) > 1<<53 {
@@ -124,19 +130,19 @@
 	return int(f)
 }
 
-// Millis reads a time in milliseconds, to the microsecond; absent is 0.
+// Millis returns a time that is given in milliseconds, rounded to microseconds, or 0 if it is absent.
 func (r Reader) Millis(key string) time.Duration {
 	f := r.Float(key)
-	if math.Abs(f) > longest {
+	if math.Abs(f) > maxMillis {
 		r.fail(key, "is not a time in milliseconds")
 		return 0
 	}
 	return time.Duration(math.Round(f*1e3)) * time.Microsecond
 }
 
-// Bool reads a flag; absent is false.
+// Bool returns a boolean, or false if it is absent.
 func (r Reader) Bool(key string) bool {
-	v := r.get(key)
+	v := r.field(key)
 	if v == nil {
 		return false
 	}
@@ -147,9 +153,9 @@
 	return b
 }
 
-// Text reads a string; absent is empty.
+// Text returns a string, or an empty one if it is absent.
 func (r Reader) Text(key string) string {
-	v := r.get(key)
+	v := r.field(key)
 	if v == nil {
 		return ""
 	}
@@ -160,31 +166,31 @@
 	return string(b)
 }
 
-// Object reads the fields of an object; those of an absent one are all absent.
+// Object returns a reader of a nested object. If the object is absent, so are all its fields.
 func (r Reader) Object(key string) Reader {
-	v := r.get(key)
+	v := r.field(key)
 	if v != nil && v.Type() != fastjson.TypeObject {
 		r.fail(key, "is no object")
 		v = nil
 	}
-	return Reader{v: v, path: r.FieldPath(key), err: r.err}
+	return Reader{value: v, path: r.FieldPath(key), err: r.err}
 }
 
-// List reads the objects of an array; absent is empty.
+// List returns a reader for each object of an array, or none if the array is absent.
 func (r Reader) List(key string) []Reader {
 	var list []Reader
 	for i, v := range r.array(key) {
-		e := Reader{v: v, path: fmt.Sprintf("%s[%d]", r.FieldPath(key), i), err: r.err}
+		e := Reader{value: v, path: fmt.Sprintf("%s[%d]", r.FieldPath(key), i), err: r.err}
 		if v.Type() != fastjson.TypeObject {
 			e.fail("", "is no object")
-			e.v = nil
+			e.value = nil
 		}
 		list = append(list, e)
 	}
 	return list
 }
 
-// Texts reads an array of strings; absent is empty.
+// Texts returns the strings of an array, or none if it is absent.
 func (r Reader) Texts(key string) []string {
 	var list []string
 	for _, v := range r.array(key) {
@@ -197,8 +203,9 @@
 	return list
 }
 
+// array returns the elements of an array, or none if it is absent.
 func (r Reader) array(key string) []*fastjson.Value {
-	v := r.get(key)
+	v := r.field(key)
 	if v == nil {
 		return nil
 	}
@@ -209,7 +216,7 @@
 	return a
 }
 
-// Parse reads settings from their JSON text.
+// Parse reads settings from their JSON text. Errors name the field from the root "params".
 func Parse(raw []byte) (admission.Settings, error) {
 	v, err := fastjson.ParseBytes(raw)
 	if err != nil {
@@ -218,7 +225,7 @@
 	return Read(NewReader(v, "params"))
 }
 
-// Read reads settings from an object of a larger document.
+// Read reads settings from an object of a larger document. It returns the first error of the reader, also an earlier one.
 func Read(p Reader) (admission.Settings, error) {
 	p.Require("balancers", "me", "period", "limits", "rules")
 	limits, rules, extra, stats := p.Object("limits"), p.Object("rules"), p.Object("extra"), p.Object("stats")
@@ -247,26 +254,26 @@
 		p.fail("me", "is %d, need 0 to %d", s.Index, s.Gateways-1)
 	}
 	for _, name := range stats.Texts("names") {
-		s.ReportNames = append(s.ReportNames, cmp.Or(reports[name], name))
+		s.ReportNames = append(s.ReportNames, cmp.Or(reportNames[name], name))
 	}
 	for _, c := range p.List("classes") {
 		effect, ok := effects[c.Text("effect")]
 		if !ok {
 			c.fail("effect", "is not known: %q", c.Text("effect"))
 		}
-		group, ok := groups[c.Text("dedupScope")]
+		scope, ok := scopes[c.Text("dedupScope")]
 		if !ok {
 			c.fail("dedupScope", "is not known: %q", c.Text("dedupScope"))
 		}
 		s.Classes = append(s.Classes, admission.Class{Name: c.Text("name"), LatencyTarget: c.Millis("onTime"),
 			Deadline: c.Millis("deadline"), Worth: c.Float("value"), LateWorth: c.Float("lateShare"),
-			Effect: effect, Scope: group, RepeatWindow: c.Millis("repeatWindow"), IsStream: c.Bool("stream")})
+			Effect: effect, Scope: scope, RepeatWindow: c.Millis("repeatWindow"), IsStream: c.Bool("stream")})
 	}
-	for _, t := range p.List("tiersOfService") {
-		s.Plans = append(s.Plans, admission.Plan{Name: t.Text("name"), Rate: t.Float("quotaRate"),
-			Burst: t.Float("storeSize"), MaxInFlight: t.Int("atOnce"), WorthFactor: t.Float("valueFactor"),
-			OverQuotaWorth: t.Float("overWorth"), OverQuotaCost: t.Float("overrunCost"), CeilingRate: t.Float("hardRate"),
-			CeilingBurst: t.Float("neverOverDepth"), CeilingSlack: t.Float("hardSlack")})
+	for _, plan := range p.List("tiersOfService") {
+		s.Plans = append(s.Plans, admission.Plan{Name: plan.Text("name"), Rate: plan.Float("quotaRate"),
+			Burst: plan.Float("storeSize"), MaxInFlight: plan.Int("atOnce"), WorthFactor: plan.Float("valueFactor"),
+			OverQuotaWorth: plan.Float("overWorth"), OverQuotaCost: plan.Float("overrunCost"), CeilingRate: plan.Float("hardRate"),
+			CeilingBurst: plan.Float("neverOverDepth"), CeilingSlack: plan.Float("hardSlack")})
 	}
 	if err := p.Err(); err != nil {
 		return admission.Settings{}, err
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,12 +10,12 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-const good = `{"balancers":3,"me":1,"period":4.0,"discovery":"push","classes":[{"name":"stock","deadline":3000.0005,` +
+const validSettings = `{"balancers":3,"me":1,"period":4.0,"discovery":"push","classes":[{"name":"stock","deadline":3000.0005,` +
 	`"effect":"retryable"}],"tiersOfService":[{"name":"p","quotaRate":null}],"limits":{"maxAttempts":3},"rules":{},` +
 	`"stats":{"names":["active","odd"]},"new":1}`
 
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, 3, s.Gateways)
 	require.Equal(t, 3*time.Second+time.Microsecond, s.Classes[0].Deadline, "whole microseconds")
@@ -41,13 +41,13 @@
 		"params.stats.names holds what is no text": {`"odd"`, `1`},
 		"params: ": {`}],"tiers`, `]`},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, change[0], change[1], 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, change[0], change[1], 1)))
 		require.ErrorContains(t, err, says)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validSettings)
 	f.Fuzz(func(t *testing.T, text string) {
 		_, _ = Parse([]byte(text)) // must not panic
 	})
@@ -75,7 +75,7 @@
 	_, err = KeepIndexes(start, admission.Settings{Classes: []admission.Class{class("a", 1), class("a", 2)}})
 	require.ErrorContains(t, err, `settings.classes[1].name is there twice: "a"`)
 	many := admission.Settings{}
-	for i := range mostNames {
+	for i := range maxNames {
 		many.Classes = append(many.Classes, class(strings.Repeat("x", i+1), 1))
 	}
 	_, err = KeepIndexes(start, many)
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -1,13 +1,14 @@
-// Package versions has the ingresses of a fleet agree on a document, such as the settings or a list, that comes in
-// numbered versions to one or some of them. It does no input or output: events go in, messages to send and the
-// versions to act on come out.
+// Package versions lets the ingresses of a fleet agree on the versions of a document, such as the settings or the list
+// of drained hosts, by gossip and without a leader. A new version may reach any of them first. A [Node] is one
+// member's state, owned by one goroutine. It does no I/O and reads no clock: messages and the time go in, and messages
+// to send and the versions to apply come out.
 //
-// A member acts on one version, or on several together: then the host combines them so that each is kept, the
-// stricter rule of each kind. A version that is new to it joins those that it acts on; the oldest is dropped only
-// once every other member that has not left is known to act on a newer one of those that stay. So the versions
-// that any two members act on always have one in common, however messages are lost, late or cut off, and whatever
-// member stops meanwhile: no two act on rules of which neither knows the other's. One that begins anew with an old
-// version is the exception, until it has heard of the newer one.
+// A member has one active version, or several that its host applies together, the stricter rule of each kind. A
+// version that is new to a member joins its active ones. The member drops its oldest active version only once every
+// other member that has not left has reported one of the newer ones. So the active versions of any two members always
+// have one in common, whichever messages are lost, late or cut off and whichever member stops meanwhile: no two
+// members apply rules of which neither knows the other's. The exception is a member that restarts with an old version,
+// until it has received the newer one.
 package versions
 
 import (
@@ -20,192 +21,207 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version names a document's content: a number that grows, and a hash.
+// Version identifies one content of a document: a number from 1 to [MaxNumber] that grows with each change, and the
+// XXH64 hash of the content.
 type Version struct {
 	Number, Hash uint64
 }
 
+// String returns the number and, in hexadecimal, the hash.
 func (v Version) String() string { return fmt.Sprintf("%d (%016x)", v.Number, v.Hash) }
 
-// Doc is one version of the document.
+// Doc is one version of a document with its content.
 type Doc struct {
 	Version
 	Text []byte
 }
 
-// NewDoc returns the version with a content.
+// NewDoc returns a version with its content, whose hash it computes.
 func NewDoc(number uint64, text []byte) Doc { return Doc{Version{number, xxhash.Sum64(text)}, text} }
 
-// Config of a node.
+// Config configures a [Node].
 type Config struct {
-	Self           string
-	Document       string // which document: nodes of one name talk to each other
-	Seed           uint64
-	ReportInterval time.Duration           // in which each member tells some other what it acts on, unasked
-	RetryInterval  time.Duration           // a piece of a document that has not come is asked for again
-	Lease          time.Duration           // without a word of any other this long, a member is cut off
-	Check          func(text []byte) error // whether a content can be acted on
-	MaxTextBytes   int                     // bytes of a document
-	MaxChunkBytes  int                     // bytes of one piece of it, in a message
+	Self     string // name of this member
+	Document string // name of the document; a node ignores messages about another
+	Seed     uint64 // of the choice of members that get a periodic report
+	// ReportInterval is the time between two reports that a member sends unprompted.
+	ReportInterval time.Duration
+	// RetryInterval is the time after which missing chunks are requested again.
+	RetryInterval time.Duration
+	// Lease is the time without a report from any other member after which a member is cut off.
+	Lease time.Duration
+	// Check returns an error if a content can't be applied.
+	Check         func(text []byte) error
+	MaxTextBytes  int // maximum size of a document
+	MaxChunkBytes int // maximum size of a document's part in one message
 }
 
-// rolloutsMost is how many versions a member acts on together when one more is given to it; that one waits.
-// Members that don't hear each other may each be given some, so what comes from others is bounded beyond that, by
-// what a message can name: a member that could not take what another acts on alone would hold up all rollouts.
 const (
-	rolloutsMost = 4
-	actingMost   = 10
+	// maxOwnActive is the number of active versions from which on a member accepts no further one from its host.
+	maxOwnActive = 4
+	// maxActive is the maximum number of active versions, which is what a message can list. It exceeds maxOwnActive
+	// because members that can't reach each other may each accept some from their hosts: a member that could not
+	// take over a version that is active alone elsewhere would block all rollouts.
+	maxActive = 10
 )
 
-// IsFull tells whether a version that is given to this member would have to wait.
-func (n *Node) IsFull() bool { return len(n.acting) >= rolloutsMost }
+// IsFull reports whether this member has too many active versions to accept one from its host.
+func (n *Node) IsFull() bool { return len(n.active) >= maxOwnActive }
 
 // MaxNumber is the highest number of a version.
 const MaxNumber = 1<<32 - 1
 
-// piecesOut is how many pieces of a document are asked for at a time.
-const piecesOut = 8
+// maxChunksInFlight is the maximum number of chunks requested at a time.
+const maxChunksInFlight = 8
 
-// Kind of a message.
+// Kind is the kind of a [Message]. Its values are part of the wire format.
 type Kind int
 
 const (
-	KindReport Kind = iota // what its sender acts on
-	KindFetch              // send the piece At of Want
-	KindChunk              // the piece At of Want, of Total bytes in all
-	KindReply              // as Tell, and not answered itself
+	KindReport Kind = iota // the sender's active versions; the receiver may reply
+	KindFetch              // requests the chunk ChunkIndex of Version
+	KindChunk              // the chunk ChunkIndex of Version
+	KindReply              // a report in answer to a report, which gets no reply itself
 )
 
-// Message is what goes between members.
+// Message is a message between members. Which fields it has depends on its kind.
 type Message struct {
-	Kind                   Kind
-	From                   string
-	Document               string
-	Active                 []Version // of a Tell or Answer: what its sender acts on, the oldest first,
-	Rejected               Version   // and the newest that it turned down; zero: none
-	Version                Version
-	ChunkIndex, TotalBytes int
-	Chunk                  []byte
+	Kind     Kind
+	From     string    // name of the sender
+	Document string    // name of the document
+	Active   []Version // in a report or reply: the sender's active versions, oldest first
+	Rejected Version   // in a report or reply: the newest version that the sender rejected; zero: none
+	Version  Version   // in a fetch or chunk: the version concerned
+	// ChunkIndex is the index of the chunk that is requested or sent, from 0.
+	ChunkIndex int
+	// TotalBytes is the size of the whole document of a chunk.
+	TotalBytes int
+	Chunk      []byte
 }
 
-// Outgoing is a message to a member, which may be lost or late.
+// Outgoing is a message to be sent to a member. It may be lost or late.
 type Outgoing struct {
-	To      string
+	To      string // name of the receiver
 	Message Message
 }
 
-type report struct {
-	acting  []Version
-	refused Version
-	at      time.Duration // it was last heard
+// memberReport is the last report or reply of another member.
+type memberReport struct {
+	active     []Version // oldest first
+	rejected   Version
+	receivedAt time.Duration
 }
 
-type pull struct {
+// fetch is the transfer of one version's content from another member.
+type fetch struct {
 	Version
-	from  string
-	size  int // bytes of each piece but the last, as its sender cuts them
-	text  []byte
-	have  []bool
-	asked time.Duration
-	out   int // pieces asked for that have not come
-	tries int
+	from        string // name of the member that sends it
+	chunkBytes  int    // size of each chunk but the last, chosen by the sender
+	text        []byte
+	received    []bool // by chunk index; nil before the first chunk, which tells the number of chunks
+	requestedAt time.Duration
+	inFlight    int // number of chunks requested and not received
+	retries     int // since the last chunk
 }
 
-// Node is one member's part. It is owned by one goroutine.
+// Node is one member's part in the agreement on one document. It is owned by one goroutine. Times are since a
+// start that the host chooses. A slice of messages that a method returns is valid until the next call.
 type Node struct {
-	cfg     Config
-	acting  []Doc // the oldest first
-	others  []string
-	reports map[string]report
-	refused map[Version]string // turned down here, and why
-	worst   Version            // the newest of these
-	pull    *pull
-	next    time.Duration
-	born    time.Duration
-	rng     *rand.Rand
-	out     []Outgoing
-	changed bool
+	cfg            Config
+	active         []Doc                   // oldest first, never empty
+	others         []string                // names of the other members that have not left
+	reports        map[string]memberReport // by member
+	rejected       map[Version]string      // versions rejected here, with the reason
+	newestRejected Version                 // zero: none
+	fetch          *fetch                  // nil: none is in progress
+	nextReport     time.Duration           // time of the next periodic report
+	startedAt      time.Duration
+	rng            *rand.Rand
+	outgoing       []Outgoing // messages of the current call; its array is reused
+	hasChanged     bool       // whether active has changed since the last call of Changed
 }
 
-// New returns a node that acts on the version it begins with.
+// New returns a node whose only active version is first.
 func New(cfg Config, first Doc, now time.Duration) *Node {
-	return &Node{cfg: cfg, acting: []Doc{first}, reports: map[string]report{}, refused: map[Version]string{}, next: now,
-		born: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x7665)), changed: true}
+	return &Node{cfg: cfg, active: []Doc{first}, reports: map[string]memberReport{}, rejected: map[Version]string{}, nextReport: now,
+		startedAt: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0x7665)), hasChanged: true}
 }
 
-// Acting returns the versions to act on, the oldest first. The caller must not change them.
-func (n *Node) Acting() []Doc { return n.acting }
+// Acting returns the active versions, oldest first. The caller must not modify them.
+func (n *Node) Acting() []Doc { return n.active }
 
-// Document is the name of what is agreed on.
+// Document returns the name of the document.
 func (n *Node) Document() string { return n.cfg.Document }
 
-// Newest is the newest of them.
-func (n *Node) Newest() Doc { return n.acting[len(n.acting)-1] }
+// Newest returns the newest active version.
+func (n *Node) Newest() Doc { return n.active[len(n.active)-1] }
 
-// Changed tells, once, whether these are others than when it was last asked.
+// Changed reports whether the active versions have changed since its last call. The first call returns true.
 func (n *Node) Changed() bool {
-	c := n.changed
-	n.changed = false
-	return c
+	hasChanged := n.hasChanged
+	n.hasChanged = false
+	return hasChanged
 }
 
-// Refused tells which versions were turned down here, with the reason.
-func (n *Node) Refused() map[Version]string { return n.refused }
+// Refused returns the versions that were rejected here, each with the reason. The caller must not modify the map.
+func (n *Node) Refused() map[Version]string { return n.rejected }
 
-// Stale returns the other members that are not known to act on the newest version.
+// Stale returns the other members that are not known to have the newest version active.
 func (n *Node) Stale() (names []string) {
 	for _, o := range n.others {
-		if !slices.Contains(n.reports[o].acting, n.Newest().Version) {
+		if !slices.Contains(n.reports[o].active, n.Newest().Version) {
 			names = append(names, o)
 		}
 	}
 	return names
 }
 
-// Alone tells whether there are others and none was heard for a lease.
+// Alone reports whether this member is cut off: there are others, and none has reported for a lease.
 func (n *Node) Alone(now time.Duration) bool {
 	for _, o := range n.others {
-		if r, ok := n.reports[o]; ok && now-r.at <= n.cfg.Lease {
+		if r, ok := n.reports[o]; ok && now-r.receivedAt <= n.cfg.Lease {
 			return false
 		}
 	}
 	return len(n.others) > 0
 }
 
-// IsReady tells whether the node has heard what any other acts on, and has it, or has waited for that long enough:
-// a member that begins with an old version is not to act on it while it could know better.
+// IsReady reports whether the host may start to apply the active versions: there are no other members, or one has
+// reported and no fetch is in progress, or a lease has passed since the start. A member that starts with an old version
+// must not apply it while it could learn of a newer one.
 func (n *Node) IsReady(now time.Duration) bool {
-	if len(n.others) == 0 || now-n.born > n.cfg.Lease {
+	if len(n.others) == 0 || now-n.startedAt > n.cfg.Lease {
 		return true
 	}
-	return len(n.reports) > 0 && n.pull == nil
+	return len(n.reports) > 0 && n.fetch == nil
 }
 
-// SetMembers tells which other members there are that have not left.
+// SetMembers sets the other members that have not left, and returns a report to each new one.
 func (n *Node) SetMembers(others []string, now time.Duration) []Outgoing {
-	n.out = n.out[:0]
+	n.outgoing = n.outgoing[:0]
 	if slices.Equal(others, n.others) {
-		return n.out
+		return n.outgoing
 	}
-	before := make(map[string]bool, len(n.others)) // the fleet may be large
+	previous := make(map[string]bool, len(n.others)) // the fleet may be large
 	for _, o := range n.others {
-		before[o] = true
+		previous[o] = true
 	}
 	for _, o := range others {
-		if !before[o] {
-			n.tell(o)
+		if !previous[o] {
+			n.sendReport(o)
 		}
 	}
 	n.others = slices.Clone(others)
-	n.settle()
-	return n.out
+	n.dropSuperseded()
+	return n.outgoing
 }
 
-// Offer takes a version that came to this member, as a file. An error tells why it is turned down; then nothing
-// has changed.
+// Offer activates a version that this member got from its host rather than from another member, and returns the reports
+// about it. It returns nil for the newest active version. It returns [ErrTooManyRollouts] if the member is full, and
+// another error if the version can't succeed the newest or its content is rejected; the active versions then stay.
 func (n *Node) Offer(d Doc, now time.Duration) ([]Outgoing, error) {
-	n.out = n.out[:0]
-	if err := n.fits(d.Version); err != nil {
+	n.outgoing = n.outgoing[:0]
+	if err := n.checkSuccessor(d.Version); err != nil {
 		return nil, err
 	}
 	switch {
@@ -214,14 +230,15 @@
 	case n.IsFull():
 		return nil, ErrTooManyRollouts
 	}
-	err := n.take(d)
-	return n.out, err
+	err := n.activate(d)
+	return n.outgoing, err
 }
 
-// fits tells why a version can't follow the newest.
-func (n *Node) fits(v Version) error { return n.Newest().CheckSuccessor(v) }
+// checkSuccessor returns an error if a version can't succeed the newest active one.
+func (n *Node) checkSuccessor(v Version) error { return n.Newest().CheckSuccessor(v) }
 
-// CheckSuccessor tells why another version can't follow this one; nil: it can, or is the same.
+// CheckSuccessor returns an error if next can't succeed this version: if its number is lower or above [MaxNumber], or is
+// the same with another hash. It returns nil for the same version.
 func (v Version) CheckSuccessor(next Version) error {
 	switch {
 	case next.Number > MaxNumber:
@@ -234,208 +251,221 @@
 	return nil
 }
 
-// ErrTooManyRollouts: too many versions are not agreed on yet.
+// ErrTooManyRollouts is returned for a version that has to wait, because the members have not yet agreed on too many
+// earlier ones.
 var ErrTooManyRollouts = errors.New("earlier versions are not agreed on by all members yet")
 
-// take acts on a further version from now on, and tells all others.
-func (n *Node) take(d Doc) error {
+// activate adds a version to the active ones and reports to all others. It returns an error if the content is too large
+// or can't be applied, which rejects the version, or if there are maxActive versions already.
+func (n *Node) activate(d Doc) error {
 	if len(d.Text) > n.cfg.MaxTextBytes {
-		return n.refuse(d.Version, fmt.Errorf("%d bytes, at most %d", len(d.Text), n.cfg.MaxTextBytes))
+		return n.reject(d.Version, fmt.Errorf("%d bytes, at most %d", len(d.Text), n.cfg.MaxTextBytes))
 	}
 	if err := n.cfg.Check(d.Text); err != nil {
-		return n.refuse(d.Version, err)
+		return n.reject(d.Version, err)
 	}
-	if len(n.acting) >= actingMost {
+	if len(n.active) >= maxActive {
 		return ErrTooManyRollouts
 	}
-	n.acting = append(n.acting, d)
-	n.changed = true
-	n.settle()
+	n.active = append(n.active, d)
+	n.hasChanged = true
+	n.dropSuperseded()
 	for _, o := range n.others {
-		n.tell(o)
+		n.sendReport(o)
 	}
 	return nil
 }
 
-func (n *Node) refuse(v Version, why error) error {
-	n.refused[v] = why.Error()
-	if v.Number >= n.worst.Number {
-		n.worst = v
+// reject records why a version is rejected and returns it as an error.
+func (n *Node) reject(v Version, reason error) error {
+	n.rejected[v] = reason.Error()
+	if v.Number >= n.newestRejected.Number {
+		n.newestRejected = v
 	}
-	return fmt.Errorf("version %v: %w", v, why)
+	return fmt.Errorf("version %v: %w", v, reason)
 }
 
-// settle drops versions that every other member has gone beyond: what stays must have one in common with what
-// each is known to act on. What another acts on only moves to newer ones, and drops one that is the newest here
-// no sooner than it knows of a newer one here; so it still has one in common when its report is old.
-func (n *Node) settle() {
-	for len(n.acting) > 1 {
-		rest := n.acting[1:]
+// dropSuperseded drops the oldest active versions while each other member is known to have one of the rest active. A
+// report that is old still suffices: active versions of a member are only replaced by newer ones, and a member drops a
+// version that is the newest here only once it knows of a newer one here. So what stays here always has a version in
+// common with what is active there now.
+func (n *Node) dropSuperseded() {
+	for len(n.active) > 1 {
+		rest := n.active[1:]
 		for _, o := range n.others {
-			if !slices.ContainsFunc(n.reports[o].acting, func(v Version) bool {
+			if !slices.ContainsFunc(n.reports[o].active, func(v Version) bool {
 				return slices.ContainsFunc(rest, func(d Doc) bool { return d.Version == v })
 			}) {
 				return
 			}
 		}
-		n.acting = slices.Clone(rest)
-		n.changed = true
+		n.active = slices.Clone(rest)
+		n.hasChanged = true
 		for _, o := range n.others {
-			n.tell(o)
+			n.sendReport(o)
 		}
 	}
 }
 
-// Handle takes a message.
+// Handle processes a message and returns those to send. It ignores messages about another document.
 func (n *Node) Handle(m Message, now time.Duration) []Outgoing {
-	n.out = n.out[:0]
+	n.outgoing = n.outgoing[:0]
 	if m.From == "" || m.From == n.cfg.Self || m.Document != n.cfg.Document {
 		return nil
 	}
 	switch m.Kind {
 	case KindReport, KindReply:
-		n.heard(m, now)
+		n.handleReport(m, now)
 	case KindFetch:
-		n.give(m)
+		n.sendChunk(m)
 	case KindChunk:
-		n.piece(m, now)
+		n.handleChunk(m, now)
 	}
-	return n.out
+	return n.outgoing
 }
 
-// heard books what another acts on. Who has not all that this one has, or has more, is answered.
-func (n *Node) heard(m Message, now time.Duration) {
+// handleReport records the active versions of another member. If the newest is new here, it fetches that. Else it
+// replies to a report if the sender's newest is older, if its versions are not those of its last report, or if it may
+// wait for a report. Messages without versions, or with versions out of order, are ignored.
+func (n *Node) handleReport(m Message, now time.Duration) {
 	if len(m.Active) == 0 || !slices.IsSortedFunc(m.Active, func(a, b Version) int { return int(int64(a.Number - b.Number)) }) {
 		return
 	}
-	before, known := n.reports[m.From]
-	n.reports[m.From] = report{slices.Clone(m.Active), m.Rejected, now}
+	previous, isKnown := n.reports[m.From]
+	n.reports[m.From] = memberReport{slices.Clone(m.Active), m.Rejected, now}
 	newest := m.Active[len(m.Active)-1]
-	n.settle()
+	n.dropSuperseded()
 	switch {
-	case newest.Number > n.Newest().Number && n.refused[newest] == "":
-		if n.pull == nil || n.pull.Number < newest.Number {
-			n.pull = &pull{Version: newest, from: m.From}
-			n.ask(now)
+	case newest.Number > n.Newest().Number && n.rejected[newest] == "":
+		if n.fetch == nil || n.fetch.Number < newest.Number {
+			n.fetch = &fetch{Version: newest, from: m.From}
+			n.requestChunks(now)
 		}
 	case m.Kind == KindReply:
-	case newest.Number < n.Newest().Number, !known, !slices.Equal(before.acting, m.Active), len(m.Active) > 1:
-		n.say(KindReply, m.From) // one that acts on several waits for a word of somebody, maybe ours
+	// A member with several active versions waits for reports, maybe this member's.
+	case newest.Number < n.Newest().Number, !isKnown, !slices.Equal(previous.active, m.Active), len(m.Active) > 1:
+		n.sendActive(KindReply, m.From)
 	}
 }
 
-// tell says what this member acts on, and is answered where the other has news.
-func (n *Node) tell(to string) { n.say(KindReport, to) }
+// sendReport sends a report, to which the receiver replies if it has news.
+func (n *Node) sendReport(to string) { n.sendActive(KindReport, to) }
 
-func (n *Node) say(kind Kind, to string) {
-	m := Message{Kind: kind, Rejected: n.worst}
-	for _, d := range n.acting {
+// sendActive sends the active versions as a message of the given kind, a report or a reply.
+func (n *Node) sendActive(kind Kind, to string) {
+	m := Message{Kind: kind, Rejected: n.newestRejected}
+	for _, d := range n.active {
 		m.Active = append(m.Active, d.Version)
 	}
 	n.send(to, m)
 }
 
+// send adds a message to the outgoing ones.
 func (n *Node) send(to string, m Message) {
 	m.From, m.Document = n.cfg.Self, n.cfg.Document
-	n.out = append(n.out, Outgoing{to, m})
+	n.outgoing = append(n.outgoing, Outgoing{to, m})
 }
 
-// give sends a piece of a version that this member acts on.
-func (n *Node) give(m Message) {
-	i := slices.IndexFunc(n.acting, func(d Doc) bool { return d.Version == m.Version })
+// sendChunk answers a fetch with a chunk, or with a report if the version is not active here.
+func (n *Node) sendChunk(m Message) {
+	i := slices.IndexFunc(n.active, func(d Doc) bool { return d.Version == m.Version })
 	if i < 0 {
-		n.tell(m.From)
+		n.sendReport(m.From)
 		return
 	}
-	text := n.acting[i].Text
-	at := m.ChunkIndex * n.cfg.MaxChunkBytes
-	if m.ChunkIndex < 0 || at >= max(1, len(text)) {
+	text := n.active[i].Text
+	offset := m.ChunkIndex * n.cfg.MaxChunkBytes
+	if m.ChunkIndex < 0 || offset >= max(1, len(text)) {
 		return
 	}
 	n.send(m.From, Message{Kind: KindChunk, Version: m.Version, ChunkIndex: m.ChunkIndex, TotalBytes: len(text),
-		Chunk: text[at:min(len(text), at+n.cfg.MaxChunkBytes)]})
+		Chunk: text[offset:min(len(text), offset+n.cfg.MaxChunkBytes)]})
 }
 
-// ask asks for pieces that have not come: the first alone, which tells how many there are.
-func (n *Node) ask(now time.Duration) {
-	p := n.pull
-	p.asked, p.out = now, 1
-	if p.have == nil {
-		n.send(p.from, Message{Kind: KindFetch, Version: p.Version})
+// requestChunks requests missing chunks, at first only the first one, which tells how many there are.
+func (n *Node) requestChunks(now time.Duration) {
+	f := n.fetch
+	f.requestedAt, f.inFlight = now, 1
+	if f.received == nil {
+		n.send(f.from, Message{Kind: KindFetch, Version: f.Version})
 		return
 	}
-	p.out = 0
-	for i, have := range p.have {
-		if !have && p.out < piecesOut {
-			p.out++
-			n.send(p.from, Message{Kind: KindFetch, Version: p.Version, ChunkIndex: i})
+	f.inFlight = 0
+	for i, isReceived := range f.received {
+		if !isReceived && f.inFlight < maxChunksInFlight {
+			f.inFlight++
+			n.send(f.from, Message{Kind: KindFetch, Version: f.Version, ChunkIndex: i})
 		}
 	}
 }
 
-// piece takes one. A whole document is acted on if its content is what its version says and can be.
-func (n *Node) piece(m Message, now time.Duration) {
-	p := n.pull
-	if p == nil || m.Version != p.Version || m.From != p.from || m.TotalBytes < 0 || m.TotalBytes > n.cfg.MaxTextBytes || m.ChunkIndex < 0 {
+// handleChunk stores a chunk of the current fetch. When the document is complete, it becomes active if its hash is that
+// of the version and it can be applied.
+func (n *Node) handleChunk(m Message, now time.Duration) {
+	f := n.fetch
+	if f == nil || m.Version != f.Version || m.From != f.from || m.TotalBytes < 0 || m.TotalBytes > n.cfg.MaxTextBytes || m.ChunkIndex < 0 {
 		return
 	}
-	if p.have == nil && !p.begin(m) {
+	if f.received == nil && !f.allocate(m) {
 		return
 	}
-	if m.ChunkIndex >= len(p.have) || m.TotalBytes != len(p.text) || p.have[m.ChunkIndex] || len(m.Chunk) != min(p.size, m.TotalBytes-m.ChunkIndex*p.size) {
+	if m.ChunkIndex >= len(f.received) || m.TotalBytes != len(f.text) || f.received[m.ChunkIndex] || len(m.Chunk) != min(f.chunkBytes, m.TotalBytes-m.ChunkIndex*f.chunkBytes) {
 		return
 	}
-	copy(p.text[m.ChunkIndex*p.size:], m.Chunk)
-	p.have[m.ChunkIndex], p.tries = true, 0
-	p.out--
-	if slices.Contains(p.have, false) {
-		if p.out <= 0 {
-			n.ask(now)
+	copy(f.text[m.ChunkIndex*f.chunkBytes:], m.Chunk)
+	f.received[m.ChunkIndex], f.retries = true, 0
+	f.inFlight--
+	if slices.Contains(f.received, false) {
+		if f.inFlight <= 0 {
+			n.requestChunks(now)
 		}
 		return
 	}
-	n.pull = nil
-	d := NewDoc(p.Number, p.text)
-	if d.Version != p.Version { // spoilt on its way; it is told of again
+	n.fetch = nil
+	d := NewDoc(f.Number, f.text)
+	if d.Version != f.Version { // corrupted in transfer; a later report starts a new fetch
 		return
 	}
-	if n.fits(d.Version) != nil || d.Version == n.Newest().Version {
+	if n.checkSuccessor(d.Version) != nil || d.Version == n.Newest().Version {
 		return
 	}
-	_ = n.take(d) // a reason is kept in refused
+	_ = n.activate(d) // a reason for a rejection is kept in n.rejected
 }
 
-// begin makes room for a document by its first piece. Its sender decides how long pieces are: they leave room for the
-// sender's name, which may be longer or shorter than this member's.
-func (p *pull) begin(first Message) bool {
+// allocate makes the buffers for a document from its first chunk, and returns false if that is invalid. The sender's
+// chunk size applies, because a chunk leaves space for the sender's name, which may be longer or shorter than this
+// member's.
+func (f *fetch) allocate(first Message) bool {
 	if first.ChunkIndex != 0 || len(first.Chunk) == 0 && first.TotalBytes > 0 || len(first.Chunk) > first.TotalBytes {
 		return false
 	}
-	p.size = max(1, len(first.Chunk))
-	p.text, p.have = make([]byte, first.TotalBytes), make([]bool, max(1, (first.TotalBytes+p.size-1)/p.size))
+	f.chunkBytes = max(1, len(first.Chunk))
+	f.text, f.received = make([]byte, first.TotalBytes), make([]bool, max(1, (first.TotalBytes+f.chunkBytes-1)/f.chunkBytes))
 	return true
 }
 
-// triesMost: a document whose pieces don't come is given up, until it is told of again.
-const triesMost = 20
+// maxFetchRetries is the number of retries without a chunk after which a fetch is abandoned. A later report starts a new
+// one.
+const maxFetchRetries = 20
 
-// Tick lets time pass; the host calls it at least every AskAgain/2.
+// Tick retries the current fetch and sends periodic reports, and returns the messages to send. The host calls it at
+// least every RetryInterval/2.
 func (n *Node) Tick(now time.Duration) []Outgoing {
-	n.out = n.out[:0]
-	if p := n.pull; p != nil && now-p.asked >= n.cfg.RetryInterval {
-		if p.tries++; p.tries > triesMost {
-			n.pull = nil
+	n.outgoing = n.outgoing[:0]
+	if f := n.fetch; f != nil && now-f.requestedAt >= n.cfg.RetryInterval {
+		if f.retries++; f.retries > maxFetchRetries {
+			n.fetch = nil
 		} else {
-			n.ask(now)
+			n.requestChunks(now)
 		}
 	}
-	if now >= n.next && len(n.others) > 0 {
-		n.next = now + n.cfg.ReportInterval
-		n.tell(n.others[n.rng.IntN(len(n.others))])
-		// Who is not known to have the newest is told more often: a rollout waits for it.
+	if now >= n.nextReport && len(n.others) > 0 {
+		n.nextReport = now + n.cfg.ReportInterval
+		n.sendReport(n.others[n.rng.IntN(len(n.others))])
+		// Members not known to have the newest version get reports more often: a rollout waits for them.
 		if stale := n.Stale(); len(stale) > 0 {
-			n.tell(stale[n.rng.IntN(len(stale))])
+			n.sendReport(stale[n.rng.IntN(len(stale))])
 		}
 	}
-	return n.out
+	return n.outgoing
 }
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -296,7 +296,7 @@
 	require.Equal(t, "number 2 of 1 gateways", f.nodes["2"].Refused()[doc(2).Version])
 	for _, name := range []string{"0", "1"} {
 		require.Equal(t, []uint64{1, 2}, numbers(f.nodes[name]))
-		require.Equal(t, doc(2).Version, f.nodes[name].reports["2"].refused)
+		require.Equal(t, doc(2).Version, f.nodes[name].reports["2"].rejected)
 	}
 }
 
@@ -309,7 +309,7 @@
 		m := Message{Kind: Kind(rapid.IntRange(0, int(KindReply)).Draw(t, "kind")), From: "299", Document: "settings",
 			ChunkIndex: rapid.IntRange(0, 1<<30).Draw(t, "at"), TotalBytes: rapid.IntRange(0, 1<<30).Draw(t, "total")}
 		if m.Kind == KindReport || m.Kind == KindReply {
-			for range rapid.IntRange(1, actingMost).Draw(t, "acting") {
+			for range rapid.IntRange(1, maxActive).Draw(t, "acting") {
 				m.Active = append(m.Active, version("v"))
 			}
 			m.Rejected = version("refused")
--- a/internal/versions/wire.go
+++ b/internal/versions/wire.go
@@ -9,79 +9,83 @@
 	"ferryfront.example/ferryfront/internal/wire"
 )
 
-// Fields of a message in protobuf's wire format. The kind comes first, by a number that no other message between
-// ingresses has; of a version: number 1, hash 2.
+// Field numbers of a message in protobuf's wire format. The kind is written first, and no other message between
+// ingresses has a field of its number, so the first byte tells the messages of this package from others.
 const (
-	fKind, fFrom, fActing, fRefused, fWant, fAt, fTotal, fBytes, fDoc = 15, 1, 2, 3, 4, 5, 6, 7, 8
-	vNumber, vHash                                                    = 1, 2
+	fieldKind, fieldFrom, fieldActive, fieldRejected, fieldVersion,
+	fieldChunkIndex, fieldTotalBytes, fieldChunk, fieldDocument = 15, 1, 2, 3, 4, 5, 6, 7, 8
+
+	versionFieldNumber, versionFieldHash = 1, 2 // of the version within a message
 )
 
 // MessagePrefix is the first byte of every message of this package.
-const MessagePrefix = fKind<<3 | byte(protowire.VarintType)
+const MessagePrefix = fieldKind<<3 | byte(protowire.VarintType)
 
-// MaxChunkOverhead is the most bytes of a message with a piece, beside the piece, its sender's name and the document's.
+// MaxChunkOverhead is the maximum size of a chunk's message in bytes, without the chunk itself and the names of the
+// sender and the document.
 const MaxChunkOverhead = 52
 
+// appendVersion appends a field that holds a version.
 func appendVersion(b []byte, num protowire.Number, v Version) []byte {
-	var u []byte
-	u = protowire.AppendTag(u, vNumber, protowire.VarintType)
-	u = protowire.AppendVarint(u, v.Number)
-	u = protowire.AppendTag(u, vHash, protowire.Fixed64Type)
-	u = protowire.AppendFixed64(u, v.Hash)
+	var encoded []byte
+	encoded = protowire.AppendTag(encoded, versionFieldNumber, protowire.VarintType)
+	encoded = protowire.AppendVarint(encoded, v.Number)
+	encoded = protowire.AppendTag(encoded, versionFieldHash, protowire.Fixed64Type)
+	encoded = protowire.AppendFixed64(encoded, v.Hash)
 	b = protowire.AppendTag(b, num, protowire.BytesType)
-	return protowire.AppendBytes(b, u)
+	return protowire.AppendBytes(b, encoded)
 }
 
-// Append writes a message.
+// Append appends the encoded message to b and returns the extended slice.
 func Append(b []byte, m Message) []byte {
-	number := func(num protowire.Number, v int) {
-		if v != 0 || num == fKind {
+	appendInt := func(num protowire.Number, v int) {
+		if v != 0 || num == fieldKind {
 			b = protowire.AppendTag(b, num, protowire.VarintType)
 			b = protowire.AppendVarint(b, uint64(v))
 		}
 	}
-	number(fKind, int(m.Kind))
-	b = protowire.AppendTag(b, fFrom, protowire.BytesType)
+	appendInt(fieldKind, int(m.Kind))
+	b = protowire.AppendTag(b, fieldFrom, protowire.BytesType)
 	b = protowire.AppendString(b, m.From)
 	if m.Document != "" {
-		b = protowire.AppendTag(b, fDoc, protowire.BytesType)
+		b = protowire.AppendTag(b, fieldDocument, protowire.BytesType)
 		b = protowire.AppendString(b, m.Document)
 	}
 	for _, v := range m.Active {
-		b = appendVersion(b, fActing, v)
+		b = appendVersion(b, fieldActive, v)
 	}
-	for num, v := range map[protowire.Number]Version{fRefused: m.Rejected, fWant: m.Version} {
+	for num, v := range map[protowire.Number]Version{fieldRejected: m.Rejected, fieldVersion: m.Version} {
 		if v != (Version{}) {
 			b = appendVersion(b, num, v)
 		}
 	}
-	number(fAt, m.ChunkIndex)
-	number(fTotal, m.TotalBytes)
+	appendInt(fieldChunkIndex, m.ChunkIndex)
+	appendInt(fieldTotalBytes, m.TotalBytes)
 	if len(m.Chunk) > 0 {
-		b = protowire.AppendTag(b, fBytes, protowire.BytesType)
+		b = protowire.AppendTag(b, fieldChunk, protowire.BytesType)
 		b = protowire.AppendBytes(b, m.Chunk)
 	}
 	return b
 }
 
-// Parse reads a message. Errors name the field that is wrong; unknown fields are skipped.
+// Parse decodes a message. It skips unknown fields. Errors name the field that is missing or invalid.
 func Parse(b []byte) (Message, error) {
 	var m Message
 	err := wire.Walk(b, "versions: ", func(num protowire.Number, typ protowire.Type, b []byte) (int, error) {
 		switch {
-		case typ == protowire.VarintType && (num == fKind || num == fAt || num == fTotal):
+		case typ == protowire.VarintType && (num == fieldKind || num == fieldChunkIndex || num == fieldTotalBytes):
 			v, n := protowire.ConsumeVarint(b)
 			if n < 0 {
 				return n, nil
 			}
 			switch {
-			case num == fKind && v > uint64(KindReply):
+			case num == fieldKind && v > uint64(KindReply):
 				return 0, fmt.Errorf("versions: field kind: %d not known", v)
 			case v > 1<<30:
 				return 0, fmt.Errorf("versions: field %d: %d is too large", num, v)
-			case num == fKind:
+			case num == fieldKind:
 				m.Kind = Kind(v)
-			case num == fAt:
+			case num == fieldChunkIndex:
 				m.ChunkIndex = int(v)
 			default:
 				m.TotalBytes = int(v)
@@ -96,19 +100,19 @@
 		}
 		var err error
 		switch num {
-		case fFrom:
+		case fieldFrom:
 			m.From = string(v)
-		case fDoc:
+		case fieldDocument:
 			m.Document = string(v)
-		case fActing:
-			var ver Version
-			ver, err = parseVersion(v)
-			m.Active = append(m.Active, ver)
-		case fRefused:
+		case fieldActive:
+			var version Version
+			version, err = parseVersion(v)
+			m.Active = append(m.Active, version)
+		case fieldRejected:
 			m.Rejected, err = parseVersion(v)
-		case fWant:
+		case fieldVersion:
 			m.Version, err = parseVersion(v)
-		case fBytes:
+		case fieldChunk:
 			m.Chunk = append([]byte(nil), v...)
 		}
 		return n, err
@@ -119,14 +123,15 @@
 	return m, err
 }
 
+// parseVersion decodes a version. It returns an error if the number is missing or 0.
 func parseVersion(b []byte) (Version, error) {
 	var v Version
 	err := wire.Walk(b, "versions: version.", func(num protowire.Number, typ protowire.Type, b []byte) (int, error) {
 		var n int
 		switch {
-		case num == vNumber && typ == protowire.VarintType:
+		case num == versionFieldNumber && typ == protowire.VarintType:
 			v.Number, n = protowire.ConsumeVarint(b)
-		case num == vHash && typ == protowire.Fixed64Type:
+		case num == versionFieldHash && typ == protowire.Fixed64Type:
 			v.Hash, n = protowire.ConsumeFixed64(b)
 		}
 		return n, nil
