--- a/internal/settings/combine_test.go
+++ b/internal/settings/combine_test.go
@@ -10,8 +10,9 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// What the ingress has for itself is no part of a version, and the order of keys and spaces is none.
-func TestSharedPartIsTheSameForAll(t *testing.T) {
+// The fields of one ingress, the order of keys and white space must not change the shared part: its hash identifies a
+// version.
+func TestSharedOmitsLocalFieldsAndFormatting(t *testing.T) {
 	a, err := Shared([]byte(`{"me":0,"zone":"a","balancers":3,"rules":{"fall":3000.50,"cold":1}}`))
 	require.NoError(t, err)
 	b, err := Shared([]byte(`{ "rules" : {"cold":1,"fall":3000.50}, "balancers":3, "zone":"b", "me":2 }`))
@@ -26,6 +27,7 @@
 	}
 }
 
+// drawSettings draws settings with few different values, where 0 means no limit, and with some of two classes and plans.
 func drawSettings(t *rapid.T, label string) admission.Settings {
 	f := func(n string) float64 { return float64(rapid.IntRange(0, 5).Draw(t, label+n)) }
 	s := admission.Settings{Gateways: rapid.IntRange(1, 4).Draw(t, label), MaxAttempts: rapid.IntRange(0, 4).Draw(t, label),
@@ -42,8 +44,8 @@
 	return s
 }
 
-// Of two settings nothing is allowed that either forbids, and it does not matter which is the newer for that.
-func TestStricterAllowsNothingThatEitherForbids(t *testing.T) {
+// Combined settings allow nothing that either of the two forbids, whichever of them is newer.
+func TestStricterKeepsBothLimits(t *testing.T) {
 	within := func(t *rapid.T, got, limit float64, what string) {
 		if limit > 0 {
 			require.Positive(t, got, what)
@@ -52,17 +54,17 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawSettings(t, "a"), drawSettings(t, "b")
-		s, back := Stricter(a, b), Stricter(b, a)
-		require.Equal(t, s.MaxAttempts, back.MaxAttempts)
+		combined, swapped := Stricter(a, b), Stricter(b, a)
+		require.Equal(t, combined.MaxAttempts, swapped.MaxAttempts)
 		for _, o := range []admission.Settings{a, b} {
-			require.GreaterOrEqual(t, s.Gateways, o.Gateways)
-			within(t, float64(s.MaxAttempts), float64(o.MaxAttempts), "attempts")
-			within(t, float64(s.DrainGrace), float64(o.DrainGrace), "grace")
-			within(t, s.ColdOverloadFactor, o.ColdOverloadFactor, "tip")
-			require.LessOrEqual(t, s.InitialCapacity, o.InitialCapacity)
-			require.False(t, s.CanHedge && !o.CanHedge)
+			require.GreaterOrEqual(t, combined.Gateways, o.Gateways)
+			within(t, float64(combined.MaxAttempts), float64(o.MaxAttempts), "attempts")
+			within(t, float64(combined.DrainGrace), float64(o.DrainGrace), "grace")
+			within(t, combined.ColdOverloadFactor, o.ColdOverloadFactor, "tip")
+			require.LessOrEqual(t, combined.InitialCapacity, o.InitialCapacity)
+			require.False(t, combined.CanHedge && !o.CanHedge)
 			for _, c := range o.Classes {
-				for _, got := range s.Classes {
+				for _, got := range combined.Classes {
 					if got.Name == c.Name {
 						require.GreaterOrEqual(t, got.Effect, c.Effect)
 						require.GreaterOrEqual(t, got.Scope, c.Scope)
@@ -74,7 +76,7 @@
 				}
 			}
 			for _, p := range o.Plans {
-				for _, got := range s.Plans {
+				for _, got := range combined.Plans {
 					if got.Name == p.Name {
 						within(t, got.Rate, p.Rate, "rate")
 						within(t, got.Burst, p.Burst, "burst")
@@ -87,7 +89,7 @@
 					}
 				}
 			}
-			require.GreaterOrEqual(t, len(s.Classes), len(o.Classes))
+			require.GreaterOrEqual(t, len(combined.Classes), len(o.Classes))
 		}
 	})
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,6 +10,7 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
+// validSettings are the smallest settings that the tests need, with a null, an unknown field and a part of a microsecond.
 const validSettings = `{"balancers":3,"me":1,"period":4.0,"discovery":"push","classes":[{"name":"stock","deadline":3000.0005,` +
 	`"effect":"retryable"}],"tiersOfService":[{"name":"p","quotaRate":null}],"limits":{"maxAttempts":3},"rules":{},` +
 	`"stats":{"names":["active","odd"]},"new":1}`
@@ -18,13 +19,13 @@
 	s, err := Parse([]byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, 3, s.Gateways)
-	require.Equal(t, 3*time.Second+time.Microsecond, s.Classes[0].Deadline, "whole microseconds")
+	require.Equal(t, 3*time.Second+time.Microsecond, s.Classes[0].Deadline, "rounded to microseconds")
 	require.Equal(t, []string{"inflight", "odd"}, s.ReportNames)
-	require.Zero(t, s.Plans[0].Rate, "null is absent")
+	require.Zero(t, s.Plans[0].Rate, "null counts as absent")
 }
 
 func TestErrorsNameTheField(t *testing.T) {
-	for says, change := range map[string][2]string{
+	for wantError, change := range map[string][2]string{
 		"params.me is missing":                     {`"me":1,`, ``},
 		"params.me is no whole number":             {`"me":1`, `"me":1.5`},
 		"params.balancers is 0, need at least 1":   {`"balancers":3`, `"balancers":0`},
@@ -42,7 +43,7 @@
 		"params: ": {`}],"tiers`, `]`},
 	} {
 		_, err := Parse([]byte(strings.Replace(validSettings, change[0], change[1], 1)))
-		require.ErrorContains(t, err, says)
+		require.ErrorContains(t, err, wantError)
 	}
 }
 
@@ -53,8 +54,9 @@
 	})
 }
 
-// Places are by name, whatever the order of the file: open streams and figures have them.
-func TestFollowKeepsPlaces(t *testing.T) {
+// Classes and plans keep their index by name whatever the order in the file, because open streams and metrics refer to
+// it.
+func TestKeepIndexes(t *testing.T) {
 	class := func(name string, ms int) admission.Class {
 		return admission.Class{Name: name, Deadline: time.Duration(ms) * time.Millisecond}
 	}
@@ -67,10 +69,10 @@
 	require.Equal(t, []admission.Class{gone, class("b", 4), class("c", 3)}, next.Classes)
 	require.Equal(t, []admission.Plan{{Name: "p", IsRemoved: true}, {Name: "q"}}, next.Plans)
 	require.Equal(t, 2, next.MaxAttempts)
-	require.False(t, start.Classes[0].IsRemoved, "who has the old settings keeps them as they are")
-	back, err := KeepIndexes(next, admission.Settings{Classes: []admission.Class{class("a", 5)}, Plans: []admission.Plan{{Name: "p"}}})
+	require.False(t, start.Classes[0].IsRemoved, "the previous settings must not be modified")
+	restored, err := KeepIndexes(next, admission.Settings{Classes: []admission.Class{class("a", 5)}, Plans: []admission.Plan{{Name: "p"}}})
 	require.NoError(t, err)
-	require.Equal(t, class("a", 5), back.Classes[0], "one that returns has its place")
+	require.Equal(t, class("a", 5), restored.Classes[0], "a class that returns gets its old index")
 
 	_, err = KeepIndexes(start, admission.Settings{Classes: []admission.Class{class("a", 1), class("a", 2)}})
 	require.ErrorContains(t, err, `settings.classes[1].name is there twice: "a"`)
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -48,7 +48,8 @@
 	ReportInterval time.Duration
 	// RetryInterval is the time after which missing chunks are requested again.
 	RetryInterval time.Duration
-	// Lease is the time without a report from any other member after which a member is cut off.
+	// Lease is the time without a report from any other member after which a member is cut off, and the maximum time
+	// that a starting member waits for the others' versions.
 	Lease time.Duration
 	// Check returns an error if a content can't be applied.
 	Check         func(text []byte) error
@@ -57,7 +58,7 @@
 }
 
 const (
-	// maxOwnActive is the number of active versions from which on a member accepts no further one from its host.
+	// maxOwnActive is the number of active versions at which a member stops accepting further ones from its host.
 	maxOwnActive = 4
 	// maxActive is the maximum number of active versions, which is what a message can list. It exceeds maxOwnActive
 	// because members that can't reach each other may each accept some from their hosts: a member that could not
@@ -216,8 +217,7 @@
 	return n.outgoing
 }
 
-// Offer activates a version that this member got from its host rather than from another member, and returns the reports
-// about it. It returns nil for the newest active version. It returns [ErrTooManyRollouts] if the member is full, and
+// Offer activates a version that this member gets from its host, such as from a file, and returns the reports about it. It returns nil for the newest active version. It returns [ErrTooManyRollouts] if the member is full, and
 // another error if the version can't succeed the newest or its content is rejected; the active versions then stay.
 func (n *Node) Offer(d Doc, now time.Duration) ([]Outgoing, error) {
 	n.outgoing = n.outgoing[:0]
@@ -251,8 +251,7 @@
 	return nil
 }
 
-// ErrTooManyRollouts is returned for a version that has to wait, because the members have not yet agreed on too many
-// earlier ones.
+// ErrTooManyRollouts is returned for a version that must wait, because too many earlier ones are still being rolled out.
 var ErrTooManyRollouts = errors.New("earlier versions are not agreed on by all members yet")
 
 // activate adds a version to the active ones and reports to all others. It returns an error if the content is too large
