--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -125,8 +125,8 @@
 	retries     int // since the last chunk
 }
 
-// Node is one member's part in the agreement on one document. It is owned by one goroutine. Times are since a
-// start that the host chooses. A slice of messages that a method returns is valid until the next call.
+// Node is one member's part in the agreement on one document. It is owned by one goroutine. Times are
+// measured from a start that the host chooses. A slice of messages that a method returns is valid until the next call.
 type Node struct {
 	cfg            Config
 	active         []Doc                   // oldest first, never empty
@@ -217,8 +217,9 @@
 	return n.outgoing
 }
 
-// Offer activates a version that this member gets from its host, such as from a file, and returns the reports about it. It returns nil for the newest active version. It returns [ErrTooManyRollouts] if the member is full, and
-// another error if the version can't succeed the newest or its content is rejected; the active versions then stay.
+// Offer activates a version that this member gets from its host, such as from a file, and returns the reports about it.
+// It returns nil for the newest active version. It returns [ErrTooManyRollouts] if the member is full, and another
+// error if the version can't succeed the newest or its content is rejected; the active versions then stay.
 func (n *Node) Offer(d Doc, now time.Duration) ([]Outgoing, error) {
 	n.outgoing = n.outgoing[:0]
 	if err := n.checkSuccessor(d.Version); err != nil {
