--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -225,7 +225,8 @@
 	return Read(NewReader(v, "params"))
 }
 
-// Read reads settings from an object of a larger document. It returns the first error of the reader, also an earlier one.
+// Read reads settings from an object of a larger document. It returns the first error of the reader, which may stem from
+// an earlier read.
 func Read(p Reader) (admission.Settings, error) {
 	p.Require("balancers", "me", "period", "limits", "rules")
 	limits, rules, extra, stats := p.Object("limits"), p.Object("rules"), p.Object("extra"), p.Object("stats")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// validSettings are the smallest settings that the tests need, with a null, an unknown field and a part of a microsecond.
+// validSettings are minimal settings with a null, an unknown field and a time with a fraction of a microsecond.
 const validSettings = `{"balancers":3,"me":1,"period":4.0,"discovery":"push","classes":[{"name":"stock","deadline":3000.0005,` +
 	`"effect":"retryable"}],"tiersOfService":[{"name":"p","quotaRate":null}],"limits":{"maxAttempts":3},"rules":{},` +
 	`"stats":{"names":["active","odd"]},"new":1}`
