--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -60,7 +60,7 @@
 	node := versions.New(versions.Config{Self: self, Document: document, Seed: cfg.Seed + uint64(cfg.Settings.Index),
 		ReportInterval: bounds.MemberProbeInterval, RetryInterval: bounds.MemberAckTimeout, Check: check, MaxTextBytes: maxDocumentBytes,
 		Lease:         time.Duration(cfg.Settings.Gateways+1) * bounds.MemberProbeInterval,
-		MaxChunkBytes: membership.Datagram - versions.MaxChunkOverhead - len(document) - len(self)}, first, now)
+		MaxChunkBytes: membership.MaxDatagramBytes - versions.MaxChunkOverhead - len(document) - len(self)}, first, now)
 	d.members.gossip.nodes = append(d.members.gossip.nodes, node)
 	return gossipSource{node, d}
 }
--- a/internal/net/controlclient/client.go
+++ b/internal/net/controlclient/client.go
@@ -1,10 +1,10 @@
-// Package controlclient carries the messages between one ingress and the replicas of the control group: one TCP
-// connection on the daemon's loop, to one replica at a time. It decides nothing of versions and leases: what comes in
-// goes to the member, and what that wants sent goes out. It belongs to the loop's goroutine.
+// Package controlclient exchanges messages between one ingress and the replicas of the control group over one TCP connection,
+// to one replica at a time. The goroutine of the event loop owns a Client. The package takes no decision on versions or
+// leases: it passes received messages to the member of the control group and sends the messages that the member returns.
 //
-// A replica takes the orderly end of a connection as proof that the process behind it has ended or has given up its
-// leases. So every connection that this process leaves while it may hold leases is ended by a reset; only
-// [Client.GiveUp] ends one in the orderly way.
+// A replica takes the orderly end of a connection (FIN) as proof that the process has ended or has given up its leases. So
+// every connection that is closed while the process may hold leases is closed by a reset; only [Client.GiveUp] closes one
+// in the orderly way.
 package controlclient
 
 import (
@@ -19,86 +19,95 @@
 	"ferryfront.example/ferryfront/internal/net/loop"
 )
 
-// Member decides what is sent, see [controlgroup.Member].
+// Member is the protocol state machine that decides what is sent, see [controlgroup.Member].
 type Member interface {
+	// Connected returns the first messages on a new connection.
 	Connected(now time.Duration) []controlgroup.Message
+	// Disconnected is called when an established connection has failed.
 	Disconnected(now time.Duration)
+	// Received returns the answers to a message. An error means that the replica violates the protocol; it ends the connection.
 	Received(m controlgroup.Message, now time.Duration) ([]controlgroup.Message, error)
+	// Tick acts on the timeouts that have passed and returns the messages to send.
 	Tick(now time.Duration) []controlgroup.Message
+	// Due returns the time of the next tick, noDeadline if none is due.
 	Due() time.Duration
+	// GiveUp makes the member give up its leases.
 	GiveUp(now time.Duration) []controlgroup.Message
 }
 
-// Config says where the replicas are and for whom the client speaks.
+// Config configures a Client.
 type Config struct {
-	Replicas []string // addresses, one at least; the same in the same order at all ingresses
-	Number   int      // of this ingress: spreads ingresses over the replicas
-	Seed     uint64   // of the jitter
-	Member   Member
-	Changed  func(now time.Duration) // called when what the member tells may have changed, before that is reported
+	Replicas     []string // addresses, at least one; the same in the same order at all ingresses
+	IngressIndex int      // of this ingress; spreads the ingresses over the replicas
+	Seed         uint64   // of the random backoff
+	Member       Member
+	// OnChange is called after each message, tick and lost connection, since the member's state may have changed. It is
+	// called before the member's answers to a message are sent.
+	OnChange func(now time.Duration)
 }
 
-// Counts are from the opening of the client.
+// Counts are totals since the client was opened.
 type Counts struct {
-	Sent, Received uint64 // bytes
-	Connections    uint64 // that came up
+	SentBytes, ReceivedBytes uint64
+	Connections              uint64 // established connections
 }
 
-// Client keeps a connection to one replica, and goes on to the next when it fails.
+// Client keeps a connection to one replica and connects to the next one when it fails. It is not safe for concurrent use.
 type Client struct {
 	loop   *loop.Loop
-	lim    limits.Limits
+	limits limits.Limits
 	log    *slog.Logger
-	config Config
+	cfg    Config
 	rng    *rand.Rand
 
-	replica int           // index of the one that is, or is to be, connected
-	backoff time.Duration // before the next connection; 0: the last one served
-	conn    *connection   // nil between two
-	redial  *loop.Timer
-	due     *loop.Timer // the member's
-	dueAt   time.Duration
-	ended   bool
+	replica     int           // index of the replica that is, or is next to be, connected
+	backoff     time.Duration // before the last redial; 0 once a replica has sent a message
+	conn        *connection   // nil between two connections
+	redialTimer *loop.Timer
+	tickTimer   *loop.Timer   // nil while the member waits for no tick
+	tickAt      time.Duration // time of tickTimer
+	isClosed    bool          // Close or GiveUp was called
 
-	counts   Counts
-	lost     bool          // nothing was heard since the last failure
-	lostAt   time.Duration // when a loss was last logged
-	unlogged bool          // the next replica that is heard is to be logged
-	endTimer *loop.Timer
-	whenDone func() // of GiveUp
+	counts          Counts
+	isFailing       bool          // no message was received since the last failure
+	lastLossLogged  time.Duration // 0: never
+	logsNextConnect bool          // the next replica that sends a message is logged
+	giveUpTimer     *loop.Timer
+	onGaveUp        func() // the callback of GiveUp
 }
 
-// Open begins to connect to the ingress's first replica.
+// Open returns a client that connects to the replica of this ingress, and to the others in turn while none works. It reports
+// failures to the log only. The client runs on the loop l until Close or GiveUp.
 func Open(l *loop.Loop, lim limits.Limits, log *slog.Logger, c Config) *Client {
-	client := &Client{loop: l, lim: lim, log: log, config: c, replica: c.Number % len(c.Replicas), unlogged: true,
-		rng: rand.New(rand.NewPCG(c.Seed, uint64(c.Number)))}
+	client := &Client{loop: l, limits: lim, log: log, cfg: c, replica: c.IngressIndex % len(c.Replicas), logsNextConnect: true,
+		rng: rand.New(rand.NewPCG(c.Seed, uint64(c.IngressIndex)))}
 	client.dial()
 	client.schedule()
 	return client
 }
 
-// Replica is the address of the replica that is connected and has said something, empty: none has.
+// Replica returns the address of the connected replica, empty until it has sent a message.
 func (c *Client) Replica() string {
-	if c.conn == nil || !c.conn.heard {
+	if c.conn == nil || !c.conn.hasReceived {
 		return ""
 	}
-	return c.config.Replicas[c.replica]
+	return c.cfg.Replicas[c.replica]
 }
 
-// Counts tells what went and came so far.
+// Counts returns the totals so far.
 func (c *Client) Counts() Counts { return c.counts }
 
-// Send sends messages of the member that came about outside of the client, if a replica is connected.
+// Send sends messages that the member produced outside of the client. They are dropped if no replica is connected.
 func (c *Client) Send(list []controlgroup.Message) {
-	if c.conn != nil && c.conn.up {
+	if c.conn != nil && c.conn.isUp {
 		c.conn.send(list)
 	}
 	c.schedule()
 }
 
-// Close ends the connection by a reset: leases that are held may be held on.
+// Close closes the connection by a reset, so that the leases are not taken for given up. It is safe on nil and after GiveUp.
 func (c *Client) Close() {
-	if c == nil || c.ended {
+	if c == nil || c.isClosed {
 		return
 	}
 	c.stop()
@@ -107,39 +116,41 @@
 	c.finish()
 }
 
-// GiveUp has the member give up its leases and ends the connection in the orderly way, which tells the replica of it. Done
-// is called once the replica has ended its side, or after a limit; nil: nobody waits. The caller must have seen to it
-// that the share of joint budgets is used no more.
+// GiveUp makes the member give up its leases and closes the connection in the orderly way, which the replica takes as proof of
+// it. The caller must have stopped using the share of joint budgets before. GiveUp calls done, unless it is nil, once the
+// replica has closed its side, the connection has failed or ControlReleaseTimeout has passed; at once if no replica is
+// connected. It is safe on nil.
 func (c *Client) GiveUp(done func()) {
 	if done == nil {
 		done = func() {}
 	}
-	if c == nil || c.ended {
+	if c == nil || c.isClosed {
 		done()
 		return
 	}
 	c.stop()
-	c.whenDone = done
-	c.config.Member.GiveUp(c.loop.Now()) // what that would send says no more than the end of the connection
-	if c.conn == nil || !c.conn.up {
+	c.onGaveUp = done
+	c.cfg.Member.GiveUp(c.loop.Now()) // its messages are not needed: the end of the connection says the same
+	if c.conn == nil || !c.conn.isUp {
 		c.conn.reset()
 		c.conn = nil
 		c.finish()
 		return
 	}
-	c.endTimer = c.loop.After(c.lim.ControlReleaseTimeout, c.abandon)
-	c.conn.end()
+	c.giveUpTimer = c.loop.After(c.limits.ControlReleaseTimeout, c.finishGiveUp)
+	c.conn.closeGracefully()
 }
 
-// stop connects no more and lets no more time pass for the member.
+// stop ends redials and ticks.
 func (c *Client) stop() {
-	c.ended = true
-	c.redial.Stop()
-	c.due.Stop()
+	c.isClosed = true
+	c.redialTimer.Stop()
+	c.tickTimer.Stop()
 }
 
-// abandon ends waiting for the replica's end. The connection's own end was sent, unless the replica reads nothing.
-func (c *Client) abandon() {
+// finishGiveUp closes the connection of GiveUp, once the replica has closed its side or the timeout has passed. The FIN was
+// sent before, unless the replica did not read what precedes it.
+func (c *Client) finishGiveUp() {
 	if c.conn != nil {
 		c.conn.close()
 		c.conn = nil
@@ -147,41 +158,43 @@
 	c.finish()
 }
 
+// finish calls the callback of GiveUp, once.
 func (c *Client) finish() {
-	c.endTimer.Stop()
-	if done := c.whenDone; done != nil {
-		c.whenDone = nil
+	c.giveUpTimer.Stop()
+	if done := c.onGaveUp; done != nil {
+		c.onGaveUp = nil
 		done()
 	}
 }
 
-// never is what a member is due at that waits for nothing.
-const never = time.Duration(math.MaxInt64)
+// noDeadline is returned by Member.Due if no tick is due.
+const noDeadline = time.Duration(math.MaxInt64)
 
-// schedule has the member ticked when it is due.
+// schedule sets the timer for the member's next tick.
 func (c *Client) schedule() {
-	at := c.config.Member.Due()
-	if c.ended || at == c.dueAt {
+	at := c.cfg.Member.Due()
+	if c.isClosed || at == c.tickAt {
 		return
 	}
-	c.due.Stop()
-	c.dueAt, c.due = at, nil
-	if at < never {
-		c.due = c.loop.At(at, c.tick)
+	c.tickTimer.Stop()
+	c.tickAt, c.tickTimer = at, nil
+	if at < noDeadline {
+		c.tickTimer = c.loop.At(at, c.tick)
 	}
 }
 
+// tick lets the member act on its timeouts and sends its messages.
 func (c *Client) tick() {
-	c.dueAt = 0
+	c.tickAt = 0
 	now := c.loop.Now()
-	c.Send(c.config.Member.Tick(now))
-	c.config.Changed(now)
+	c.Send(c.cfg.Member.Tick(now))
+	c.cfg.OnChange(now)
 }
 
-// dial begins a connection to the replica whose turn it is.
+// dial starts a connection to the current replica. A failure to start one counts as a lost replica.
 func (c *Client) dial() {
 	conn := &connection{client: c}
-	fd, err := loop.Dial(c.config.Replicas[c.replica])
+	fd, err := loop.Dial(c.cfg.Replicas[c.replica])
 	if err == nil {
 		conn.source, err = c.loop.Watch(fd, loop.Out|loop.Hangup, conn)
 		if err != nil {
@@ -189,77 +202,78 @@
 		}
 	}
 	if err != nil {
-		c.next(err)
+		c.scheduleRedial(err)
 		return
 	}
 	c.conn = conn
-	conn.expect(c.lim.ControlDialTimeout)
+	conn.startSilenceTimer(c.limits.ControlDialTimeout)
 }
 
-// connected: the connection is up. The replica counts as working only once it has said something.
-func (c *Client) connected() {
+// handleConnected sends the member's first messages on an established connection. The replica counts as working only once it
+// has sent a message.
+func (c *Client) handleConnected() {
 	c.counts.Connections++
-	c.conn.expect(c.lim.ControlFirstMessageTimeout)
-	c.conn.send(c.config.Member.Connected(c.loop.Now()))
+	c.conn.startSilenceTimer(c.limits.ControlFirstMessageTimeout)
+	c.conn.send(c.cfg.Member.Connected(c.loop.Now()))
 	c.schedule()
 }
 
-// served: the replica has sent a message.
-func (c *Client) served() {
-	c.backoff, c.conn.heard = 0, true
-	if c.unlogged {
-		c.log.Info("control replica connected", "replica", c.config.Replicas[c.replica])
+// handleActive records that the replica has sent a message, which resets the backoff.
+func (c *Client) handleActive() {
+	c.backoff, c.conn.hasReceived = 0, true
+	if c.logsNextConnect {
+		c.log.Info("control replica connected", "replica", c.cfg.Replicas[c.replica])
 	}
-	c.lost, c.unlogged = false, false
+	c.isFailing, c.logsNextConnect = false, false
 }
 
-// failed leaves the connection for the next replica.
-func (c *Client) failed(cause error) {
-	wasUp := c.conn.up
+// fail resets the connection and, unless the client is closed, schedules one to the next replica.
+func (c *Client) fail(cause error) {
+	wasUp := c.conn.isUp
 	c.conn.reset()
 	c.conn = nil
-	if c.ended {
+	if c.isClosed {
 		c.finish()
 		return
 	}
 	now := c.loop.Now()
 	if wasUp {
-		c.config.Member.Disconnected(now)
+		c.cfg.Member.Disconnected(now)
 	}
-	c.next(cause)
+	c.scheduleRedial(cause)
 	c.schedule()
-	c.config.Changed(now)
+	c.cfg.OnChange(now)
 }
 
-// logEvery: replicas that fail again and again are logged so often.
-const logEvery = 10 * time.Second
+// lossLogInterval is the minimum time between two warnings of a lost replica.
+const lossLogInterval = 10 * time.Second
 
-// next goes on to another replica after a while: longer with each failure in a row, at a random instant of that while,
-// since all ingresses of a replica lose it at once.
-func (c *Client) next(cause error) {
-	if now := c.loop.Now(); !c.lost && (c.lostAt == 0 || now-c.lostAt > logEvery) {
-		c.lostAt, c.unlogged = now, true
-		c.log.Warn("control replica lost", "replica", c.config.Replicas[c.replica], "cause", cause)
+// scheduleRedial schedules a connection to the next replica. The backoff doubles with each failure in a row; the wait is
+// random, from a tenth of it to all of it, since all ingresses of a replica lose it at the same time.
+func (c *Client) scheduleRedial(cause error) {
+	if now := c.loop.Now(); !c.isFailing && (c.lastLossLogged == 0 || now-c.lastLossLogged > lossLogInterval) {
+		c.lastLossLogged, c.logsNextConnect = now, true
+		c.log.Warn("control replica lost", "replica", c.cfg.Replicas[c.replica], "cause", cause)
 	}
-	c.lost = true
-	c.replica = (c.replica + c.step()) % len(c.config.Replicas)
-	c.backoff = min(max(2*c.backoff, c.lim.InitialBackoff), c.lim.MaxBackoff)
+	c.isFailing = true
+	c.replica = (c.replica + c.replicaStep()) % len(c.cfg.Replicas)
+	c.backoff = min(max(2*c.backoff, c.limits.InitialBackoff), c.limits.MaxBackoff)
 	wait := time.Duration((0.1 + 0.9*c.rng.Float64()) * float64(c.backoff))
-	c.redial = c.loop.After(wait, c.dial)
+	c.redialTimer = c.loop.After(wait, c.dial)
 }
 
-// step is how far the next replica is. Half of the ingresses of one go round the one way, half the other: so those of a
-// replica that is lost are shared by its neighbours.
-func (c *Client) step() int {
-	n := len(c.config.Replicas)
-	if c.config.Number/n%2 == 1 {
+// replicaStep returns the distance to the next replica, modulo their number. Half of the ingresses of a replica go through
+// the list in one direction and half in the other, so that both neighbours of a lost replica share its ingresses.
+func (c *Client) replicaStep() int {
+	n := len(c.cfg.Replicas)
+	if c.cfg.IngressIndex/n%2 == 1 {
 		return n - 1
 	}
 	return 1
 }
 
-// Causes of leaving a replica that are no errors of the connection.
+// Reasons to close a connection to a replica that are not network errors.
 var (
-	errSilent = errors.New("silent")
-	errUnread = errors.New("it does not read what is sent to it")
+	errSilent     = errors.New("silent")
+	errNotReading = errors.New("replica does not read what is sent to it")
 )
