--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -129,7 +129,7 @@
 }
 
 // A customer with a hard ceiling sends several times what it allows through many gateways, while the counter loses
-// answers and once all its data. Together the gateways must never send more than the ceiling's store holds.
+// answers and once all its data. Together the gateways must never send more than the ceiling's bucket holds.
 func TestManyGatewaysKeepCeilingTogether(t *testing.T) {
 	for _, gateways := range []int{3, 26, 80} {
 		f := newFleet(t, gateways, 12)
@@ -168,7 +168,7 @@
 				Gateways: gateways})
 		}
 		if minTokens < -p.CeilingSlack || lostCalls == 0 {
-			t.Errorf("%d gateways: the ceiling's store went down to %.1f, its slack is %.1f (%d calls lost, want some)",
+			t.Errorf("%d gateways: the ceiling's bucket went down to %.1f, its slack is %.1f (%d calls lost, want some)",
 				gateways, minTokens, p.CeilingSlack, lostCalls)
 		}
 		// With a demand of 25 times the quota at least half of the quota is admitted, however small a gateway's part
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -6,39 +6,41 @@
 	"time"
 )
 
-// A queuedUpdate is carried on the next messages, the freshest first.
+// queuedUpdate is an update to be disseminated on the next messages.
 type queuedUpdate struct {
-	update Update
-	left   int // messages it is still carried on
+	update        Update
+	transmitsLeft int // number of messages that are still to carry it
 }
 
-// receive takes a message: what it shows of its sender, the updates on it, and what it asks for.
+// receive processes a message: it records the sender as heard, handles the updates and replies. A message without a
+// sender, or from the node itself, is ignored.
 func (n *Node) receive(now time.Duration, msg Message) {
 	from := msg.From
-	if from == "" || from == n.cfg.Me {
+	if from == "" || from == n.cfg.Name {
 		return
 	}
-	n.lastHeard[from], n.leftDigests[from] = max(now, 1), msg.Out
+	n.lastHeard[from], n.leftDigests[from] = max(now, 1), msg.LeftDigest
 	for _, u := range msg.Updates {
-		// One that leaves takes along what it knows. Its word counts once this node knows that, too: else it could
-		// be the last that knew of another's return.
-		if u.Name == from && u.State == Left && msg.Out != n.members.leftDigest(from) {
+		// A leave counts only once this node has the same view of who left as the leaving member, which could otherwise
+		// be the last to know that another member returned.
+		if u.Name == from && u.State == Left && msg.LeftDigest != n.members.leftDigest(from) {
 			continue
 		}
-		n.consider(u, from, now)
+		n.handleUpdate(u, from, now)
 	}
-	if msg.Out != n.members.leftDigest(n.cfg.Me) && msg.Kind != Sync && now-n.viewSentAt >= n.cfg.AckWithin {
-		n.viewSentAt = now
+	if msg.LeftDigest != n.members.leftDigest(n.cfg.Name) && msg.Kind != Sync && now-n.lastSyncAt >= n.cfg.AckTimeout {
+		n.lastSyncAt = now
 		n.sendView(from)
 	}
-	if _, known := n.members.get(from); !known { // its incarnation comes with its own updates
+	if _, known := n.members.get(from); !known { // the sender's updates carry its incarnation
 		n.apply(Update{Name: from, State: Alive}, now)
 	}
-	n.answer(now, msg)
+	n.reply(now, msg)
 }
 
-// answer does what a message asks for.
-func (n *Node) answer(now time.Duration, msg Message) {
+// reply sends what the kind of the message asks for, or takes an ack. A PingReq for an unknown target is ignored, and every
+// PingReq once the node has left.
+func (n *Node) reply(now time.Duration, msg Message) {
 	switch msg.Kind {
 	case JoinRequest:
 		n.sendView(msg.From)
@@ -46,37 +48,38 @@
 	case Ping:
 		n.send(msg.From, Message{Kind: Ack, Seq: msg.Seq})
 	case PingReq:
-		if _, known := n.members.get(msg.Target); !known || n.left {
+		if _, known := n.members.get(msg.Target); !known || n.hasLeft {
 			return
 		}
 		seq := n.ping(msg.Target, now)
-		n.relays[seq] = relay{asker: msg.From, seq: msg.Seq, until: now + relayPeriods*n.cfg.Period}
+		n.relays[seq] = relay{requester: msg.From, seq: msg.Seq, expiresAt: now + relayLifetimePeriods*n.cfg.ProbePeriod}
 	case Ack:
-		n.acknowledged(now, msg.Seq)
+		n.handleAck(now, msg.Seq)
 	}
 }
 
-// consider takes an update that another member reports. Of itself a node takes no suspicion, no death and no leave of an
-// earlier incarnation: it refutes them with a higher one, which is then carried as any update.
-func (n *Node) consider(u Update, from string, now time.Duration) {
+// handleUpdate processes an update that another member reports. A node refutes each suspicion, death or leave of its own
+// current incarnation, and every state of a higher one, with an update of a higher incarnation that spreads like any other.
+func (n *Node) handleUpdate(u Update, from string, now time.Duration) {
 	switch {
-	case u.Name != n.cfg.Me:
-		// Nobody is dead because another member reports so, such as one from the other side of a split that is over:
-		// it is suspected here, pinged, and dead when nothing is heard of it here either.
+	case u.Name != n.cfg.Name:
+		// A reported death counts as a suspicion, since it may come from the other side of a partition that has
+		// healed. The member is pinged, and declared dead here if it is not heard either.
 		if u.State == Dead {
 			u.State = Suspect
 		}
 		n.apply(u, now)
-	case n.left:
+	case n.hasLeft:
 	case u.Incarnation > n.incarnation || u.Incarnation == n.incarnation && u.State != Alive:
 		n.incarnation = u.Incarnation + 1
-		n.apply(Update{Name: n.cfg.Me, Incarnation: n.incarnation, State: Alive}, now)
+		n.apply(Update{Name: n.cfg.Name, Incarnation: n.incarnation, State: Alive}, now)
 	case u.Incarnation >= n.cfg.Incarnation && u.State != Left:
 		n.confirmed[from] = true
 	}
 }
 
-// apply takes an update into the view and, if it was news, queues it for the next messages.
+// apply enters an update in the view and, if that changed the view, queues it in place of an older update of the same
+// member. It is sent 3*ceil(log2(members+1)) times.
 func (n *Node) apply(u Update, now time.Duration) {
 	if !n.members.apply(u, now) {
 		return
@@ -87,48 +90,52 @@
 			break
 		}
 	}
-	times := 3 * int(math.Ceil(math.Log2(float64(len(n.members.view.Members)+1))))
-	n.queue = append(n.queue, queuedUpdate{update: u, left: times})
+	transmits := 3 * int(math.Ceil(math.Log2(float64(len(n.members.view.Members)+1))))
+	n.queue = append(n.queue, queuedUpdate{update: u, transmitsLeft: transmits})
 }
 
-// sendView sends the whole view to a member, Carry members a message.
+// sendView sends the whole view to a member in Sync messages of up to MaxUpdates members each.
 func (n *Node) sendView(to string) {
-	for some := range slices.Chunk(n.members.view.Members, max(1, n.cfg.Carry)) {
+	for chunk := range slices.Chunk(n.members.view.Members, max(1, n.cfg.MaxUpdates)) {
 		var updates []Update
-		for _, m := range some {
+		for _, m := range chunk {
 			updates = append(updates, m.update())
 		}
-		msg := Message{Kind: Sync, From: n.cfg.Me, Updates: updates, Out: n.members.leftDigest(n.cfg.Me)}
+		msg := Message{Kind: Sync, From: n.cfg.Name, Updates: updates, LeftDigest: n.members.leftDigest(n.cfg.Name)}
 		n.outbox = append(n.outbox, Send{To: to, Msg: msg})
 	}
 }
 
+// update returns the entry as an update to send.
 func (m Member) update() Update {
 	return Update{Name: m.Name, Incarnation: m.Incarnation, State: m.State}
 }
 
-// send puts updates on a message: first what is held of its receiver, on an ack or where that is no longer alive, so that
-// it can refute whichever way the update went; then the freshest of the queue, and where there are fewer, some other
-// member, so that a view that missed an update is corrected all the same.
+// send completes a message and adds it to the outbox. Its updates are, in this order:
+//   - the node's own, on every message once it has left, and until the receiver is known to hold its incarnation;
+//   - the receiver's entry, on an ack or if the receiver is not alive, so that the receiver can refute it even if the
+//     original update never reached it;
+//   - the newest of the queue;
+//   - if there is room, a random member's entry, which corrects a view that missed an update.
 func (n *Node) send(to string, msg Message) {
-	msg.From, msg.Out = n.cfg.Me, n.members.leftDigest(n.cfg.Me)
+	msg.From, msg.LeftDigest = n.cfg.Name, n.members.leftDigest(n.cfg.Name)
 	switch {
-	case n.left: // on all that it still sends
-		msg.Updates = append(msg.Updates, Update{Name: n.cfg.Me, Incarnation: n.incarnation, State: Left})
+	case n.hasLeft:
+		msg.Updates = append(msg.Updates, Update{Name: n.cfg.Name, Incarnation: n.incarnation, State: Left})
 	case !n.confirmed[to] && msg.Kind != JoinRequest:
-		msg.Updates = append(msg.Updates, Update{Name: n.cfg.Me, Incarnation: n.incarnation})
+		msg.Updates = append(msg.Updates, Update{Name: n.cfg.Name, Incarnation: n.incarnation})
 	}
 	if m, ok := n.members.get(to); ok && (m.State != Alive || msg.Kind == Ack) {
 		msg.Updates = append(msg.Updates, m.update())
 	}
-	for i := len(n.queue) - 1; i >= 0 && len(msg.Updates) < n.cfg.Carry; i-- {
+	for i := len(n.queue) - 1; i >= 0 && len(msg.Updates) < n.cfg.MaxUpdates; i-- {
 		msg.Updates = append(msg.Updates, n.queue[i].update)
-		if n.queue[i].left--; n.queue[i].left <= 0 {
+		if n.queue[i].transmitsLeft--; n.queue[i].transmitsLeft <= 0 {
 			n.queue = append(n.queue[:i], n.queue[i+1:]...)
 		}
 	}
-	if all := n.members.view.Members; len(msg.Updates) < n.cfg.Carry {
-		msg.Updates = append(msg.Updates, all[n.rng.IntN(len(all))].update())
+	if members := n.members.view.Members; len(msg.Updates) < n.cfg.MaxUpdates {
+		msg.Updates = append(msg.Updates, members[n.rng.IntN(len(members))].update())
 	}
 	n.outbox = append(n.outbox, Send{To: to, Msg: msg})
 }
