--- a/cmd/ferryfront/serve.go
+++ b/cmd/ferryfront/serve.go
@@ -21,7 +21,8 @@
 	"ferryfront.example/ferryfront/internal/front/openapi"
 )
 
-func (p *program) serve() *cobra.Command {
+// serveCommand returns the command that runs the daemon until it ends. Flags override the settings file.
+func (p *program) serveCommand() *cobra.Command {
 	var o daemon.Options
 	var front, file, format, level string
 	c := &cobra.Command{Use: "serve", Short: "Run the ingress; its configuration is the file that GW_CONFIG names",
@@ -37,24 +38,24 @@
 		if front != "" {
 			o.ReadFrontFile = func() (openapi.File, error) { return openapi.ReadFile(front) }
 		}
-		own, err := p.own(file, &o, format, level)
+		settings, err := p.readSettings(file, &o, format, level)
 		if err != nil {
 			return err
 		}
 		if o.OTLPEndpoint == "" {
 			o.OTLPEndpoint = p.getenv("OTEL_EXPORTER_OTLP_ENDPOINT")
 		}
-		if o.Log, err = newLog(p.errs, own.Log.Format, own.Log.Level); err != nil {
-			p.usage = true
+		if o.Log, err = newLogger(p.errOut, settings.Log.Format, settings.Log.Level); err != nil {
+			p.isUsageError = true
 			return err
 		}
 		o.Version, o.Getenv = version, p.getenv
 		o.LoadConfig = func() (config.Config, error) { return config.Load(p.getenv) }
-		o.ReloadConfig = func(was config.Config) (config.Config, error) { return config.Reload(p.getenv, was) }
-		o.OverrideLimits = own.Limit
-		o.UpgradeCommand = command()
+		o.ReloadConfig = func(previous config.Config) (config.Config, error) { return config.Reload(p.getenv, previous) }
+		o.OverrideLimits = settings.ApplyLimits
+		o.UpgradeCommand = restartCommand()
 		o.Notify = func(state ...string) {
-			// Without a service manager there is nobody to tell, and one that can't be told goes by the process's end.
+			// Without a service manager this does nothing. One that can't be notified notices the end of the process.
 			_, _ = sdnotify.SdNotify(false, strings.Join(state, "\n"))
 		}
 		signals := make(chan os.Signal, 4)
@@ -65,9 +66,10 @@
 	return c
 }
 
-// command is how this process was started: the path as it was given, so that what lies there at an upgrade is
-// started then, and not what this process was read from.
-func command() []string {
+// restartCommand returns the path and arguments with which this process was started, for an upgrade. The path is the one
+// that was given: an upgrade starts the binary that is there by then, and not the file of this process. It returns nil if
+// the path can't be found.
+func restartCommand() []string {
 	path, err := exec.LookPath(os.Args[0])
 	if err != nil {
 		return nil
@@ -78,12 +80,13 @@
 	return append([]string{path}, os.Args[1:]...)
 }
 
-func newLog(w io.Writer, format, level string) (*slog.Logger, error) {
-	var at slog.Level
-	if err := at.UnmarshalText([]byte(level)); level != "" && err != nil {
+// newLogger returns a logger that writes to w. An empty format is text, an empty level is info.
+func newLogger(w io.Writer, format, level string) (*slog.Logger, error) {
+	var minLevel slog.Level
+	if err := minLevel.UnmarshalText([]byte(level)); level != "" && err != nil {
 		return nil, fmt.Errorf("log level %q is none of debug, info, warn and error", level)
 	}
-	o := &slog.HandlerOptions{Level: at}
+	o := &slog.HandlerOptions{Level: minLevel}
 	switch format {
 	case "", "text":
 		return slog.New(slog.NewTextHandler(w, o)), nil
@@ -93,7 +96,8 @@
 	return nil, fmt.Errorf("log format %q is neither text nor json", format)
 }
 
-func (p *program) checkConfig() *cobra.Command {
+// checkConfigCommand returns the command that reads the configuration that GW_CONFIG names and prints a summary.
+func (p *program) checkConfigCommand() *cobra.Command {
 	return &cobra.Command{Use: "check-config", Short: "Read the file that GW_CONFIG names and say what is wrong with it",
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			cfg, err := config.Load(p.getenv)
@@ -102,13 +106,13 @@
 			}
 			_, err = fmt.Fprintf(p.out, "%s: %d classes, %d plans, ingress %d of %d, %d upstream hosts known\n", cfg.Name,
 				len(cfg.Settings.Classes), len(cfg.Settings.Plans), cfg.Settings.Index, cfg.Settings.Gateways,
-				len(cfg.Known.Entries))
+				len(cfg.KnownHosts.Entries))
 			return err
 		}}
 }
 
-// routes compiles a second front's file as serve would and prints its table.
-func (p *program) routes() *cobra.Command {
+// routesCommand returns the command that compiles the second front's routes as serve does and prints them.
+func (p *program) routesCommand() *cobra.Command {
 	var path string
 	c := &cobra.Command{Use: "routes", Short: "Print the route table of a second front's file", Args: cobra.NoArgs}
 	c.Flags().StringVar(&path, "front", "", "`file` of the second front")
--- a/internal/config/read_test.go
+++ b/internal/config/read_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A disk or a machine that fails for a moment is asked again; what does not pass is told at once.
-func TestAFileThatCantBeReadForAMoment(t *testing.T) {
+// A read that fails with a temporary error is repeated. A permanent error is returned at once.
+func TestReadFileRetriesTransientErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(path, []byte("text"), 0o600))
 	errs := []error{}
-	t.Cleanup(func() { readSystem = os.ReadFile })
-	readSystem = func(path string) ([]byte, error) {
+	t.Cleanup(func() { readOSFile = os.ReadFile })
+	readOSFile = func(path string) ([]byte, error) {
 		if len(errs) > 0 {
 			err := errs[0]
 			errs = errs[1:]
--- a/internal/controlserver/documents.go
+++ b/internal/controlserver/documents.go
@@ -11,7 +11,7 @@
 // Names of the documents that the group holds.
 const (
 	DocumentSettings = "settings" // the shared part of an ingress's settings, as settings.Shared returns it
-	DocumentDrained  = "drained"  // the list of hosts that the operators drain, as config.Config.DrainedText returns it
+	DocumentDrained  = "drained"  // the list of hosts that the operators drain, as config.Config.EncodeDrainedHosts returns it
 )
 
 // validate checks a proposed version in full, as an ingress checks a file. Its errors name the field.
@@ -29,7 +29,7 @@
 	case DocumentSettings:
 		return config.CheckShared(p.Text)
 	case DocumentDrained:
-		_, err := config.ReadDrained(p.Text)
+		_, err := config.DecodeDrainedHosts(p.Text)
 		return err
 	}
 	return fmt.Errorf("document %q is not known", p.Document)
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -52,7 +52,7 @@
 // settingsVersions returns the state of the versions of the settings and of the drained list: those of the
 // configuration file if the ingresses agree on none.
 func (d *Daemon) settingsVersions() (v figures.SettingsVersions) {
-	v = figures.SettingsVersions{NewestVersion: d.loadedConfig.Version, OldestVersion: d.loadedConfig.Version, ActiveVersions: 1, DrainedVersion: d.loadedConfig.DrainedVersion}
+	v = figures.SettingsVersions{NewestVersion: d.loadedConfig.SettingsVersion, OldestVersion: d.loadedConfig.SettingsVersion, ActiveVersions: 1, DrainedVersion: d.loadedConfig.DrainedVersion}
 	if s := d.drainedSource(); s != nil {
 		v.DrainedVersion, v.DrainedStaleMembers = s.Newest().Number, len(s.Stale())
 	}
--- a/internal/daemon/agreement.go
+++ b/internal/daemon/agreement.go
@@ -94,18 +94,18 @@
 // fileDocuments returns the versions of the settings and of the drained list in a configuration file. Number 0: the file
 // has none.
 func fileDocuments(c config.Config) (settingsDoc, drainedDoc versions.Doc) {
-	return versions.NewDoc(c.Version, c.Shared), versions.NewDoc(c.DrainedVersion, c.DrainedText())
+	return versions.NewDoc(c.SettingsVersion, c.SharedSettings), versions.NewDoc(c.DrainedVersion, c.EncodeDrainedHosts())
 }
 
 // checkSettings returns an error if this ingress can't apply the text of a version of the settings.
 func (d *Daemon) checkSettings(text []byte) error {
-	_, err := d.loadedConfig.Under(text)
+	_, err := d.loadedConfig.WithSharedSettings(text)
 	return err
 }
 
 // checkDrained returns an error if the text of a version of the drained list can't be applied.
 func checkDrained(text []byte) error {
-	_, err := config.ReadDrained(text)
+	_, err := config.DecodeDrainedHosts(text)
 	return err
 }
 
@@ -176,7 +176,7 @@
 // drainedHosts returns the hosts that any active version drains: a drain holds from the first version that names it.
 func (a *agreement) drainedHosts() (all []string) {
 	for _, doc := range a.drained.Acting() {
-		hosts, _ := config.ReadDrained(doc.Text) // it was checked before it became active
+		hosts, _ := config.DecodeDrainedHosts(doc.Text) // it was checked before it became active
 		all = append(all, hosts...)
 	}
 	return all
@@ -200,7 +200,7 @@
 		return base, err
 	}
 	for i, doc := range source.Acting() {
-		version, err := base.Under(doc.Text)
+		version, err := base.WithSharedSettings(doc.Text)
 		if err != nil {
 			return combined, err
 		}
@@ -277,7 +277,7 @@
 	if d.settingsSource() == nil {
 		combined, err := d.combineVersions(reloaded)
 		if err == nil && d.drainedSource() == nil {
-			d.watcher.SetDrained(reloaded.Drained)
+			d.watcher.SetDrained(reloaded.DrainedHosts)
 		}
 		if err != nil || d.agreement == nil {
 			done(combined, err)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -287,8 +287,8 @@
 		d.openCounter(cfg.Counter)
 		d.core.SetCounter(d.counter)
 	}
-	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.upstreams, cfg.Known, cfg.Seed)
-	d.watcher.SetDrained(cfg.Drained)
+	d.watcher = discovery.New(l, cfg.Limits, d.log, cfg.Discovery, d.core, d.upstreams, cfg.KnownHosts, cfg.Seed)
+	d.watcher.SetDrained(cfg.DrainedHosts)
 	d.server = downstream.New(l, cfg.Limits, d.log)
 	platformFront := platform.New(d.core, cfg.Settings, d.canServe)
 	d.fronts = append(d.fronts, listeningFront{cfg.Listen, platformFront, func() {}, platformFront.Follow})
@@ -357,21 +357,21 @@
 func (d *Daemon) handleEndRequest() {
 	if d.isTakingOver() {
 		d.asSuccessor.isEndRequested = true
-		d.asSuccessor.handle(phase.EndAsked{})
+		d.asSuccessor.handle(phase.TerminateRequested{})
 		return
 	}
-	d.asPredecessor.handle(phase.EndAsked{})
+	d.asPredecessor.handle(phase.TerminateRequested{})
 }
 
 // handleReloadRequest reloads the configuration, unless a successor serves: the request is then passed to it. A successor
 // that does not serve yet ignores the request.
 func (d *Daemon) handleReloadRequest() {
 	if d.isTakingOver() {
-		d.asSuccessor.handle(phase.ReloadAsked{})
+		d.asSuccessor.handle(phase.ReloadRequested{})
 		return
 	}
-	d.asPredecessor.handle(phase.ReloadAsked{})
-	if !d.asPredecessor.machine.Committed() {
+	d.asPredecessor.handle(phase.ReloadRequested{})
+	if !d.asPredecessor.machine.IsCommitted() {
 		d.reloadConfig()
 	}
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -193,7 +193,7 @@
 	switch {
 	case d.members == nil:
 		return "membership is not enabled"
-	case d.asPredecessor.machine.UnderWay() || d.isTakingOver():
+	case d.asPredecessor.machine.IsInProgress() || d.isTakingOver():
 		return "an upgrade is under way"
 	}
 	d.isLeavingMembership = true
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -35,7 +35,7 @@
 // machine phase.Old and belongs to the loop's goroutine.
 type predecessorRole struct {
 	daemon     *Daemon
-	machine    phase.Old
+	machine    phase.OldProcess
 	phaseTimer *loop.Timer    // ends the present phase
 	onProgress func(Progress) // nil: nobody waits for the result
 
@@ -57,7 +57,7 @@
 		return "the upgrade that started this process is not over"
 	case d.isDraining:
 		return "the ingress is ending"
-	case d.asPredecessor.machine.UnderWay():
+	case d.asPredecessor.machine.IsInProgress():
 		return "an upgrade is under way"
 	case d.controlGroup == nil && d.members != nil && !d.members.Node().IsSettled(d.loop.Now()):
 		return "the membership has not settled"
@@ -66,9 +66,9 @@
 	}
 	p := d.asPredecessor
 	p.onProgress, p.result = report, Progress{}
-	p.machine.Beside = false
+	p.machine.HasExternalSuccessor = false
 	d.log.Info("upgrade begun", "binary", d.options.UpgradeCommand[0])
-	p.handle(phase.Asked{})
+	p.handle(phase.UpgradeRequested{})
 	return ""
 }
 
@@ -76,7 +76,7 @@
 func (p *predecessorRole) handle(ev phase.Event) {
 	previous := p.machine.State
 	actions := p.machine.Handle(ev)
-	if current := p.machine.State; current != previous && current != phase.Idle && current != phase.Over {
+	if current := p.machine.State; current != previous && current != phase.Idle && current != phase.Finished {
 		p.reportProgress(Progress{Text: current.String()})
 	}
 	for _, action := range actions {
@@ -108,19 +108,19 @@
 	bounds := d.cfg.Limits
 	switch action {
 	case phase.Spawn:
-		if !p.machine.Beside { // otherwise the platform has started the successor
+		if !p.machine.HasExternalSuccessor { // otherwise the platform has started the successor
 			p.spawn()
 		}
-	case phase.StartClock:
+	case phase.StartTimer:
 		timeout := map[phase.OldState]time.Duration{phase.Starting: bounds.HelloTimeout, phase.Preparing: bounds.PrepareTimeout,
 			phase.Copying: bounds.CopyTimeout, phase.Frozen: bounds.FreezeTimeout, phase.Probation: bounds.ProbationPeriod}[p.machine.State]
-		p.phaseTimer = d.loop.After(timeout, func() { p.handle(phase.TimeUp{}) })
-	case phase.StopClock:
+		p.phaseTimer = d.loop.After(timeout, func() { p.handle(phase.PhaseTimedOut{}) })
+	case phase.StopTimer:
 		p.phaseTimer.Stop()
 	case phase.SendWelcome:
 		p.send(&pb.Envelope{Body: &pb.Envelope_Welcome{Welcome: &pb.Welcome{Protocol: phase.Protocol, Version: d.options.Version,
 			Name: d.cfg.Name, Listeners: d.server.ListenerAddresses()}}})
-	case phase.CopyAhead:
+	case phase.CopyCustomers:
 		p.copyStartedAt, p.customersToCopy, p.activeAtCopyStart = d.loop.Now(), d.module.Customers(0), d.module.ActiveCustomers()
 		p.copyCustomers()
 	case phase.Freeze:
@@ -141,12 +141,12 @@
 			_ = p.successor.cmd.Process.Kill() // it may have ended already
 		}
 		// A replacement restarts without a predecessor once it has read the abort or sees the connection end.
-		if successor := p.successor; successor != nil && p.machine.Beside {
+		if successor := p.successor; successor != nil && p.machine.HasExternalSuccessor {
 			p.successor = nil
-			successor.conn.WhenDry(successor.conn.Close)
+			successor.conn.WhenFlushed(successor.conn.Close)
 			d.loop.After(bounds.DrainFlushPeriod, successor.conn.Close)
 		}
-	case phase.Reclaim:
+	case phase.ReclaimListeners:
 		p.reclaim()
 	case phase.SendSettled:
 		p.send(&pb.Envelope{Body: &pb.Envelope_Settled{Settled: &pb.Settled{}}})
@@ -156,10 +156,10 @@
 		p.send(&pb.Envelope{Body: &pb.Envelope_Reload{Reload: &pb.Reload{}}})
 	case phase.Drain:
 		d.drain()
-	case phase.EndOwn:
+	case phase.DrainRemaining:
 		d.log.Info("ending what is left", "streams", d.core.OpenStreams(), "connections", d.server.OpenConnections())
 		d.scheduleForcedEnd()
-	case phase.SayFarewell:
+	case phase.SendFarewell:
 		p.sendFarewell()
 	case phase.ReportDone:
 		p.result.IsDone, p.result.Succeeded = true, true
@@ -179,13 +179,13 @@
 // inheritedConnection returns the descriptor of the connection to the predecessor that started this process in an
 // upgrade, as the environment names it, or -1 if none did. It fails if the environment names no valid descriptor.
 func inheritedConnection(getenv func(string) string) (int, error) {
-	text := getenv(handover.Env)
+	text := getenv(handover.DescriptorEnv)
 	if text == "" {
 		return -1, nil
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 3 {
-		return -1, fmt.Errorf("%s: %q is not an inherited file descriptor", handover.Env, text)
+		return -1, fmt.Errorf("%s: %q is not an inherited file descriptor", handover.DescriptorEnv, text)
 	}
 	return fd, nil
 }
@@ -196,7 +196,7 @@
 	if p.machine.State != phase.Copying {
 		return
 	}
-	for len(p.customersToCopy) > 0 && p.successor.conn.Waiting() < p.daemon.cfg.Limits.MaxHandoverQueueBytes {
+	for len(p.customersToCopy) > 0 && p.successor.conn.QueuedBytes() < p.daemon.cfg.Limits.MaxHandoverQueueBytes {
 		n := min(len(p.customersToCopy), customersPerMessage)
 		p.sendCustomers(p.customersToCopy[:n])
 		p.customersToCopy = p.customersToCopy[n:]
@@ -206,7 +206,7 @@
 		p.send(&pb.Envelope{Body: &pb.Envelope_Mark{Mark: &pb.Mark{}}})
 		return
 	}
-	p.successor.conn.WhenDry(p.copyCustomers)
+	p.successor.conn.WhenFlushed(p.copyCustomers)
 }
 
 // customersPerMessage is the maximum number of customers in one message.
@@ -217,7 +217,7 @@
 	message := &pb.Customers{}
 	for _, id := range ids {
 		if c, ok := p.daemon.module.Customer(id); ok {
-			message.Customers = append(message.Customers, handover.Customer(c))
+			message.Customers = append(message.Customers, handover.EncodeCustomer(c))
 		}
 	}
 	p.send(&pb.Envelope{Body: &pb.Envelope_Customers{Customers: message}})
@@ -236,8 +236,8 @@
 			p.sendSnapshot()
 		}
 	}
-	if p.machine.Committed() && p.daemon.core.TrackedStreams() == 0 && p.daemon.server.OpenConnections() == 0 {
-		p.handle(phase.Emptied{})
+	if p.machine.IsCommitted() && p.daemon.core.TrackedStreams() == 0 && p.daemon.server.OpenConnections() == 0 {
+		p.handle(phase.Drained{})
 	}
 }
 
@@ -259,14 +259,14 @@
 		for _, fd := range listeners {
 			loop.CloseFD(fd)
 		}
-		d.loop.After(0, func() { p.handle(phase.PeerGone{How: "no snapshot: " + err.Error()}) })
+		d.loop.After(0, func() { p.handle(phase.PeerExited{Detail: "no snapshot: " + err.Error()}) })
 		return
 	}
 	open := d.core.StartHandover(p)
 	hosts := d.watcher.Current()
-	snapshot := &pb.Snapshot{Gateway: handover.Gateway(state), ClockOffset: int64(d.loop.ClockOffset()), LastStream: open.LastID,
-		ListVersion: hosts.Version, Hosts: handover.Hosts(hosts), Listeners: d.server.ListenerAddresses()}
-	snapshot.Streams, snapshot.Keys = handover.Open(open)
+	snapshot := &pb.Snapshot{Gateway: handover.EncodeGateway(state), ClockOffset: int64(d.loop.ClockOffset()), LastStream: open.LastID,
+		ListVersion: hosts.Version, Hosts: handover.EncodeHosts(hosts), Listeners: d.server.ListenerAddresses()}
+	snapshot.Streams, snapshot.Keys = handover.EncodeStreams(open)
 	p.send(&pb.Envelope{Body: &pb.Envelope_Snapshot{Snapshot: snapshot}}, listeners...)
 }
 
@@ -276,7 +276,7 @@
 	d.stopListeningForSuccessor()
 	d.closeMembership() // the successor continues under this member's name
 	// A replacement has another admin endpoint, so this process keeps its own and still reports on itself there.
-	if !p.machine.Beside {
+	if !p.machine.HasExternalSuccessor {
 		d.admin.Close()
 		d.admin = nil
 	}
@@ -287,7 +287,7 @@
 		Upstreams: uint32(d.upstreams.OpenConnections())}}})
 	d.server.HandOver(func(st downstream.ConnState, fd int) {
 		p.result.ClientConnections++
-		p.send(&pb.Envelope{Body: &pb.Envelope_Client{Client: handover.Client(st)}}, fd)
+		p.send(&pb.Envelope{Body: &pb.Envelope_Client{Client: handover.EncodeClientConn(st)}}, fd)
 	})
 	d.upstreams.HandOver(func(host string, since time.Duration, fd int) {
 		p.result.UpstreamConnections++
@@ -334,7 +334,7 @@
 		p.daemon.loop.Stop()
 		return
 	}
-	p.successor.conn.WhenDry(p.daemon.loop.Stop)
+	p.successor.conn.WhenFlushed(p.daemon.loop.Stop)
 	p.daemon.loop.After(p.daemon.cfg.Limits.DrainFlushPeriod, p.daemon.loop.Stop)
 }
 
@@ -346,7 +346,7 @@
 
 // AttemptEnded tells the successor how an upstream request ended.
 func (p *predecessorRole) AttemptEnded(ev admission.AttemptEnded, at time.Duration) {
-	p.send(&pb.Envelope{Body: &pb.Envelope_Attempt{Attempt: handover.Attempt(ev, at)}})
+	p.send(&pb.Envelope{Body: &pb.Envelope_Attempt{Attempt: handover.EncodeAttemptEnded(ev, at)}})
 }
 
 // StreamDone tells the successor that a stream is over.
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -58,7 +58,7 @@
 	d.metrics.ReconfigOK++
 	d.log.Info("configuration reloaded", "discovery", next.Discovery, "counter", next.Counter,
 		"classes", len(next.Settings.Classes))
-	if names := previous.Changed(next); len(names) > 0 {
+	if names := previous.FieldsNeedingRestart(next); len(names) > 0 {
 		d.log.Warn("changed configuration needs a restart", "fields", strings.Join(names, ","))
 	}
 	d.loadedConfig = next
--- a/internal/daemon/replacement.go
+++ b/internal/daemon/replacement.go
@@ -41,9 +41,9 @@
 		}
 		name = cfg.Name
 	}
-	fd, err := handover.Meet(dir, name)
+	fd, err := handover.ConnectPredecessor(dir, name)
 	if err != nil {
-		if !errors.Is(err, handover.ErrNobody) {
+		if !errors.Is(err, handover.ErrNoPredecessor) {
 			d.log.Info("no predecessor to take over from", "cause", err)
 		}
 		return -1, nil
@@ -59,7 +59,7 @@
 		return
 	}
 	d.stopListeningForSuccessor()
-	fd, err := handover.Await(dir, d.cfg.Name)
+	fd, err := handover.ListenForSuccessor(dir, d.cfg.Name)
 	if err != nil {
 		d.log.Info("no successor can take over from this process", "cause", err)
 		return
@@ -82,12 +82,12 @@
 // another one, or while the process drains.
 func (a successorAcceptor) Ready(uint32) {
 	d := a.daemon
-	fd, err := handover.Accept(d.successorListener.FD())
+	fd, err := handover.AcceptSuccessor(d.successorListener.FD())
 	if err != nil {
 		return
 	}
 	p := d.asPredecessor
-	if d.isTakingOver() || d.isDraining || p.machine.UnderWay() {
+	if d.isTakingOver() || d.isDraining || p.machine.IsInProgress() {
 		loop.CloseFD(fd)
 		return
 	}
@@ -97,10 +97,10 @@
 		return
 	}
 	p.successor, p.onProgress, p.result = successor, nil, Progress{}
-	p.machine.Beside = true
+	p.machine.HasExternalSuccessor = true
 	setMemoryLimit(d.cfg.Limits, 2)
 	d.log.Info("replacement begun")
-	p.handle(phase.Asked{})
+	p.handle(phase.UpgradeRequested{})
 }
 
 // restartStandalone executes the program again in this process, to start without a predecessor. Nothing was taken over,
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -20,7 +20,7 @@
 // phase.New and belongs to the loop's goroutine.
 type successorRole struct {
 	daemon     *Daemon
-	machine    phase.New
+	machine    phase.NewProcess
 	conn       *handover.Conn
 	phaseTimer *loop.Timer // ends the handover if the predecessor takes too long
 
@@ -39,8 +39,8 @@
 
 // startAsSuccessor starts the handover from the predecessor at the other end of a descriptor.
 func (d *Daemon) startAsSuccessor(fd int) error {
-	if err := os.Unsetenv(handover.Env); err != nil { // processes that this one starts must not see it
-		return fmt.Errorf("%s: %w", handover.Env, err)
+	if err := os.Unsetenv(handover.DescriptorEnv); err != nil { // processes that this one starts must not see it
+		return fmt.Errorf("%s: %w", handover.DescriptorEnv, err)
 	}
 	s := &successorRole{daemon: d, listenerFDs: map[string]int{}}
 	// The configuration is not read yet. Of the limits the connection needs only its own.
@@ -49,7 +49,7 @@
 		return err
 	}
 	s.conn, d.asSuccessor = conn, s
-	s.phaseTimer = d.loop.After(welcomeTimeout, func() { s.handle(phase.TimeUp{}) })
+	s.phaseTimer = d.loop.After(welcomeTimeout, func() { s.handle(phase.PhaseTimedOut{}) })
 	if d.isReplacement {
 		d.loop.After(replacementTimeout, s.stopAwaitingPredecessor)
 	}
@@ -62,14 +62,14 @@
 const maxPredecessorMessageBytes = 64 << 20
 
 // stopAwaitingPredecessor ends a replacement's wait for its predecessor after replacementTimeout. It does so even in the
-// state Holding, in which only the predecessor knows whether this process is to serve: if the predecessor has committed
+// state AwaitingCommit, in which only the predecessor knows whether this process is to serve: if the predecessor has committed
 // by then, it sees the connection end and serves again.
 func (s *successorRole) stopAwaitingPredecessor() {
-	if s.machine.Serves() || s.machine.State == phase.Ended {
+	if s.machine.IsServing() || s.machine.State == phase.Ended {
 		return
 	}
-	s.handle(phase.TimeUp{})
-	if s.machine.State == phase.Holding {
+	s.handle(phase.PhaseTimedOut{})
+	if s.machine.State == phase.AwaitingCommit {
 		s.daemon.restartStandalone("the old process sent no commit in time")
 	}
 }
@@ -94,10 +94,10 @@
 		s.send(&pb.Envelope{Body: &pb.Envelope_Prepared{Prepared: &pb.Prepared{}}})
 	case phase.Restore:
 		if err := s.restore(); err != nil {
-			s.handle(phase.Unfit{Why: err.Error()})
+			s.handle(phase.TakeoverFailed{Reason: err.Error()})
 			return
 		}
-		s.handle(phase.RestoredAll{})
+		s.handle(phase.SnapshotRestored{})
 	case phase.SendRestored:
 		s.send(&pb.Envelope{Body: &pb.Envelope_Restored{Restored: &pb.Restored{Customers: s.customerCount}}})
 	case phase.Serve:
@@ -110,9 +110,9 @@
 		s.send(&pb.Envelope{Body: &pb.Envelope_Leaving{Leaving: &pb.Leaving{}}})
 	case phase.Drain:
 		d.drain()
-	case phase.Forget:
+	case phase.ForgetPredecessor:
 		s.handlePredecessorExit()
-	case phase.ReloadOwn:
+	case phase.ReloadConfig:
 		d.reloadConfig()
 	case phase.Exit:
 		if d.isReplacement && s.isEndRequested {
@@ -124,58 +124,58 @@
 			return
 		}
 		d.fail("upgrade not taken over: %s", s.machine.Failure)
-	case phase.StopClock:
+	case phase.StopTimer:
 		s.phaseTimer.Stop()
 	}
 }
 
-// Lost handles the end of the connection: the predecessor has ended, or what it sends can't be parsed.
-func (s *successorRole) Lost(err error) {
+// ConnectionLost handles the end of the connection: the predecessor has ended, or what it sends can't be parsed.
+func (s *successorRole) ConnectionLost(err error) {
 	if errors.Is(err, io.EOF) {
-		s.handle(phase.PeerGone{})
+		s.handle(phase.PeerExited{})
 		return
 	}
-	s.handle(phase.Garbled{Why: err.Error()})
+	s.handle(phase.InvalidData{Reason: err.Error()})
 }
 
-// Message handles a message of the predecessor, and takes over or closes the descriptors that came with it.
-func (s *successorRole) Message(e *pb.Envelope, fds []int) {
+// HandleMessage handles a message of the predecessor, and takes over or closes the descriptors that came with it.
+func (s *successorRole) HandleMessage(e *pb.Envelope, fds []int) {
 	d := s.daemon
 	isRestored := s.snapshot != nil && s.machine.State != phase.Ended
 	now := d.loop.Now()
 	switch m := e.GetBody().(type) {
 	case *pb.Envelope_Welcome:
 		s.welcome = m.Welcome
-		s.handle(phase.Told{Message: phase.Welcome, Protocol: int(m.Welcome.GetProtocol())})
+		s.handle(phase.MessageReceived{Message: phase.Welcome, Protocol: int(m.Welcome.GetProtocol())})
 	case *pb.Envelope_Customers:
-		if s.machine.State != phase.Waiting || isRestored {
+		if s.machine.State != phase.AwaitingSnapshot || isRestored {
 			break
 		}
 		for _, c := range m.Customers.GetCustomers() {
-			d.module.PutCustomer(handover.FromCustomer(c))
+			d.module.PutCustomer(handover.DecodeCustomer(c))
 		}
 	case *pb.Envelope_Mark:
-		if s.machine.State == phase.Waiting {
+		if s.machine.State == phase.AwaitingSnapshot {
 			s.send(&pb.Envelope{Body: &pb.Envelope_CaughtUp{CaughtUp: &pb.CaughtUp{}}})
 		}
 	case *pb.Envelope_Snapshot:
 		s.snapshot, s.snapshotFDs = m.Snapshot, fds
 		fds = nil
-		s.handle(phase.Told{Message: phase.Snapshot})
+		s.handle(phase.MessageReceived{Message: phase.Snapshot})
 	case *pb.Envelope_Commit:
 		s.commit = m.Commit
-		s.handle(phase.Told{Message: phase.Commit})
+		s.handle(phase.MessageReceived{Message: phase.Commit})
 	case *pb.Envelope_Abort:
-		s.handle(phase.Told{Message: phase.Abort, Text: m.Abort.GetReason()})
+		s.handle(phase.MessageReceived{Message: phase.Abort, Text: m.Abort.GetReason()})
 	case *pb.Envelope_Client:
-		if len(fds) == 1 && s.machine.Serves() {
-			if err := d.server.AdoptConnection(handover.FromClient(m.Client), fds[0]); err != nil {
+		if len(fds) == 1 && s.machine.IsServing() {
+			if err := d.server.AdoptConnection(handover.DecodeClientConn(m.Client), fds[0]); err != nil {
 				d.log.Warn("client connection not taken over", "error", err)
 			}
 			fds = nil
 		}
 	case *pb.Envelope_Upstream:
-		if len(fds) == 1 && s.machine.Serves() {
+		if len(fds) == 1 && s.machine.IsServing() {
 			if err := d.upstreams.AdoptConnection(m.Upstream.GetHost(), time.Duration(m.Upstream.GetSince()), fds[0]); err != nil {
 				d.log.Warn("upstream connection not taken over", "error", err)
 			}
@@ -189,7 +189,7 @@
 		}
 	case *pb.Envelope_Attempt:
 		if isRestored {
-			ev, at := handover.FromAttempt(m.Attempt)
+			ev, at := handover.DecodeAttemptEnded(m.Attempt)
 			d.module.PredecessorAttemptEnded(now, ev)
 			d.core.PredecessorAttemptEnded(ev.ID, ev.Server, at-ev.Took, ev.Outcome)
 		}
@@ -201,13 +201,13 @@
 	case *pb.Envelope_CounterReleased:
 		s.useAllCounterConns()
 	case *pb.Envelope_Settled:
-		s.handle(phase.Told{Message: phase.Settled})
+		s.handle(phase.MessageReceived{Message: phase.Settled})
 	case *pb.Envelope_Reload:
-		s.handle(phase.ReloadAsked{})
+		s.handle(phase.ReloadRequested{})
 	case *pb.Envelope_Terminate:
-		s.handle(phase.EndAsked{})
+		s.handle(phase.TerminateRequested{})
 	case *pb.Envelope_Farewell:
-		s.handle(phase.Told{Message: phase.Farewell})
+		s.handle(phase.MessageReceived{Message: phase.Farewell})
 	default: // a message of a later version of the program, which this one may ignore
 	}
 	for _, fd := range fds { // the message should have carried none, or this process does not serve
@@ -220,18 +220,18 @@
 func (s *successorRole) prepare() {
 	d := s.daemon
 	if err := d.assemble(); err != nil {
-		s.handle(phase.Unfit{Why: err.Error()})
+		s.handle(phase.TakeoverFailed{Reason: err.Error()})
 		return
 	}
 	setMemoryLimit(d.cfg.Limits, 2)
 	if d.isReplacement { // it has an admin endpoint of its own, which reports that the process is not ready yet
 		if err := d.openAdmin(); err != nil {
-			s.handle(phase.Unfit{Why: err.Error()})
+			s.handle(phase.TakeoverFailed{Reason: err.Error()})
 			return
 		}
 	}
 	if name := s.welcome.GetName(); name != d.cfg.Name {
-		s.handle(phase.Unfit{Why: fmt.Sprintf("the configuration is %s's, the running process is %s", d.cfg.Name, name)})
+		s.handle(phase.TakeoverFailed{Reason: fmt.Sprintf("the configuration is %s's, the running process is %s", d.cfg.Name, name)})
 		return
 	}
 	d.server.Suspend()
@@ -245,13 +245,13 @@
 		}
 		fd, err := loop.ListenReusePort(f.addr)
 		if err != nil {
-			s.handle(phase.Unfit{Why: err.Error()})
+			s.handle(phase.TakeoverFailed{Reason: err.Error()})
 			return
 		}
 		s.listenerFDs[f.addr] = fd
 	}
 	s.phaseTimer.Stop()
-	s.phaseTimer = d.loop.After(d.cfg.Limits.PrepareTimeout+d.cfg.Limits.CopyTimeout, func() { s.handle(phase.TimeUp{}) })
+	s.phaseTimer = d.loop.After(d.cfg.Limits.PrepareTimeout+d.cfg.Limits.CopyTimeout, func() { s.handle(phase.PhaseTimedOut{}) })
 	s.awaitCluster()
 }
 
@@ -265,7 +265,7 @@
 		return
 	}
 	if s.daemon.watcher.IsReady() {
-		s.handle(phase.Ready{})
+		s.handle(phase.PrepareDone{})
 		return
 	}
 	s.daemon.loop.After(clusterPollInterval, s.awaitCluster)
@@ -280,14 +280,14 @@
 		return fmt.Errorf("%d listeners were told of and %d have come", len(names), len(s.snapshotFDs))
 	}
 	d.loop.SetClockOffset(time.Duration(s.snapshot.GetClockOffset()))
-	if err := d.module.Restore(handover.FromGateway(s.snapshot.GetGateway())); err != nil {
+	if err := d.module.Restore(handover.DecodeGateway(s.snapshot.GetGateway())); err != nil {
 		return err
 	}
 	s.customerCount = uint64(d.module.CustomerCount())
 	now := d.loop.Now()
-	open := handover.FromOpen(s.snapshot)
+	open := handover.DecodeStreams(s.snapshot)
 	d.core.Restore(now, open, d.module.Adopt(now))
-	d.watcher.Adopt(handover.FromHosts(s.snapshot))
+	d.watcher.Adopt(handover.DecodeHosts(s.snapshot))
 	for i, fd := range s.snapshotFDs {
 		front := slices.IndexFunc(d.fronts, func(f listeningFront) bool { return f.addr == names[i] })
 		if front < 0 { // the configuration has no front at this address any more
--- a/internal/handover/phase/new.go
+++ b/internal/handover/phase/new.go
@@ -2,131 +2,135 @@
 
 import "fmt"
 
-// NewState is a phase of the new process.
+// NewState is a phase of the new process. String returns the name in newStateNames.
 type NewState int
 
 const (
-	Greeting    NewState = iota // Hello is sent, Welcome is due
-	Building                    // configuration, parts, discovery
-	Waiting                     // prepared: customers come, then the snapshot
-	Holding                     // all is in place: Commit is due
-	Trial                       // serving, on probation
-	Alone                       // serving; the predecessor, if it is still there, only ends what it has
-	Independent                 // the predecessor is gone
-	Ended                       // we end, and had taken nothing
-	newStates
+	AwaitingWelcome  NewState = iota // Hello is sent
+	Building                         // reading the configuration, building the parts, reaching discovery
+	AwaitingSnapshot                 // receiving customers, then the snapshot
+	AwaitingCommit                   // the snapshot is restored
+	OnProbation                      // serving; the old process hasn't reported the upgrade as done yet
+	PastProbation                    // serving; the old process, if it still runs, only finishes what it has
+	Independent                      // serving; the old process is gone
+	Ended                            // exiting without having served
+	newStateCount
 )
 
-var newNames = [newStates]string{"greeting", "building", "waiting", "holding", "trial", "alone", "independent", "ended"}
+// newStateNames are parts of texts that operators and the other process read.
+var newStateNames = [newStateCount]string{"greeting", "building", "waiting", "holding", "trial", "alone", "independent", "ended"}
 
-func (s NewState) String() string { return newNames[s] }
+// String returns the state's name.
+func (s NewState) String() string { return newStateNames[s] }
 
-// New is the machine of the process that takes over.
-type New struct {
+// NewProcess is the state machine of the process that takes over. Its zero value has just sent Hello.
+type NewProcess struct {
 	State   NewState
-	Failure string // why it ended
+	Failure string // why this process doesn't take over; set when State becomes Ended
 
-	ending   bool
-	restored bool // a snapshot has come
+	isTerminating bool
+	hasSnapshot   bool // the snapshot has arrived
 }
 
-// Serves tells whether this process accepts and reads.
-func (m *New) Serves() bool { return m.State >= Trial && m.State <= Independent }
+// IsServing reports whether this process accepts connections and reads requests.
+func (m *NewProcess) IsServing() bool { return m.State >= OnProbation && m.State <= Independent }
 
-// Handle takes one event and returns what is to be done.
-func (m *New) Handle(ev Event) []Action {
+// Handle takes one event and returns the actions that it causes, in order. An event that doesn't fit the state is ignored.
+// Before this process serves, a message out of order ends the takeover.
+func (m *NewProcess) Handle(ev Event) []Action {
 	if m.State == Ended {
 		return nil
 	}
 	switch ev := ev.(type) {
-	case Told:
-		return m.told(ev)
-	case Garbled:
-		if m.Serves() {
-			return nil // nothing that it still says is worth ending for
+	case MessageReceived:
+		return m.handleMessage(ev)
+	case InvalidData:
+		if m.IsServing() {
+			return nil // this process serves on whatever the old one sends
 		}
-		return m.refuse("the old process has sent garbage: " + ev.Why)
-	case Ready:
+		return m.refuse("the old process has sent garbage: " + ev.Reason)
+	case PrepareDone:
 		if m.State == Building {
-			m.State = Waiting
+			m.State = AwaitingSnapshot
 			return []Action{SendPrepared}
 		}
-	case Unfit:
-		if !m.Serves() {
-			return m.refuse(ev.Why)
+	case TakeoverFailed:
+		if !m.IsServing() {
+			return m.refuse(ev.Reason)
 		}
-	case RestoredAll:
-		if m.State == Waiting && m.restored {
-			m.State = Holding
+	case SnapshotRestored:
+		if m.State == AwaitingSnapshot && m.hasSnapshot {
+			m.State = AwaitingCommit
 			return []Action{SendRestored}
 		}
-	case PeerGone:
-		return m.gone()
-	case TimeUp:
-		if !m.Serves() && m.State != Holding { // holding, only the old process's word or death decides
+	case PeerExited:
+		return m.peerExited()
+	case PhaseTimedOut:
+		if !m.IsServing() && m.State != AwaitingCommit { // then only a message or the death of the old process decides
 			return m.refuse("the old process has said nothing while " + m.State.String())
 		}
-	case EndAsked:
+	case TerminateRequested:
 		switch {
-		case !m.Serves():
+		case !m.IsServing():
 			return m.refuse("the new process was told to end")
-		case m.ending:
+		case m.isTerminating:
 			return nil
 		case m.State == Independent:
-			m.ending = true
+			m.isTerminating = true
 			return []Action{Drain}
 		}
-		m.ending = true
+		m.isTerminating = true
 		return []Action{SendLeaving, Drain}
-	case ReloadAsked:
-		if m.Serves() {
-			return []Action{ReloadOwn}
+	case ReloadRequested:
+		if m.IsServing() {
+			return []Action{ReloadConfig}
 		}
 	}
 	return nil
 }
 
-func (m *New) told(ev Told) []Action {
+// handleMessage takes a message of the old process.
+func (m *NewProcess) handleMessage(ev MessageReceived) []Action {
 	switch {
-	case ev.Message == Abort && !m.Serves():
+	case ev.Message == Abort && !m.IsServing():
 		m.State, m.Failure = Ended, "the old process carries on: "+ev.Text
 		return []Action{Exit}
-	case ev.Message == Welcome && m.State == Greeting && ev.Protocol != Protocol:
+	case ev.Message == Welcome && m.State == AwaitingWelcome && ev.Protocol != Protocol:
 		return m.refuse(fmt.Sprintf("the old process speaks protocol %d of the hand-over, this one %d", ev.Protocol, Protocol))
-	case ev.Message == Welcome && m.State == Greeting:
+	case ev.Message == Welcome && m.State == AwaitingWelcome:
 		m.State = Building
 		return []Action{Prepare}
-	case ev.Message == Snapshot && m.State == Waiting && !m.restored:
-		m.restored = true
+	case ev.Message == Snapshot && m.State == AwaitingSnapshot && !m.hasSnapshot:
+		m.hasSnapshot = true
 		return []Action{Restore}
-	case ev.Message == Commit && m.State == Holding:
-		m.State = Trial
-		return []Action{StopClock, Serve, SendServing}
-	case ev.Message == Settled && m.State == Trial:
-		m.State = Alone
+	case ev.Message == Commit && m.State == AwaitingCommit:
+		m.State = OnProbation
+		return []Action{StopTimer, Serve, SendServing}
+	case ev.Message == Settled && m.State == OnProbation:
+		m.State = PastProbation
 		return nil
-	case ev.Message == Farewell && m.Serves():
+	case ev.Message == Farewell && m.IsServing():
 		if m.State == Independent {
 			return nil
 		}
 		m.State = Independent
-		return []Action{Forget}
-	case m.Serves():
+		return []Action{ForgetPredecessor}
+	case m.IsServing():
 		return nil
 	}
 	return m.refuse(fmt.Sprintf("the old process has sent %s while %s", ev.Message, m.State))
 }
 
-// gone: an old process that wants to carry on says Abort first. One that is gone without a word has died, and
-// nobody serves: who has all its state takes over.
-func (m *New) gone() []Action {
+// peerExited handles the end of the old process. One that carries on would have sent Abort first, so this one has died and
+// no process serves. The new process takes over if it has restored the snapshot.
+func (m *NewProcess) peerExited() []Action {
 	switch m.State {
-	case Holding:
+	case AwaitingCommit:
 		m.State = Independent
-		return []Action{StopClock, Serve, Forget}
-	case Trial, Alone:
+		return []Action{StopTimer, Serve, ForgetPredecessor}
+	case OnProbation, PastProbation:
 		m.State = Independent
-		return []Action{Forget}
+		return []Action{ForgetPredecessor}
 	case Independent:
 		return nil
 	}
@@ -134,7 +138,8 @@
 	return []Action{Exit}
 }
 
-func (m *New) refuse(why string) []Action {
-	m.State, m.Failure = Ended, why
+// refuse ends the takeover for a reason that the old process is told.
+func (m *NewProcess) refuse(reason string) []Action {
+	m.State, m.Failure = Ended, reason
 	return []Action{SendRefused, Exit}
 }
--- a/internal/handover/phase/phase_test.go
+++ b/internal/handover/phase/phase_test.go
@@ -8,27 +8,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair is both processes with what is on its way between them; it is a value, so that every order of events
-// can be tried from it.
-type pair struct {
-	old              Old
-	new              New
-	oldAlive, newUp  bool
-	doomed           bool // SIGKILL was sent to the new one and has not struck yet
-	oldReads         bool
-	newReads         bool
-	listens          bool // the old one still holds the listeners
-	told             int  // reports to who asked
-	asked            int
-	toNew, toOld     string
-	oldDrain, newEnd bool
+// processPair is the state of both processes and of the messages between them. It is copied for each possible next event, so
+// that every order of events can be tried.
+type processPair struct {
+	oldProcess                   OldProcess
+	newProcess                   NewProcess
+	isOldAlive, isNewAlive       bool
+	isNewKilled                  bool // the new process was sent SIGKILL and hasn't ended yet
+	isOldReading                 bool
+	isNewReading                 bool
+	isOldListening               bool // the old process still holds the listeners
+	reports                      int  // results reported to the requester
+	upgrades                     int
+	toNew, toOld                 string
+	isOldDraining, isNewDraining bool
 }
 
-var letters = map[Message]byte{Hello: 'h', Prepared: 'p', Restored: 'r', Serving: 's', Refused: 'R', Leaving: 'l', Welcome: 'w',
+// messageLetters encodes messages on their way, so that a processPair can be compared as text.
+var messageLetters = map[Message]byte{Hello: 'h', Prepared: 'p', Restored: 'r', Serving: 's', Refused: 'R', Leaving: 'l', Welcome: 'w',
 	Snapshot: 'S', Commit: 'c', Abort: 'a', Settled: 't', Farewell: 'f'}
 
-func messageOf(b byte) Message {
-	for m, l := range letters {
+func messageOfLetter(b byte) Message {
+	for m, l := range messageLetters {
 		if l == b {
 			return m
 		}
@@ -36,115 +37,117 @@
 	panic(string(b))
 }
 
-func (p *pair) onOld(ev Event) {
-	for _, a := range p.old.Handle(ev) {
+func (p *processPair) handleOld(ev Event) {
+	for _, a := range p.oldProcess.Handle(ev) {
 		switch a {
 		case Spawn:
-			p.new, p.newUp, p.toOld, p.toNew, p.newReads, p.doomed = New{}, true, "h", "", false, false
+			p.newProcess, p.isNewAlive, p.toOld, p.toNew, p.isNewReading, p.isNewKilled = NewProcess{}, true, "h", "", false, false
 		case SendWelcome:
 			p.send(Welcome)
 		case Freeze:
-			p.oldReads = false
+			p.isOldReading = false
 		case SendSnapshot:
 			p.send(Snapshot)
 		case SendCommit:
 			p.send(Commit)
-		case Unfreeze, Reclaim:
-			p.oldReads = true
+		case Unfreeze, ReclaimListeners:
+			p.isOldReading = true
 		case SendAbort:
 			p.send(Abort)
 		case Kill:
-			p.doomed = p.newUp
+			p.isNewKilled = p.isNewAlive
 		case SendSettled:
 			p.send(Settled)
 		case Drain:
-			p.oldDrain = true
-		case SayFarewell:
+			p.isOldDraining = true
+		case SendFarewell:
 			p.send(Farewell)
-			p.oldAlive, p.listens = false, false
+			p.isOldAlive, p.isOldListening = false, false
 		case ReportDone, ReportFailed:
-			p.told++
+			p.reports++
 		}
 	}
 }
 
-func (p *pair) send(m Message) {
-	if p.newUp {
-		p.toNew += string(letters[m])
+func (p *processPair) send(m Message) {
+	if p.isNewAlive {
+		p.toNew += string(messageLetters[m])
 	}
 }
 
-func (p *pair) onNew(ev Event) {
-	for _, a := range p.new.Handle(ev) {
+func (p *processPair) handleNew(ev Event) {
+	for _, a := range p.newProcess.Handle(ev) {
 		reply := map[Action]Message{SendPrepared: Prepared, SendRestored: Restored, SendServing: Serving, SendRefused: Refused,
 			SendLeaving: Leaving}
-		if m, ok := reply[a]; ok && p.oldAlive {
-			p.toOld += string(letters[m])
+		if m, ok := reply[a]; ok && p.isOldAlive {
+			p.toOld += string(messageLetters[m])
 		}
 		switch a {
 		case Serve:
-			p.newReads = true
+			p.isNewReading = true
 		case Drain:
-			p.newEnd = true
+			p.isNewDraining = true
 		case Exit:
-			p.newUp = false
+			p.isNewAlive = false
 		}
 	}
 }
 
-// steps are all that may happen next.
-func (p pair) steps() []pair {
-	var next []pair
-	try := func(may bool, f func(q *pair)) {
-		if may {
+// nextSteps returns the states after each event that can happen next.
+func (p processPair) nextSteps() []processPair {
+	var next []processPair
+	try := func(isPossible bool, f func(q *processPair)) {
+		if isPossible {
 			q := p
 			f(&q)
 			next = append(next, q)
 		}
 	}
-	try(p.oldAlive && p.asked < 2 && !p.old.UnderWay() && !p.oldDrain && !p.newUp,
-		func(q *pair) { q.asked++; q.onOld(Asked{}) })
-	try(p.newUp && p.toNew != "", func(q *pair) {
-		m := messageOf(q.toNew[0])
+	try(p.isOldAlive && p.upgrades < 2 && !p.oldProcess.IsInProgress() && !p.isOldDraining && !p.isNewAlive,
+		func(q *processPair) { q.upgrades++; q.handleOld(UpgradeRequested{}) })
+	try(p.isNewAlive && p.toNew != "", func(q *processPair) {
+		m := messageOfLetter(q.toNew[0])
 		q.toNew = q.toNew[1:]
-		q.onNew(Told{Message: m, Protocol: Protocol})
+		q.handleNew(MessageReceived{Message: m, Protocol: Protocol})
 	})
-	try(p.oldAlive && p.toOld != "", func(q *pair) {
-		m := messageOf(q.toOld[0])
+	try(p.isOldAlive && p.toOld != "", func(q *processPair) {
+		m := messageOfLetter(q.toOld[0])
 		q.toOld = q.toOld[1:]
-		q.onOld(Told{Message: m, Protocol: Protocol})
+		q.handleOld(MessageReceived{Message: m, Protocol: Protocol})
 	})
-	try(p.newUp && p.new.State == Building, func(q *pair) { q.onNew(Ready{}) })
-	try(p.newUp && p.new.State == Building, func(q *pair) { q.onNew(Unfit{"test"}) })
-	try(p.newUp && p.new.State == Waiting && p.new.restored, func(q *pair) { q.onNew(RestoredAll{}) })
-	try(p.oldAlive && p.old.State == Copying, func(q *pair) { q.onOld(Copied{}) })
-	try(p.oldAlive && p.old.UnderWay(), func(q *pair) { q.onOld(TimeUp{}) })
-	try(p.newUp && !p.new.Serves(), func(q *pair) { q.onNew(TimeUp{}) })
-	try(p.oldAlive && p.old.Committed() && !p.old.empty, func(q *pair) { q.onOld(Emptied{}) })
-	try(p.oldAlive && !p.oldDrain && !p.old.ending, func(q *pair) { q.onOld(EndAsked{}) })
-	try(p.newUp && !p.newEnd, func(q *pair) { q.onNew(EndAsked{}) })
-	try(p.newUp && p.newEnd, func(q *pair) { q.newUp, q.newReads = false, false })
-	try(p.newUp, func(q *pair) { q.newUp, q.newReads = false, false }) // killed, or struck at last
-	// The old one learns of the other's death once it has read what that had sent, and the channel stays open
-	// until then, so that a new one in Holding never takes a SIGKILL on its way for the old one's death.
-	try(!p.newUp && p.oldAlive && p.old.UnderWay() && p.toOld == "", func(q *pair) { q.onOld(PeerGone{"killed"}) })
-	try(p.oldAlive && p.newUp && !p.doomed, func(q *pair) { // kill -9 of the old one
-		q.oldAlive, q.oldReads, q.listens = false, false, false
+	try(p.isNewAlive && p.newProcess.State == Building, func(q *processPair) { q.handleNew(PrepareDone{}) })
+	try(p.isNewAlive && p.newProcess.State == Building, func(q *processPair) { q.handleNew(TakeoverFailed{"test"}) })
+	try(p.isNewAlive && p.newProcess.State == AwaitingSnapshot && p.newProcess.hasSnapshot, func(q *processPair) { q.handleNew(SnapshotRestored{}) })
+	try(p.isOldAlive && p.oldProcess.State == Copying, func(q *processPair) { q.handleOld(CustomersCopied{}) })
+	try(p.isOldAlive && p.oldProcess.IsInProgress(), func(q *processPair) { q.handleOld(PhaseTimedOut{}) })
+	try(p.isNewAlive && !p.newProcess.IsServing(), func(q *processPair) { q.handleNew(PhaseTimedOut{}) })
+	try(p.isOldAlive && p.oldProcess.IsCommitted() && !p.oldProcess.isDrained, func(q *processPair) { q.handleOld(Drained{}) })
+	try(p.isOldAlive && !p.isOldDraining && !p.oldProcess.isTerminating, func(q *processPair) { q.handleOld(TerminateRequested{}) })
+	try(p.isNewAlive && !p.isNewDraining, func(q *processPair) { q.handleNew(TerminateRequested{}) })
+	try(p.isNewAlive && p.isNewDraining, func(q *processPair) { q.isNewAlive, q.isNewReading = false, false })
+	try(p.isNewAlive, func(q *processPair) { q.isNewAlive, q.isNewReading = false, false }) // killed by somebody, or by the SIGKILL
+	// The old process learns of the new one's end after reading its last messages, and keeps the connection open until then.
+	// So a new process in AwaitingCommit that is about to be killed never takes the old one for dead.
+	try(!p.isNewAlive && p.isOldAlive && p.oldProcess.IsInProgress() && p.toOld == "", func(q *processPair) { q.handleOld(PeerExited{"killed"}) })
+	try(p.isOldAlive && p.isNewAlive && !p.isNewKilled, func(q *processPair) { // SIGKILL of the old process
+		q.isOldAlive, q.isOldReading, q.isOldListening = false, false, false
 	})
-	try(!p.oldAlive && p.newUp && p.toNew == "" && p.new.State != Independent, func(q *pair) { q.onNew(PeerGone{}) })
+	try(!p.isOldAlive && p.isNewAlive && p.toNew == "" && p.newProcess.State != Independent, func(q *processPair) { q.handleNew(PeerExited{}) })
 	return next
 }
 
-// Every order in which messages, time-outs, deaths and signals may come is tried, over two upgrades in a row.
+// Tries every order in which messages, timeouts, deaths and signals can come, over two upgrades in a row.
 func TestEveryOrderOfEvents(t *testing.T) {
-	t.Run("upgrade", func(t *testing.T) { everyOrder(t, false) })
-	t.Run("started by somebody else", func(t *testing.T) { everyOrder(t, true) })
+	t.Run("upgrade", func(t *testing.T) { tryEveryOrder(t, false) })
+	t.Run("started by somebody else", func(t *testing.T) { tryEveryOrder(t, true) })
 }
 
-func everyOrder(t *testing.T, beside bool) {
-	first := pair{oldAlive: true, oldReads: true, listens: true, old: Old{Beside: beside}}
+// tryEveryOrder explores all states that can be reached and checks in each that at most one process reads requests, and at each
+// end that one does, unless the ingress is ending.
+func tryEveryOrder(t *testing.T, isExternal bool) {
+	first := processPair{isOldAlive: true, isOldReading: true, isOldListening: true, oldProcess: OldProcess{HasExternalSuccessor: isExternal}}
 	seen := map[string]bool{}
-	work := []pair{first}
+	work := []processPair{first}
 	states := map[string]bool{}
 	for len(work) > 0 {
 		p := work[len(work)-1]
@@ -154,93 +157,93 @@
 			continue
 		}
 		seen[key] = true
-		states[p.old.State.String()], states[p.new.State.String()] = true, true
-		require.False(t, p.oldReads && p.newReads, "both read: %s", key)
-		require.LessOrEqual(t, p.told, p.asked, key)
-		next := p.steps()
-		if p.oldAlive && !p.oldReads && !p.old.ending { // someone reads, or it is still to be decided
-			require.True(t, p.old.UnderWay(), "the old process reads no more for nothing: %s", key)
+		states[p.oldProcess.State.String()], states[p.newProcess.State.String()] = true, true
+		require.False(t, p.isOldReading && p.isNewReading, "both read: %s", key)
+		require.LessOrEqual(t, p.reports, p.upgrades, key)
+		next := p.nextSteps()
+		if p.isOldAlive && !p.isOldReading && !p.oldProcess.isTerminating { // an upgrade is still to be decided, or the new process reads
+			require.True(t, p.oldProcess.IsInProgress(), "the old process has stopped reading without an upgrade: %s", key)
 		}
-		if len(next) == 0 || slices.Equal(next, []pair{p}) {
-			reads := p.oldAlive && p.oldReads || p.newUp && p.newReads
-			require.True(t, reads || !p.oldAlive && !p.newUp || p.oldDrain || p.old.ending, "the service is lost: %s", key)
+		if len(next) == 0 || slices.Equal(next, []processPair{p}) {
+			reads := p.isOldAlive && p.isOldReading || p.isNewAlive && p.isNewReading
+			require.True(t, reads || !p.isOldAlive && !p.isNewAlive || p.isOldDraining || p.oldProcess.isTerminating, "no process serves: %s", key)
 		}
 		work = append(work, next...)
 	}
-	for s := range oldStates {
+	for s := range oldStateCount {
 		require.True(t, states[s.String()], "never reached: %s", s)
 	}
-	for s := range newStates {
+	for s := range newStateCount {
 		require.True(t, states[s.String()], "never reached: %s", s)
 	}
-	t.Logf("%d situations", len(seen))
+	t.Logf("%d states", len(seen))
 }
 
-// The old process is told to end once the new one serves, by who has started that: the new one goes on, whether or
-// not the old one still has something, and it is not taken for dead by its own end.
-func TestTheEndOfAnOldProcessIsNotTheNewOnes(t *testing.T) {
-	m := Old{State: Probation, Beside: true}
-	require.Equal(t, []Action{EndOwn, StopClock, SendSettled, ReportDone}, m.Handle(EndAsked{}))
-	require.Equal(t, Emptying, m.State)
-	require.Equal(t, []Action{SayFarewell}, m.Handle(Emptied{}))
-	m = Old{State: Emptying, Beside: true}
-	require.Equal(t, []Action{EndOwn}, m.Handle(EndAsked{}))
-	require.Empty(t, m.Handle(EndAsked{}))
-	require.NotContains(t, m.Handle(PeerGone{"killed"}), Reclaim, "both were told to end, or killed")
+// Whoever started the new process ends the old one with SIGTERM once the new one serves. The new one must serve on, whether or
+// not the old one has open requests, and the old one must not take the listeners back.
+func TestTerminatingOldProcessKeepsNewOne(t *testing.T) {
+	m := OldProcess{State: Probation, HasExternalSuccessor: true}
+	require.Equal(t, []Action{DrainRemaining, StopTimer, SendSettled, ReportDone}, m.Handle(TerminateRequested{}))
+	require.Equal(t, Draining, m.State)
+	require.Equal(t, []Action{SendFarewell}, m.Handle(Drained{}))
+	m = OldProcess{State: Draining, HasExternalSuccessor: true}
+	require.Equal(t, []Action{DrainRemaining}, m.Handle(TerminateRequested{}))
+	require.Empty(t, m.Handle(TerminateRequested{}))
+	require.NotContains(t, m.Handle(PeerExited{"killed"}), ReclaimListeners, "both processes were ended")
 }
 
-// The death of the old process after all is in place must not leave the listeners to nobody.
-func TestWhoHoldsAllTakesOverFromTheDead(t *testing.T) {
-	m := New{State: Holding}
-	require.Equal(t, []Action{StopClock, Serve, Forget}, m.Handle(PeerGone{}))
-	m = New{State: Waiting}
-	require.Equal(t, []Action{Exit}, m.Handle(PeerGone{}))
+// The old process dies after the new one has restored the snapshot. The new one must serve then, or no process would.
+func TestRestoredProcessTakesOverFromDeadOne(t *testing.T) {
+	m := NewProcess{State: AwaitingCommit}
+	require.Equal(t, []Action{StopTimer, Serve, ForgetPredecessor}, m.Handle(PeerExited{}))
+	m = NewProcess{State: AwaitingSnapshot}
+	require.Equal(t, []Action{Exit}, m.Handle(PeerExited{}))
 }
 
-func TestEveryStateMeetsEveryEvent(t *testing.T) {
+func TestEveryEventInEveryState(t *testing.T) {
 	var events []Event
-	for m := range messages {
-		events = append(events, Told{Message: m, Protocol: Protocol}, Told{Message: m, Protocol: 9})
+	for m := range messageCount {
+		events = append(events, MessageReceived{Message: m, Protocol: Protocol}, MessageReceived{Message: m, Protocol: 9})
 	}
-	events = append(events, Asked{}, SpawnFailed{"x"}, Garbled{"x"}, PeerGone{"x"}, TimeUp{}, Copied{}, Emptied{}, Ready{},
-		Unfit{"x"}, RestoredAll{}, EndAsked{}, ReloadAsked{})
+	events = append(events, UpgradeRequested{}, SpawnFailed{"x"}, InvalidData{"x"}, PeerExited{"x"}, PhaseTimedOut{}, CustomersCopied{}, Drained{}, PrepareDone{},
+		TakeoverFailed{"x"}, SnapshotRestored{}, TerminateRequested{}, ReloadRequested{})
 	for _, ev := range events {
-		for s := range oldStates {
-			m := Old{State: s}
+		for s := range oldStateCount {
+			m := OldProcess{State: s}
 			actions := m.Handle(ev)
 			require.Equal(t, s == Frozen && m.State == Idle, slices.Contains(actions, Unfreeze), "%s %#v", s, ev)
-			if s >= Starting && s <= Frozen && m.State == Idle { // each failure is told, and the other one ended
+			if s >= Starting && s <= Frozen && m.State == Idle { // each failure is reported and ends the new process
 				require.Contains(t, actions, ReportFailed, "%s %#v", s, ev)
 				require.Contains(t, actions, Kill, "%s %#v", s, ev)
 				require.NotEmpty(t, m.Failure)
 			}
-			if s == Over || s == Idle && ev != (Asked{}) && ev != (EndAsked{}) {
+			if s == Finished || s == Idle && ev != (UpgradeRequested{}) && ev != (TerminateRequested{}) {
 				require.Empty(t, actions, "%s %#v", s, ev)
 			}
 		}
-		for s := range newStates {
-			m := New{State: s}
+		for s := range newStateCount {
+			m := NewProcess{State: s}
 			actions := m.Handle(ev)
-			served := s >= Trial && s <= Independent
-			require.Equal(t, served, m.Serves() && !slices.Contains(actions, Serve), "%s %#v", s, ev)
+			served := s >= OnProbation && s <= Independent
+			require.Equal(t, served, m.IsServing() && !slices.Contains(actions, Serve), "%s %#v", s, ev)
 			require.Equal(t, s != Ended && m.State == Ended, slices.Contains(actions, Exit), "%s %#v", s, ev)
 		}
 	}
 }
 
-func TestASignalDuringAnUpgrade(t *testing.T) {
+func TestSignalsDuringUpgrade(t *testing.T) {
 	for s := Starting; s <= Frozen; s++ {
-		m := Old{State: s}
-		actions := m.Handle(EndAsked{})
+		m := OldProcess{State: s}
+		actions := m.Handle(TerminateRequested{})
 		require.Equal(t, Drain, actions[len(actions)-1])
 		require.Equal(t, Idle, m.State)
-		require.Empty(t, m.Handle(Asked{}), "nothing is started on the way out")
+		require.Empty(t, m.Handle(UpgradeRequested{}), "no upgrade starts while the ingress ends")
 	}
-	m := Old{State: Probation}
-	require.Equal(t, []Action{SendTerminate}, m.Handle(EndAsked{}))
-	require.NotContains(t, m.Handle(PeerGone{"exit 0"}), Reclaim, "its end was asked for")
-	m = Old{State: Copying}
-	m.Handle(ReloadAsked{})
+	m := OldProcess{State: Probation}
+	require.Equal(t, []Action{SendTerminate}, m.Handle(TerminateRequested{}))
+	require.NotContains(t, m.Handle(PeerExited{"exit 0"}), ReclaimListeners, "its end was requested")
+	m = OldProcess{State: Copying}
+	m.Handle(ReloadRequested{})
 	m.State = Frozen
-	require.Contains(t, m.Handle(Told{Message: Restored}), SendReload, "it may have read the old configuration")
+	require.Contains(t, m.Handle(MessageReceived{Message: Restored}), SendReload, "the new process may have read the old configuration")
 }
