--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -8,21 +8,22 @@
 
 // queuedUpdate is an update to be disseminated on the next messages.
 type queuedUpdate struct {
-	update        Update
-	transmitsLeft int // number of messages that are still to carry it
+	update             Update
+	remainingTransmits int // number of messages that are still to carry it
 }
 
-// receive processes a message: it records the sender as heard, handles the updates and replies. A message without a
+// receive processes a message: it records that the sender was heard, handles the updates and replies. A message without a
 // sender, or from the node itself, is ignored.
 func (n *Node) receive(now time.Duration, msg Message) {
 	from := msg.From
 	if from == "" || from == n.cfg.Name {
 		return
 	}
-	n.lastHeard[from], n.leftDigests[from] = max(now, 1), msg.LeftDigest
+	n.lastHeard[from], n.leftDigests[from] = max(now, 1), msg.LeftDigest // 0 means never heard
 	for _, u := range msg.Updates {
-		// A leave counts only once this node has the same view of who left as the leaving member, which could otherwise
-		// be the last to know that another member returned.
+		// A member's own leave is accepted only when this node and that member agree on which other members left.
+		// Otherwise the leaving member could be the last one to know that another member returned, and that
+		// knowledge would be lost.
 		if u.Name == from && u.State == Left && msg.LeftDigest != n.members.leftDigest(from) {
 			continue
 		}
@@ -73,13 +74,13 @@
 	case u.Incarnation > n.incarnation || u.Incarnation == n.incarnation && u.State != Alive:
 		n.incarnation = u.Incarnation + 1
 		n.apply(Update{Name: n.cfg.Name, Incarnation: n.incarnation, State: Alive}, now)
-	case u.Incarnation >= n.cfg.Incarnation && u.State != Left:
+	case u.Incarnation >= n.cfg.Incarnation && u.State != Left: // the sender holds the incarnation of this process
 		n.confirmed[from] = true
 	}
 }
 
-// apply enters an update in the view and, if that changed the view, queues it in place of an older update of the same
-// member. It is sent 3*ceil(log2(members+1)) times.
+// apply enters an update in the view. If that changed the view, the update replaces an older one of the same member in the
+// queue and is sent on the next 3*ceil(log2(members+1)) messages that have room for it.
 func (n *Node) apply(u Update, now time.Duration) {
 	if !n.members.apply(u, now) {
 		return
@@ -91,7 +92,7 @@
 		}
 	}
 	transmits := 3 * int(math.Ceil(math.Log2(float64(len(n.members.view.Members)+1))))
-	n.queue = append(n.queue, queuedUpdate{update: u, transmitsLeft: transmits})
+	n.queue = append(n.queue, queuedUpdate{update: u, remainingTransmits: transmits})
 }
 
 // sendView sends the whole view to a member in Sync messages of up to MaxUpdates members each.
@@ -130,7 +131,7 @@
 	}
 	for i := len(n.queue) - 1; i >= 0 && len(msg.Updates) < n.cfg.MaxUpdates; i-- {
 		msg.Updates = append(msg.Updates, n.queue[i].update)
-		if n.queue[i].transmitsLeft--; n.queue[i].transmitsLeft <= 0 {
+		if n.queue[i].remainingTransmits--; n.queue[i].remainingTransmits <= 0 {
 			n.queue = append(n.queue[:i], n.queue[i+1:]...)
 		}
 	}
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -49,20 +49,21 @@
 
 	lastSeq         uint64
 	nextProbeAt     time.Duration
-	probe           *probe   // nil: none in progress
-	probeOrder      []string // targets that are left in this round
-	nextSuspectPing time.Duration
-	nextDeadPing    time.Duration
+	probe           *probe           // nil: none in progress
+	probeOrder      []string         // targets that are still to be probed in this round
+	nextSuspectPing time.Duration    // earliest time of the next ping of a suspect
+	nextDeadPing    time.Duration    // earliest time of the next ping of a dead member
 	relays          map[uint64]relay // by sequence number of the ping
 	recentPings     []sentPing       // at most maxRecentPings, oldest first
 	rtt             struct{ mean, deviation time.Duration }
-	// missRate is a moving average, from 0 to 1, of the probes of alive members whose first ping was not answered in time.
+	// missRate is the exponential moving average, from 0 to 1, of the fraction of probes of alive members whose first ping
+	// was not answered in time.
 	missRate float64
 
 	// Dissemination, and what other members are known to hold.
 
 	queue []queuedUpdate // oldest first
-	// lastHeard is the time of the last message of each member, or of a forwarded ack that showed it alive.
+	// lastHeard is the time of the last message of each member, or of a forwarded ack that showed it alive; 0: never heard.
 	lastHeard   map[string]time.Duration
 	confirmed   map[string]bool   // members known to hold this node's incarnation
 	leftDigests map[string]uint64 // the last LeftDigest that each member sent
@@ -118,7 +119,8 @@
 	return n.outbox
 }
 
-// maxAnnouncementPings is the maximum number of members that announce pings at a time; it runs once in a ProbePeriod.
+// maxAnnouncementPings is the maximum number of members that one call of announce pings. It is called on a Join and at most
+// once in each ProbePeriod.
 const maxAnnouncementPings = 8
 
 // announce pings members that are not known to hold this node's incarnation. The node has no share of a joint budget until
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	maxAckPeriods = 2 // maximum of ackTimeout, in probe periods
+	maxAckTimeoutPeriods = 2 // maximum of ackTimeout, in probe periods
 
 	// Weights of a sample in the mean round trip and in its deviation, and the factor of the deviation in ackTimeout: the
 	// values of RFC 6298.
@@ -16,12 +16,12 @@
 
 	missRateWeight = 1.0 / 8 // weight of a probe in Node.missRate
 
-	// missRateThreshold is the missRate above which this node's own links are taken to lose messages, and not one other
-	// member to be gone.
+	// missRateThreshold is the missRate above which the cause is taken to be message loss on this node's own links, rather
+	// than the failure of a single other member.
 	missRateThreshold = 0.2
-	// suspicionStretchFactor is the increase of the suspicion timeout, as a multiple of Config.SuspicionTimeout, for each 1.0
-	// of missRate above the threshold.
-	suspicionStretchFactor = 4.0
+	// suspicionTimeoutFactor lengthens the suspicion timeout: by this factor times Config.SuspicionTimeout times the
+	// amount by which missRate exceeds missRateThreshold.
+	suspicionTimeoutFactor = 4.0
 )
 
 // probe is the probe in progress, of one member.
@@ -56,10 +56,10 @@
 }
 
 // ackTimeout returns how long to wait for the answer to a ping: Config.AckTimeout, or longer where round trips are slow, by
-// the formula of a TCP retransmission timer, up to maxAckPeriods. Thus a slow network alone makes no member suspect for
-// long.
+// the formula of a TCP retransmission timer (RFC 6298), up to maxAckTimeoutPeriods. So a slow network
+// alone makes no member suspect for long.
 func (n *Node) ackTimeout() time.Duration {
-	return min(max(n.cfg.AckTimeout, n.rtt.mean+rttDeviationFactor*n.rtt.deviation), maxAckPeriods*n.cfg.ProbePeriod)
+	return min(max(n.cfg.AckTimeout, n.rtt.mean+rttDeviationFactor*n.rtt.deviation), maxAckTimeoutPeriods*n.cfg.ProbePeriod)
 }
 
 // observeRTT adds a round trip to the moving averages of the round trip and its deviation.
@@ -76,7 +76,7 @@
 // suspicionTimeout returns how long a suspect may stay unheard before it is declared dead. It is longer while many of this
 // node's own pings are lost, like the local health multiplier of Lifeguard.
 func (n *Node) suspicionTimeout() time.Duration {
-	return time.Duration(float64(n.cfg.SuspicionTimeout) * (1 + suspicionStretchFactor*max(0, n.missRate-missRateThreshold)))
+	return time.Duration(float64(n.cfg.SuspicionTimeout) * (1 + suspicionTimeoutFactor*max(0, n.missRate-missRateThreshold)))
 }
 
 // handleAck matches an ack by its sequence number to this node's recent pings, the probe in progress and the relays. An ack
@@ -88,7 +88,7 @@
 		}
 	}
 	if p := n.probe; p != nil && seq == p.seq {
-		n.lastHeard[p.target] = max(now, 1) // from the target or forwarded by another member
+		n.lastHeard[p.target] = max(now, 1) // from the target or forwarded by another member; 0 means never heard
 		if n.probe = nil; !p.isIndirect {
 			n.missRate -= missRateWeight * n.missRate
 		}
@@ -102,9 +102,9 @@
 // tick checks the probe in progress, the suspects and the dead members, drops expired relays and starts the next probe when
 // it is due.
 func (n *Node) tick(now time.Duration) {
-	wait := n.ackTimeout()
-	n.checkProbe(now, wait)
-	n.checkUnreachable(now, wait)
+	ackTimeout := n.ackTimeout()
+	n.checkProbe(now, ackTimeout)
+	n.checkUnreachable(now, ackTimeout)
 	for seq, r := range n.relays {
 		if now >= r.expiresAt {
 			delete(n.relays, seq)
@@ -124,9 +124,9 @@
 	n.announce(now)
 }
 
-// checkProbe makes a probe indirect if its target was not heard in time, and suspects the target if it is not heard by the end
-// of the probe either.
-func (n *Node) checkProbe(now, wait time.Duration) {
+// checkProbe repeats a probe, directly and through other members, if its target was not heard within ackTimeout. A probe
+// without an answer ends after a ProbePeriod, or 2*ackTimeout if that is longer; its target, if alive, becomes suspect.
+func (n *Node) checkProbe(now, ackTimeout time.Duration) {
 	p := n.probe
 	if p == nil {
 		return
@@ -136,16 +136,16 @@
 	switch isHeard := n.lastHeard[p.target] >= p.sentAt; {
 	case isHeard && p.isIndirect: // any message of the target counts, and a forwarded ack
 		n.probe = nil
-	case !isHeard && !p.isIndirect && now-p.sentAt >= wait:
+	case !isHeard && !p.isIndirect && now-p.sentAt >= ackTimeout:
 		p.isIndirect = true
 		if isAlive {
 			n.missRate += missRateWeight * (1 - n.missRate)
 		}
-		for _, helper := range n.pickAlive(n.cfg.IndirectProbes, p.target) {
-			n.send(helper, Message{Kind: PingReq, Seq: p.seq, Target: p.target})
+		for _, member := range n.pickAlive(n.cfg.IndirectProbes, p.target) {
+			n.send(member, Message{Kind: PingReq, Seq: p.seq, Target: p.target})
 		}
 		n.ping(p.target, now)
-	case now-p.sentAt >= max(n.cfg.ProbePeriod, 2*wait):
+	case now-p.sentAt >= max(n.cfg.ProbePeriod, 2*ackTimeout):
 		if isAlive && !isHeard {
 			n.apply(Update{Name: target.Name, Incarnation: target.Incarnation, State: Suspect}, now)
 		}
@@ -156,7 +156,7 @@
 // checkUnreachable declares the suspects dead that were not heard for suspicionTimeout, and pings one random suspect and one
 // random dead member when due. The ping carries the suspicion, whichever member raised it, so that the suspect can refute. Dead
 // members are pinged because nothing else detects that a partition has healed.
-func (n *Node) checkUnreachable(now, wait time.Duration) {
+func (n *Node) checkUnreachable(now, ackTimeout time.Duration) {
 	var suspects, dead []string
 	for _, m := range n.members.view.Members {
 		switch m.State {
@@ -171,7 +171,7 @@
 		}
 	}
 	if len(suspects) > 0 && now >= n.nextSuspectPing && !n.hasLeft {
-		n.nextSuspectPing = now + wait
+		n.nextSuspectPing = now + ackTimeout
 		n.ping(suspects[n.rng.IntN(len(suspects))], now)
 	}
 	if len(dead) > 0 && now >= n.nextDeadPing && !n.hasLeft {
--- a/internal/membership/share.go
+++ b/internal/membership/share.go
@@ -3,9 +3,9 @@
 import "time"
 
 // The shares of a joint budget must never add up to more than the whole budget, whatever members are partitioned from each
-// other and however their views differ. So a share grows only when a member has left permanently, a larger share is held on
-// a lease that ends unless every other member is heard, and a member that returns waits until no such lease can count it out
-// any more.
+// other and however their views differ. So a share grows only when a member has left permanently. The larger share is held on
+// a lease that ends unless every other member is heard. A member that returns takes no share until every lease that was
+// granted without it must have ended.
 
 // leaseDuration returns how long a member's last message keeps the view valid: the time in which each member is probed by
 // this node and probes it.
@@ -15,7 +15,7 @@
 
 // Absent returns the names, in order, of the members that no longer share joint budgets: those that left. It returns nil
 // unless the node is settled, has heard every other member within leaseDuration, and each of them then reported the same
-// members as left. Otherwise the node may not know of a member that returned, so it counts all members in again.
+// members as left. Otherwise a member may have returned without this node's knowledge, so all members share again.
 func (n *Node) Absent(now time.Duration) []string {
 	var absent []string
 	ownDigest := n.members.leftDigest(n.cfg.Name)
@@ -34,18 +34,19 @@
 	return absent
 }
 
-// IsSettled reports whether this node may use its share of a joint budget. Other members may still count it out if it left in
-// an earlier incarnation. So each member must be known to hold the present incarnation, have left, or have been dead for
-// longer than leaseDuration, after which it counts all members in again. At least one must hold it if the node has seeds or
-// knows other members, since a node that hears no member can't know whether it is counted out.
+// IsSettled reports whether this node may use its share of a joint budget. If the node left in an earlier incarnation, other
+// members may still divide the budget without it. So each other member must be known to hold the present incarnation, have
+// left, or have been dead for longer than leaseDuration, after which that member divides the budget among all members again.
+// If the node has seeds or knows other members, at least one of them must hold the present incarnation, since a node that
+// hears no member can't know whether they divide the budget without it.
 func (n *Node) IsSettled(now time.Duration) bool {
 	if n.hasLeft {
 		return false
 	}
-	if n.cfg.IsSettledSuccessor { // other members count out only a member that left
+	if n.cfg.IsSettledSuccessor { // other members divide the budget without a member only if it left
 		return true
 	}
-	if len(n.members.view.Members) < n.cfg.MinMembers { // an unknown member may count it out
+	if len(n.members.view.Members) < n.cfg.MinMembers { // an unknown member may divide the budget without this node
 		return false
 	}
 	isConfirmed := len(n.seeds) == 0 && len(n.members.view.Members) == 1
@@ -66,8 +67,8 @@
 	if !n.IsSettled(now) {
 		return 0
 	}
-	// Members that are not in the settings share too; those that left do not once every member knows it. A dead member
-	// still shares, since it may only be partitioned and go on sending.
+	// Members that are not in the settings share too. Members that left no longer share once every member knows that
+	// they left. A dead member still shares, since it may only be partitioned and go on sending.
 	return 1 / float64(max(1, max(len(n.members.view.Members), n.cfg.MinMembers)-len(n.Absent(now))))
 }
 
--- a/internal/membership/swim_test.go
+++ b/internal/membership/swim_test.go
@@ -292,7 +292,7 @@
 					return side[a] != side[b] && (!oneWay || side[a])
 				}
 			}
-			name := fmt.Sprintf("n%d", rapid.IntRange(0, n-1).Draw(t, "who"))
+			name := fmt.Sprintf("n%d", rapid.IntRange(0, n-1).Draw(t, "member"))
 			switch rapid.IntRange(0, 3).Draw(t, "act") {
 			case 0:
 				if !hasLeft[name] {
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -9,7 +9,7 @@
 	"ferryfront.example/ferryfront/internal/wire"
 )
 
-// MaxDatagramBytes is the maximum size of a message between ingresses, which the platform limits.
+// MaxDatagramBytes is the size of the largest message that the platform carries between ingresses.
 const MaxDatagramBytes = 256
 
 // Field numbers of a message and of an update, in protobuf's wire format.
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -12,11 +12,11 @@
 func TestMessageRoundTripsWithinADatagram(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		msg := Message{Kind: Kind(rapid.IntRange(0, int(JoinRequest)).Draw(t, "kind")), From: "ingress-0",
-			LeftDigest: rapid.Uint64().Draw(t, "out"), Seq: rapid.Uint64().Draw(t, "seq"),
+			LeftDigest: rapid.Uint64().Draw(t, "left digest"), Seq: rapid.Uint64().Draw(t, "seq"),
 			Target: rapid.StringMatching(`(n[0-9]{1,3})?`).Draw(t, "target")}
 		for i := range rapid.IntRange(0, 40).Draw(t, "updates") {
 			msg.Updates = append(msg.Updates, Update{Name: fmt.Sprintf("ingress-%d", i),
-				Incarnation: rapid.Uint64().Draw(t, "inc"), State: State(rapid.IntRange(0, int(Left)).Draw(t, "state"))})
+				Incarnation: rapid.Uint64().Draw(t, "incarnation"), State: State(rapid.IntRange(0, int(Left)).Draw(t, "state"))})
 		}
 		b := Append(nil, msg)
 		require.LessOrEqual(t, len(b), MaxDatagramBytes)
--- a/internal/net/controlclient/client.go
+++ b/internal/net/controlclient/client.go
@@ -62,7 +62,7 @@
 
 	replica     int           // index of the replica that is, or is next to be, connected
 	backoff     time.Duration // before the last redial; 0 once a replica has sent a message
-	conn        *connection   // nil between two connections
+	conn        *connection   // nil if there is none
 	redialTimer *loop.Timer
 	tickTimer   *loop.Timer   // nil while the member waits for no tick
 	tickAt      time.Duration // time of tickTimer
@@ -82,7 +82,7 @@
 	client := &Client{loop: l, limits: lim, log: log, cfg: c, replica: c.IngressIndex % len(c.Replicas), logsNextConnect: true,
 		rng: rand.New(rand.NewPCG(c.Seed, uint64(c.IngressIndex)))}
 	client.dial()
-	client.schedule()
+	client.scheduleTick()
 	return client
 }
 
@@ -98,11 +98,11 @@
 func (c *Client) Counts() Counts { return c.counts }
 
 // Send sends messages that the member produced outside of the client. They are dropped if no replica is connected.
-func (c *Client) Send(list []controlgroup.Message) {
+func (c *Client) Send(messages []controlgroup.Message) {
 	if c.conn != nil && c.conn.isUp {
-		c.conn.send(list)
+		c.conn.send(messages)
 	}
-	c.schedule()
+	c.scheduleTick()
 }
 
 // Close closes the connection by a reset, so that the leases are not taken for given up. It is safe on nil and after GiveUp.
@@ -113,7 +113,7 @@
 	c.stop()
 	c.conn.reset()
 	c.conn = nil
-	c.finish()
+	c.runGiveUpCallback()
 }
 
 // GiveUp makes the member give up its leases and closes the connection in the orderly way, which the replica takes as proof of
@@ -134,7 +134,7 @@
 	if c.conn == nil || !c.conn.isUp {
 		c.conn.reset()
 		c.conn = nil
-		c.finish()
+		c.runGiveUpCallback()
 		return
 	}
 	c.giveUpTimer = c.loop.After(c.limits.ControlReleaseTimeout, c.finishGiveUp)
@@ -149,17 +149,17 @@
 }
 
 // finishGiveUp closes the connection of GiveUp, once the replica has closed its side or the timeout has passed. The FIN was
-// sent before, unless the replica did not read what precedes it.
+// already sent, unless the replica did not read the messages that are sent before it.
 func (c *Client) finishGiveUp() {
 	if c.conn != nil {
 		c.conn.close()
 		c.conn = nil
 	}
-	c.finish()
+	c.runGiveUpCallback()
 }
 
-// finish calls the callback of GiveUp, once.
-func (c *Client) finish() {
+// runGiveUpCallback stops the timer of GiveUp and calls its callback, at most once.
+func (c *Client) runGiveUpCallback() {
 	c.giveUpTimer.Stop()
 	if done := c.onGaveUp; done != nil {
 		c.onGaveUp = nil
@@ -170,8 +170,8 @@
 // noDeadline is returned by Member.Due if no tick is due.
 const noDeadline = time.Duration(math.MaxInt64)
 
-// schedule sets the timer for the member's next tick.
-func (c *Client) schedule() {
+// scheduleTick sets the timer for the member's next tick.
+func (c *Client) scheduleTick() {
 	at := c.cfg.Member.Due()
 	if c.isClosed || at == c.tickAt {
 		return
@@ -191,7 +191,7 @@
 	c.cfg.OnChange(now)
 }
 
-// dial starts a connection to the current replica. A failure to start one counts as a lost replica.
+// dial starts a connection to the current replica. If that fails at once, the replica counts as lost.
 func (c *Client) dial() {
 	conn := &connection{client: c}
 	fd, err := loop.Dial(c.cfg.Replicas[c.replica])
@@ -215,7 +215,7 @@
 	c.counts.Connections++
 	c.conn.startSilenceTimer(c.limits.ControlFirstMessageTimeout)
 	c.conn.send(c.cfg.Member.Connected(c.loop.Now()))
-	c.schedule()
+	c.scheduleTick()
 }
 
 // handleActive records that the replica has sent a message, which resets the backoff.
@@ -227,13 +227,13 @@
 	c.isFailing, c.logsNextConnect = false, false
 }
 
-// fail resets the connection and, unless the client is closed, schedules one to the next replica.
+// fail resets the connection and, unless the client is closed, schedules a connection to the next replica.
 func (c *Client) fail(cause error) {
 	wasUp := c.conn.isUp
 	c.conn.reset()
 	c.conn = nil
 	if c.isClosed {
-		c.finish()
+		c.runGiveUpCallback()
 		return
 	}
 	now := c.loop.Now()
@@ -241,11 +241,11 @@
 		c.cfg.Member.Disconnected(now)
 	}
 	c.scheduleRedial(cause)
-	c.schedule()
+	c.scheduleTick()
 	c.cfg.OnChange(now)
 }
 
-// lossLogInterval is the minimum time between two warnings of a lost replica.
+// lossLogInterval is the minimum time between two warnings that a replica was lost.
 const lossLogInterval = 10 * time.Second
 
 // scheduleRedial schedules a connection to the next replica. The backoff doubles with each failure in a row; the wait is
@@ -263,7 +263,7 @@
 }
 
 // replicaStep returns the distance to the next replica, modulo their number. Half of the ingresses of a replica go through
-// the list in one direction and half in the other, so that both neighbours of a lost replica share its ingresses.
+// the list forwards and half backwards, so that the ingresses of a lost replica are spread over both of its neighbours.
 func (c *Client) replicaStep() int {
 	n := len(c.cfg.Replicas)
 	if c.cfg.IngressIndex/n%2 == 1 {
--- a/internal/net/controlclient/client_test.go
+++ b/internal/net/controlclient/client_test.go
@@ -30,7 +30,7 @@
 }
 
 // openClient opens a client; change, unless nil, may change its limits first.
-func openClient(t *testing.T, number int, change func(*limits.Limits), replicas ...string) *clientFixture {
+func openClient(t *testing.T, ingressIndex int, change func(*limits.Limits), replicas ...string) *clientFixture {
 	l, err := loop.New()
 	require.NoError(t, err)
 	lim, err := limits.For(limits.Site{Sockets: 256})
@@ -40,7 +40,7 @@
 	}
 	s := &clientFixture{loop: l, limits: lim, member: &member{}}
 	s.member.due = noDeadline
-	s.client = Open(l, lim, slog.New(slog.NewTextHandler(&s.log, nil)), Config{Replicas: replicas, IngressIndex: number, Seed: 1,
+	s.client = Open(l, lim, slog.New(slog.NewTextHandler(&s.log, nil)), Config{Replicas: replicas, IngressIndex: ingressIndex, Seed: 1,
 		Member: s.member, OnChange: func(time.Duration) {
 			if s.changeCount++; s.onChange != nil {
 				s.onChange()
--- a/internal/net/controlclient/connection.go
+++ b/internal/net/controlclient/connection.go
@@ -20,7 +20,7 @@
 	received        []byte // start of an incomplete message
 	unsent          []byte
 	silenceTimer    *loop.Timer
-	awaitingSince   time.Duration // when the first message was sent that isAwaitingReply is about
+	awaitingSince   time.Duration // when the first of the messages was sent that isAwaitingReply refers to
 }
 
 // startSilenceTimer sets the time within which the connection must be established or the replica must send something.
@@ -29,9 +29,10 @@
 	c.silenceTimer = c.client.loop.After(timeout, c.handleSilence)
 }
 
-// handleSilence moves on to the next replica after a silence. It first waits until a replica that was sent messages has had
-// ControlFirstMessageTimeout to answer: a process that was stopped, or got no processor time, sent nothing meanwhile that the
-// replica would have answered, and keeps a connection that works.
+// handleSilence fails the connection when the silence timer expires, unless the first message that is unanswered was sent
+// less than ControlFirstMessageTimeout ago; then it waits for the rest of that time. If this process was stopped or got no
+// processor time, it sent nothing that the replica could have answered, so its own pause must not end a connection that
+// works.
 func (c *connection) handleSilence() {
 	remaining := c.awaitingSince + c.client.limits.ControlFirstMessageTimeout - c.client.loop.Now()
 	if c.isAwaitingReply && remaining > 0 {
@@ -76,11 +77,11 @@
 func (c *connection) isCurrent() bool { return c.client.conn == c }
 
 // send encodes messages and writes what the socket takes.
-func (c *connection) send(list []controlgroup.Message) {
-	for _, m := range list {
+func (c *connection) send(messages []controlgroup.Message) {
+	for _, m := range messages {
 		c.unsent = controlgroup.Append(c.unsent, m)
 	}
-	if len(list) > 0 && !c.isAwaitingReply {
+	if len(messages) > 0 && !c.isAwaitingReply {
 		c.isAwaitingReply, c.awaitingSince = true, c.client.loop.Now()
 	}
 	c.flush()
@@ -169,7 +170,7 @@
 		}
 	}
 	c.received = append(c.received[:0], rest...)
-	c.client.schedule()
+	c.client.scheduleTick()
 }
 
 // handleMessage passes a message to the member and sends its answers. It reports whether the connection is still open. OnChange
--- a/internal/net/controlclient/replica_test.go
+++ b/internal/net/controlclient/replica_test.go
@@ -150,10 +150,10 @@
 }
 
 // sendMessages returns a serve function that writes the messages.
-func sendMessages(list ...controlgroup.Message) func(net.Conn, int) {
+func sendMessages(messages ...controlgroup.Message) func(net.Conn, int) {
 	return func(c net.Conn, _ int) {
 		var b []byte
-		for _, m := range list {
+		for _, m := range messages {
 			b = controlgroup.Append(b, m)
 		}
 		_, _ = c.Write(b)
