--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -102,9 +102,9 @@
 // tick checks the probe in progress, the suspects and the dead members, drops expired relays and starts the next probe when
 // it is due.
 func (n *Node) tick(now time.Duration) {
-	ackTimeout := n.ackTimeout()
-	n.checkProbe(now, ackTimeout)
-	n.checkUnreachable(now, ackTimeout)
+	timeout := n.ackTimeout()
+	n.checkProbe(now, timeout)
+	n.checkUnreachable(now, timeout)
 	for seq, r := range n.relays {
 		if now >= r.expiresAt {
 			delete(n.relays, seq)
