--- a/internal/settings/combine.go
+++ b/internal/settings/combine.go
@@ -13,8 +13,9 @@
 // localKeys are the fields of the settings that differ between ingresses. They are not part of a version.
 var localKeys = []string{"me", "zone"}
 
-// Shared returns the part of the settings that all ingresses have in common. Its form does not depend on how raw was
-// written: JSON with sorted keys. It returns an error if raw is not a JSON object.
+// Shared returns the part of the settings that all ingresses have in common, as JSON with sorted keys and without white
+// space: its hash must not depend on how raw is laid out. Numbers stay as they are written. It returns an error if raw is
+// not a JSON object.
 func Shared(raw []byte) ([]byte, error) {
 	fields, err := parseObject(raw)
 	if err != nil {
@@ -26,8 +27,8 @@
 	return json.Marshal(fields)
 }
 
-// Localize returns the shared part of settings with the fields of this ingress added, which it takes from the ingress's
-// own settings. It returns an error if either is not a JSON object.
+// Localize returns the shared part of settings, completed by the localKeys fields of own, the settings of this ingress.
+// It returns an error if either is not a JSON object.
 func Localize(shared, own []byte) ([]byte, error) {
 	combined, err := parseObject(shared)
 	if err != nil {
@@ -70,9 +71,10 @@
 	return min(a, b)
 }
 
-// Stricter returns settings that allow nothing that either of the two forbids: the lower of each limit, and for each
-// class the effect that allows fewer repeats. What is not a limit is taken from newer. Classes and plans that only one
-// of the two has are included.
+// Stricter returns settings that allow nothing that either of the two forbids: the lower of each limit, what is
+// permitted only if both permit it, and for each class the effect and the scope that allow fewer repeats. Gateways,
+// MaxUnits and WarmUpTime take the higher value: a larger fleet, larger requests and a longer warm-up are the stricter
+// assumptions. What is not a limit is taken from newer. Classes and plans that only one of the two has are included.
 func Stricter(older, newer admission.Settings) admission.Settings {
 	s := newer
 	s.Gateways = max(older.Gateways, newer.Gateways)
--- a/internal/settings/merge.go
+++ b/internal/settings/merge.go
@@ -10,9 +10,9 @@
 // their index, because metrics and open streams still refer to it.
 const maxNames = 256
 
-// KeepIndexes returns next with the classes and plans at the indexes that those of the same name have in previous. Those
-// that next does not have any more are marked as removed, and new ones are appended. It returns an error if a name
-// occurs twice in next, or if there are more than maxNames.
+// KeepIndexes returns next with its classes and plans reordered: each keeps the index that its name has in previous, and
+// new ones are appended. Those that only previous has stay, marked as removed. It returns an error if a name occurs
+// twice in next, or if there are more than maxNames.
 func KeepIndexes(previous, next admission.Settings) (admission.Settings, error) {
 	var err error
 	next.Classes, err = mergeByName("classes", previous.Classes, next.Classes, func(c *admission.Class) (string, *bool) { return c.Name, &c.IsRemoved })
@@ -26,8 +26,8 @@
 	return next, nil
 }
 
-// mergeByName does for one list what KeepIndexes describes. field is its name for errors; identify returns an element's
-// name and its mark of removal.
+// mergeByName merges one list as KeepIndexes describes. Errors call the list field. identify returns the name of an
+// element and a pointer to its IsRemoved field.
 func mergeByName[T any](field string, previous, next []T, identify func(*T) (name string, isRemoved *bool)) ([]T, error) {
 	indexes := map[string]int{}
 	merged := make([]T, len(previous), len(previous)+len(next))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -28,7 +28,8 @@
 	scopes = map[string]admission.Scope{
 		"all": admission.ScopeAll, "": admission.ScopeAll, "zone": admission.ScopeZone, "cell": admission.ScopeCell,
 	}
-	// reportNames maps the field names of load reports to those of the decision module. Other names stay as they are.
+	// reportNames maps the field names of load reports to the usual names, which the decision module expects. Other
+	// names stay as they are.
 	reportNames = map[string]string{
 		"active": "inflight", "waiting": "queued", "cpu": "utilization", "avg_ms": "latency_ms",
 		"rps": "rate", "err_rps": "errors",
@@ -44,8 +45,8 @@
 	err   *error
 }
 
-// NewReader returns a reader of the fields of v, an object that errors call path. It is an error if v is nil or not an
-// object.
+// NewReader returns a reader of the fields of v, an object that errors call path. It records an error if v is nil or not
+// an object.
 func NewReader(v *fastjson.Value, path string) Reader {
 	r := Reader{value: v, path: path, err: new(error)}
 	if v == nil || v.Type() != fastjson.TypeObject {
@@ -57,7 +58,7 @@
 // Err returns the first error.
 func (r Reader) Err() error { return *r.err }
 
-// FieldPath returns the full name of a field, from the root of the document; of the object itself if key is empty.
+// FieldPath returns the full name of a field, from the root of the document, or that of the object if key is empty.
 func (r Reader) FieldPath(key string) string {
 	if key == "" || r.path == "" {
 		return r.path + key
@@ -95,7 +96,7 @@
 // Has reports whether a field is present and not null.
 func (r Reader) Has(key string) bool { return r.field(key) != nil }
 
-// AllowOnly records an error if the object has a field other than those.
+// AllowOnly records an error if the object has a field that is not among keys.
 func (r Reader) AllowOnly(keys ...string) {
 	if r.value == nil || r.value.Type() != fastjson.TypeObject {
 		return
@@ -120,7 +121,7 @@
 	return f
 }
 
-// Int returns a whole number of at most 2^53 either way, or 0 if it is absent.
+// Int returns a whole number from -2^53 to 2^53, or 0 if it is absent.
 func (r Reader) Int(key string) int {
 	f := r.Float(key)
 	if f != math.Trunc(f) || math.Abs(f) > 1<<53 {
@@ -166,7 +167,7 @@
 	return string(b)
 }
 
-// Object returns a reader of a nested object. If the object is absent, so are all its fields.
+// Object returns a reader of a nested object. If the object is absent, all its fields read as absent.
 func (r Reader) Object(key string) Reader {
 	v := r.field(key)
 	if v != nil && v.Type() != fastjson.TypeObject {
@@ -225,8 +226,8 @@
 	return Read(NewReader(v, "params"))
 }
 
-// Read reads settings from an object of a larger document. It returns the first error of the reader, which may stem from
-// an earlier read.
+// Read reads settings from an object of a larger document. It returns the first error that the reader has recorded,
+// possibly before this call.
 func Read(p Reader) (admission.Settings, error) {
 	p.Require("balancers", "me", "period", "limits", "rules")
 	limits, rules, extra, stats := p.Object("limits"), p.Object("rules"), p.Object("extra"), p.Object("stats")
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -43,13 +43,13 @@
 type Config struct {
 	Self     string // name of this member
 	Document string // name of the document; a node ignores messages about another
-	Seed     uint64 // of the choice of members that get a periodic report
-	// ReportInterval is the time between two reports that a member sends unprompted.
+	Seed     uint64 // seeds the random choice of the members that get a periodic report
+	// ReportInterval is the time between periodic reports, each to a member chosen at random.
 	ReportInterval time.Duration
 	// RetryInterval is the time after which missing chunks are requested again.
 	RetryInterval time.Duration
-	// Lease is the time without a report from any other member after which a member is cut off, and the maximum time
-	// that a starting member waits for the others' versions.
+	// Lease is the time after which a member that receives no reports counts as cut off. It is also the maximum time
+	// that a starting member waits for the versions of the others.
 	Lease time.Duration
 	// Check returns an error if a content can't be applied.
 	Check         func(text []byte) error
@@ -60,9 +60,9 @@
 const (
 	// maxOwnActive is the number of active versions at which a member stops accepting further ones from its host.
 	maxOwnActive = 4
-	// maxActive is the maximum number of active versions, which is what a message can list. It exceeds maxOwnActive
-	// because members that can't reach each other may each accept some from their hosts: a member that could not
-	// take over a version that is active alone elsewhere would block all rollouts.
+	// maxActive is the maximum number of active versions, limited by what a message can list. It exceeds
+	// maxOwnActive because members that can't reach each other may each accept some from their hosts: a member that
+	// could not add a version that is the only active one of another member would block all rollouts.
 	maxActive = 10
 )
 
@@ -72,7 +72,7 @@
 // MaxNumber is the highest number of a version.
 const MaxNumber = 1<<32 - 1
 
-// maxChunksInFlight is the maximum number of chunks requested at a time.
+// maxChunksInFlight is the maximum number of chunks that are requested and not yet received.
 const maxChunksInFlight = 8
 
 // Kind is the kind of a [Message]. Its values are part of the wire format.
@@ -82,7 +82,7 @@
 	KindReport Kind = iota // the sender's active versions; the receiver may reply
 	KindFetch              // requests the chunk ChunkIndex of Version
 	KindChunk              // the chunk ChunkIndex of Version
-	KindReply              // a report in answer to a report, which gets no reply itself
+	KindReply              // like KindReport, but sent in answer to one; the receiver never replies
 )
 
 // Message is a message between members. Which fields it has depends on its kind.
@@ -109,7 +109,7 @@
 // memberReport is the last report or reply of another member.
 type memberReport struct {
 	active     []Version // oldest first
-	rejected   Version
+	rejected   Version   // newest version that it rejected; zero: none
 	receivedAt time.Duration
 }
 
@@ -197,7 +197,8 @@
 	return len(n.reports) > 0 && n.fetch == nil
 }
 
-// SetMembers sets the other members that have not left, and returns a report to each new one.
+// SetMembers sets the other members that have not left. It returns a report to each new one, and reports to all if
+// active versions are dropped because of members that have left.
 func (n *Node) SetMembers(others []string, now time.Duration) []Outgoing {
 	n.outgoing = n.outgoing[:0]
 	if slices.Equal(others, n.others) {
@@ -218,8 +219,9 @@
 }
 
 // Offer activates a version that this member gets from its host, such as from a file, and returns the reports about it.
-// It returns nil for the newest active version. It returns [ErrTooManyRollouts] if the member is full, and another
-// error if the version can't succeed the newest or its content is rejected; the active versions then stay.
+// It returns nil for the newest active version. It returns [ErrTooManyRollouts] if the member has too many active
+// versions, and an error that names the version if that can't succeed the newest or its content is rejected. After an
+// error the active versions are unchanged.
 func (n *Node) Offer(d Doc, now time.Duration) ([]Outgoing, error) {
 	n.outgoing = n.outgoing[:0]
 	if err := n.checkSuccessor(d.Version); err != nil {
@@ -285,10 +287,10 @@
 	return fmt.Errorf("version %v: %w", v, reason)
 }
 
-// dropSuperseded drops the oldest active versions while each other member is known to have one of the rest active. A
-// report that is old still suffices: active versions of a member are only replaced by newer ones, and a member drops a
-// version that is the newest here only once it knows of a newer one here. So what stays here always has a version in
-// common with what is active there now.
+// dropSuperseded drops the oldest active version as long as each other member has reported one of the rest as active.
+// An old report suffices: a member replaces its active versions only by newer ones, and it drops the newest version of
+// this member only once this member has reported a newer one. So the versions that stay active always have one in
+// common with the present active versions of each other member.
 func (n *Node) dropSuperseded() {
 	for len(n.active) > 1 {
 		rest := n.active[1:]
@@ -307,7 +309,8 @@
 	}
 }
 
-// Handle processes a message and returns those to send. It ignores messages about another document.
+// Handle processes a message and returns those to send. It ignores messages about another document, without a sender or
+// from this member itself.
 func (n *Node) Handle(m Message, now time.Duration) []Outgoing {
 	n.outgoing = n.outgoing[:0]
 	if m.From == "" || m.From == n.cfg.Self || m.Document != n.cfg.Document {
@@ -324,9 +327,11 @@
 	return n.outgoing
 }
 
-// handleReport records the active versions of another member. If the newest is new here, it fetches that. Else it
-// replies to a report if the sender's newest is older, if its versions are not those of its last report, or if it may
-// wait for a report. Messages without versions, or with versions out of order, are ignored.
+// handleReport records the active versions of another member. If the sender's newest version is newer than this
+// member's and was not rejected here, it does not reply, but starts to fetch that unless a fetch of the same or a newer
+// one is in progress. Otherwise it replies to a report if the sender's newest version is older, if the sender's versions
+// have changed since its last report, or if the sender has several. It ignores messages without versions, or with
+// versions out of order.
 func (n *Node) handleReport(m Message, now time.Duration) {
 	if len(m.Active) == 0 || !slices.IsSortedFunc(m.Active, func(a, b Version) int { return int(int64(a.Number - b.Number)) }) {
 		return
@@ -342,13 +347,13 @@
 			n.requestChunks(now)
 		}
 	case m.Kind == KindReply:
-	// A member with several active versions waits for reports, maybe this member's.
+	// A member with several active versions waits for reports, perhaps from this member, to drop the oldest.
 	case newest.Number < n.Newest().Number, !isKnown, !slices.Equal(previous.active, m.Active), len(m.Active) > 1:
 		n.sendActive(KindReply, m.From)
 	}
 }
 
-// sendReport sends a report, to which the receiver replies if it has news.
+// sendReport sends a report. The receiver's handleReport decides whether to reply.
 func (n *Node) sendReport(to string) { n.sendActive(KindReport, to) }
 
 // sendActive sends the active versions as a message of the given kind, a report or a reply.
@@ -366,7 +371,8 @@
 	n.outgoing = append(n.outgoing, Outgoing{to, m})
 }
 
-// sendChunk answers a fetch with a chunk, or with a report if the version is not active here.
+// sendChunk answers a fetch with a chunk, or with a report if the version is not active here. It ignores an index out of
+// range.
 func (n *Node) sendChunk(m Message) {
 	i := slices.IndexFunc(n.active, func(d Doc) bool { return d.Version == m.Version })
 	if i < 0 {
@@ -399,8 +405,8 @@
 	}
 }
 
-// handleChunk stores a chunk of the current fetch. When the document is complete, it becomes active if its hash is that
-// of the version and it can be applied.
+// handleChunk stores a chunk of the current fetch, and ignores others and those of a wrong size. The complete document
+// becomes active if its hash is that of the version and it can be applied.
 func (n *Node) handleChunk(m Message, now time.Duration) {
 	f := n.fetch
 	if f == nil || m.Version != f.Version || m.From != f.from || m.TotalBytes < 0 || m.TotalBytes > n.cfg.MaxTextBytes || m.ChunkIndex < 0 {
@@ -429,12 +435,12 @@
 	if n.checkSuccessor(d.Version) != nil || d.Version == n.Newest().Version {
 		return
 	}
-	_ = n.activate(d) // a reason for a rejection is kept in n.rejected
+	_ = n.activate(d) // n.rejected keeps the reason of a rejection
 }
 
-// allocate makes the buffers for a document from its first chunk, and returns false if that is invalid. The sender's
-// chunk size applies, because a chunk leaves space for the sender's name, which may be longer or shorter than this
-// member's.
+// allocate makes the buffers for a document according to its first chunk, and returns false if that is invalid. The
+// first chunk gives the size of the others: it depends on the sender, because the message also holds the sender's name,
+// which may be longer or shorter than this member's.
 func (f *fetch) allocate(first Message) bool {
 	if first.ChunkIndex != 0 || len(first.Chunk) == 0 && first.TotalBytes > 0 || len(first.Chunk) > first.TotalBytes {
 		return false
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -269,7 +269,7 @@
 	require.False(t, f.nodes["1"].Alone(f.now))
 }
 
-// Offer rejects invalid versions with an error that tells the reason, and the active versions stay as they are.
+// Offer returns an error that names the version and the reason for an invalid version, and keeps the active versions.
 func TestOfferRejectsInvalidVersions(t *testing.T) {
 	f := newFleet(2, 2, 0, 5*ms)
 	n := f.nodes["0"]
