--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,7 +16,7 @@
 	"ferryfront.example/ferryfront/admission"
 )
 
-// maxMillis is the maximum time that a field may hold, in milliseconds: a hundred years.
+// maxMillis is the maximum time that a field may hold, in milliseconds: a hundred years, which a time.Duration can hold.
 const maxMillis = 100 * 365 * 24 * 3600 * 1e3
 
 var (
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -31,7 +31,7 @@
 	inFlight []delivery
 }
 
-// delivery is a message on its way.
+// delivery is a message that has been sent and not yet received.
 type delivery struct {
 	dueAt   time.Duration
 	to      string
@@ -114,7 +114,8 @@
 	return list
 }
 
-// membersWithoutCommonVersion describes two running members without a common active version; empty: there are none.
+// membersWithoutCommonVersion describes two running members that have no active version in common, and returns an empty
+// string if there are none.
 func (f *fleet) membersWithoutCommonVersion() string {
 	for _, a := range f.names {
 		for _, b := range f.names {
