--- a/cmd/ferryfront/main.go
+++ b/cmd/ferryfront/main.go
@@ -28,7 +28,7 @@
 	p := &program{getenv: getenv, out: out, errOut: errs}
 	root := &cobra.Command{
 		Use:           "ferryfront",
-		Short:         "The ingress daemon between dealers' ordering programs and order servers",
+		Short:         "The ingress daemon between customers' ordering programs and order servers",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		Args:          cobra.NoArgs,
--- a/cmd/ferryfront/serve.go
+++ b/cmd/ferryfront/serve.go
@@ -66,9 +66,9 @@
 	return c
 }
 
-// restartCommand returns the path and arguments with which this process was started, for an upgrade. The path is the one
-// that was given: an upgrade starts the binary that is there by then, and not the file of this process. It returns nil if
-// the path can't be found.
+// restartCommand returns the path and arguments with which this process was started, for an upgrade. The path is
+// os.Args[0] made absolute, not /proc/self/exe, so that an upgrade starts the binary that is at that path by then. It
+// returns nil if the path can't be found.
 func restartCommand() []string {
 	path, err := exec.LookPath(os.Args[0])
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,7 +32,7 @@
 	PeerListen string
 	// Peers holds the address at which each ingress receives such messages, by the index of the ingress.
 	Peers []string
-	Seed  uint64  // of the process's random numbers
+	Seed  uint64  // seed of the process's random numbers
 	Cores float64 // CPU cores that the process may use
 	// KnownHosts is the cluster as it was known before the start, used until discovery sends a list.
 	KnownHosts discovery.List
@@ -43,7 +43,7 @@
 	DrainedHosts []string
 	// DrainedVersion is the version number of DrainedHosts, from 1. 0: there is no such list.
 	DrainedVersion uint64
-	// SharedSettings is the part of the settings that all ingresses have in common, as settings.Shared returns it.
+	// SharedSettings is the part of the settings that all ingresses have in common, as settings.Shared returns it;
 	// nil if the settings have no version.
 	SharedSettings []byte
 	Limits         limits.Limits
--- a/internal/config/error_line.go
+++ b/internal/config/error_line.go
@@ -10,8 +10,8 @@
 )
 
 // withFileLine prefixes a parse error with the file's path and, where it is known, the line of the field. It takes the
-// field's full name from the beginning of the error's text and reads the file once more to find it. For a field that is
-// missing it takes the line of the object that should hold it.
+// field's full name from the beginning of the error's text and parses raw, the file's text, once more to find its line;
+// only a file with an error costs that. For a field that is missing it takes the line of the object that should hold it.
 func withFileLine(path string, raw []byte, err error) error {
 	var syntax *json.SyntaxError
 	if bad := json.Unmarshal(raw, new(any)); errors.As(bad, &syntax) {
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -10,8 +10,8 @@
 	"ferryfront.example/ferryfront/internal/settings"
 )
 
-// Reload reads the file again and checks it more strictly than Load, because a running process already has good settings
-// and loses by incomplete ones. It rejects the whole file if a key is missing that the previous file had, or if a class
+// Reload reads the file again and checks it more strictly than Load, because a running process already has good settings,
+// which incomplete ones must not replace. It rejects the whole file if a key is missing that the previous file had, or if a class
 // has no name or no deadline above 0, or if there are no classes or no maximum number of attempts above 0. The address
 // of discovery in the file overrides GW_DISCOVERY: the environment of a running process can't be changed.
 func Reload(getenv func(string) string, previous Config) (Config, error) {
--- a/internal/config/versions.go
+++ b/internal/config/versions.go
@@ -10,7 +10,7 @@
 	"ferryfront.example/ferryfront/internal/versions"
 )
 
-// readVersionNumber reads the number of a version, a whole number above 0 that isn't over the largest allowed.
+// readVersionNumber reads a version number, a whole number from 1 to versions.MaxNumber. Errors name the field.
 func readVersionNumber(r settings.Reader, key string) (uint64, error) {
 	v := r.Float(key)
 	if err := r.Err(); err != nil {
--- a/internal/config/with_shared.go
+++ b/internal/config/with_shared.go
@@ -11,8 +11,8 @@
 
 // WithSharedSettings returns the configuration with its shared settings replaced by the given ones, in the form that
 // settings.Shared returns. They are checked as strictly as at a reload, and errors name the field. SettingsVersion keeps
-// its value: the caller knows the version of the new settings. KnownHosts stays, too, and its length doesn't add to the
-// cost.
+// its value: the caller knows the version of the new settings. KnownHosts stays, too, and isn't parsed
+// again, so a long list doesn't make the call slower.
 func (c Config) WithSharedSettings(shared []byte) (Config, error) {
 	doc, err := fastjson.ParseBytes(c.rawWithoutHosts)
 	if err != nil {
--- a/internal/handover/phase/new.go
+++ b/internal/handover/phase/new.go
@@ -6,10 +6,10 @@
 type NewState int
 
 const (
-	AwaitingWelcome  NewState = iota // Hello is sent
+	AwaitingWelcome  NewState = iota // Hello has been sent
 	Building                         // reading the configuration, building the parts, reaching discovery
 	AwaitingSnapshot                 // receiving customers, then the snapshot
-	AwaitingCommit                   // the snapshot is restored
+	AwaitingCommit                   // the snapshot is restored; waiting for Commit
 	OnProbation                      // serving; the old process hasn't reported the upgrade as done yet
 	PastProbation                    // serving; the old process, if it still runs, only finishes what it has
 	Independent                      // serving; the old process is gone
@@ -66,7 +66,7 @@
 	case PeerExited:
 		return m.peerExited()
 	case PhaseTimedOut:
-		if !m.IsServing() && m.State != AwaitingCommit { // then only a message or the death of the old process decides
+		if !m.IsServing() && m.State != AwaitingCommit { // in AwaitingCommit only a message or the death of the old process decides
 			return m.refuse("the old process has said nothing while " + m.State.String())
 		}
 	case TerminateRequested:
@@ -121,8 +121,8 @@
 	return m.refuse(fmt.Sprintf("the old process has sent %s while %s", ev.Message, m.State))
 }
 
-// peerExited handles the end of the old process. One that carries on would have sent Abort first, so this one has died and
-// no process serves. The new process takes over if it has restored the snapshot.
+// peerExited handles the end of the old process. An old process that carries on sends Abort first. Without an Abort it has
+// died and no process serves, so the new process takes over if it has restored the snapshot.
 func (m *NewProcess) peerExited() []Action {
 	switch m.State {
 	case AwaitingCommit:
@@ -138,7 +138,7 @@
 	return []Action{Exit}
 }
 
-// refuse ends the takeover for a reason that the old process is told.
+// refuse ends the takeover and tells the old process the reason.
 func (m *NewProcess) refuse(reason string) []Action {
 	m.State, m.Failure = Ended, reason
 	return []Action{SendRefused, Exit}
--- a/internal/handover/phase/phase.go
+++ b/internal/handover/phase/phase.go
@@ -155,8 +155,8 @@
 	ReloadConfig      // read the configuration again
 	Exit              // end at once; nothing was taken over
 
-	StartTimer // old process: time the phase that State names
-	StopTimer  // both
+	StartTimer // old process: start the timeout of the phase in State
+	StopTimer  // both processes: stop the timeout of the phase
 	actionCount
 )
 
--- a/internal/handover/rendezvous.go
+++ b/internal/handover/rendezvous.go
@@ -11,8 +11,8 @@
 )
 
 // A new process that wasn't started by the running one connects to it at a socket in a directory that only these
-// processes share. Neither end trusts the other unchecked: the name must be a socket and no symbolic link, and both ends
-// ask the kernel for the user of the process at the other end.
+// processes share. Each end checks the other: the path must be a socket and not a symbolic link to one, and both ends ask
+// the kernel for the user of the process at the other end, which must be their own.
 
 // ErrNoPredecessor is returned by ConnectPredecessor if no process listens for a successor.
 var ErrNoPredecessor = errors.New("no process listens for a successor")
