--- a/cmd/ferryfront/process_test.go
+++ b/cmd/ferryfront/process_test.go
@@ -269,7 +269,8 @@
 	}
 }
 
-// Without a connection the request can't have run, so it goes to another host whatever its class. The daemon keeps serving.
+// Without a connection the request can't have run, so it goes to another host whatever its class. A host that is gone from its
+// address must not stop the daemon from serving.
 func TestHostRefusesConnections(t *testing.T) {
 	env := newTestEnv(t)
 	env.hosts["h0"] = nil
--- a/cmd/ferryfront/replace_overlap_test.go
+++ b/cmd/ferryfront/replace_overlap_test.go
@@ -12,7 +12,7 @@
 )
 
 // The old process still has open requests when the new one serves. The new one rejects a request whose id or key is open at
-// the old one and reads on a half read request. Clients of both disconnect, a half relayed response is completed, and each
+// the old one and reads the rest of a half read request. Clients of both disconnect, a half relayed response is completed, and each
 // request reaches a host only once.
 func TestOldAndNewProcessServeTogether(t *testing.T) {
 	env := newTestEnv(t).withHandoverDir()
--- a/cmd/ferryfront/restart_test.go
+++ b/cmd/ferryfront/restart_test.go
@@ -70,10 +70,10 @@
 // Ten ingresses of a large fleet are killed and restarted at once while their discovery is down, silent or slow. Nine in ten
 // must be ready within maxReadyTime and all of them before they count as crashed, and each serves by its known hosts.
 func TestIngressesRestartedAtOnceAreReadyInTime(t *testing.T) {
-	const fleet, restarted, crashed = 300, 10, 30 * time.Second
+	const fleetSize, restartedIngresses, crashTimeout = 300, 10, 30 * time.Second
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
-			all := make([]*testEnv, restarted)
+			all := make([]*testEnv, restartedIngresses)
 			for i := range all {
 				all[i] = newTestEnv(t)
 			}
@@ -85,7 +85,7 @@
 				env.hasNoKnownHosts = i%3 == 2 // some have no known hosts and must be ready nevertheless
 				env.discoveryAddr, env.hosts, env.externalHostAddrs = d.addr, map[string]http.HandlerFunc{"h1": nil}, map[string]string{"h1": host}
 				env.modifyConfig = func(_, settings map[string]any) {
-					settings["balancers"], settings["me"], settings["discovery"] = fleet, i, mode
+					settings["balancers"], settings["me"], settings["discovery"] = fleetSize, i, mode
 				}
 				env.start()
 			}
@@ -101,11 +101,11 @@
 				for _, env := range all {
 					env.launch()
 				}
-				took := make([]time.Duration, restarted)
+				took := make([]time.Duration, restartedIngresses)
 				var up sync.WaitGroup
 				for i, env := range all {
 					up.Go(func() {
-						for !env.isReady() && time.Since(began) < crashed {
+						for !env.isReady() && time.Since(began) < crashTimeout {
 							time.Sleep(5 * time.Millisecond)
 						}
 						took[i] = time.Since(began)
@@ -113,9 +113,9 @@
 				}
 				up.Wait()
 				slices.Sort(took)
-				require.Less(t, took[restarted*9/10-1], maxReadyTime, "discovery %s", state)
-				require.Less(t, took[restarted-1], crashed, "discovery %s", state)
-				t.Logf("discovery %s: nine in ten ready after %v, all after %v", state, took[restarted*9/10-1], took[restarted-1])
+				require.Less(t, took[restartedIngresses*9/10-1], maxReadyTime, "discovery %s", state)
+				require.Less(t, took[restartedIngresses-1], crashTimeout, "discovery %s", state)
+				t.Logf("discovery %s: nine in ten ready after %v, all after %v", state, took[restartedIngresses*9/10-1], took[restartedIngresses-1])
 				for i, env := range all {
 					if env.hasNoKnownHosts {
 						continue
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -155,6 +155,7 @@
 		HostIdleTimeout: set.Object("limits").Millis("idleClose"), DialTimeout: c.Settings.DialTimeout,
 		CounterCallTimeout: c.Settings.CounterTimeout, Ingresses: c.Settings.Gateways, DrainGrace: c.Settings.DrainGrace,
 		HasLocalAgent: !c.Settings.MustSubscribe}
+	// The drain timeout grows with the longest deadline. A deadline over 3 s counts as 3 s; without any deadline 3 s count.
 	for _, class := range c.Settings.Classes {
 		site.LongestDeadline = max(site.LongestDeadline, min(class.Deadline, 3*time.Second))
 	}
