--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,7 +32,7 @@
 	PeerListen string
 	// Peers holds the address at which each ingress receives such messages, by the index of the ingress.
 	Peers []string
-	Seed  uint64  // of the process's random numbers
+	Seed  uint64  // seed of the process's random numbers
 	Cores float64 // CPU cores that the process may use
 	// KnownHosts is the cluster as it was known before the start, used until discovery sends a list.
 	KnownHosts discovery.List
@@ -43,7 +43,7 @@
 	DrainedHosts []string
 	// DrainedVersion is the version number of DrainedHosts, from 1. 0: there is no such list.
 	DrainedVersion uint64
-	// SharedSettings is the part of the settings that all ingresses have in common, as settings.Shared returns it.
+	// SharedSettings is the part of the settings that all ingresses have in common, as settings.Shared returns it;
 	// nil if the settings have no version.
 	SharedSettings []byte
 	Limits         limits.Limits
@@ -155,6 +155,7 @@
 		HostIdleTimeout: set.Object("limits").Millis("idleClose"), DialTimeout: c.Settings.DialTimeout,
 		CounterCallTimeout: c.Settings.CounterTimeout, Ingresses: c.Settings.Gateways, DrainGrace: c.Settings.DrainGrace,
 		HasLocalAgent: !c.Settings.MustSubscribe}
+	// The drain timeout grows with the longest deadline. A deadline over 3 s counts as 3 s; without any deadline 3 s count.
 	for _, class := range c.Settings.Classes {
 		site.LongestDeadline = max(site.LongestDeadline, min(class.Deadline, 3*time.Second))
 	}
