--- a/internal/capacity/measure_ingress_control.go
+++ b/internal/capacity/measure_ingress_control.go
@@ -26,7 +26,7 @@
 	rankMechanism      = "existing: subsetting, admission/rendezvous/rendezvous.go"
 	zoneRankMechanism  = "missing: batching of changes that come one by one; admission/servers.go ranks anew for each"
 	settingsMechanism  = "existing: the whole document to each member, internal/versions/versions.go; the pieces hold 64 KB at most"
-	underMechanism     = "existing: internal/config/under.go, which reads other settings without the list known from before the start"
+	underMechanism     = "existing: internal/config/with_shared.go, which reads other settings without the list known from before the start"
 	failureDetector    = "existing: failure detector in the manner of SWIM, internal/membership/probe.go"
 	shareMechanism     = "existing, off unless configured: share lease, internal/controlgroup; without it internal/membership/share.go waits for a word of every member, or a round of all for one that is dead"
 	fanOutMechanism    = "existing, off unless configured: fan-out over followers, internal/controlserver; without it internal/versions/versions.go has every member report to every other"
