--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -221,7 +221,7 @@
 	}
 	since := max(cn.lastResponse, cn.calls[0].startedAt)
 	if cn.client.loop.Now()-since > cn.client.bounds.CounterStuckTimeout && cn.client.lastResponse > since {
-		cn.fail("no response here while other connections get responses")
+		cn.fail("stuck behind an answer that can't be read")
 	}
 }
 
--- a/internal/net/downstream/listener.go
+++ b/internal/net/downstream/listener.go
@@ -93,7 +93,7 @@
 			break
 		}
 		if len(server.conns)+server.predecessorConns >= server.bounds.MaxDownstreamConns && !server.evictOne() {
-			server.pauseAccepting("connection limit reached and no connection can be evicted")
+			server.pauseAccepting("all connections busy")
 			break
 		}
 		fd, err := loop.Accept(ln.source.FD())
--- a/internal/net/upstream/trace.go
+++ b/internal/net/upstream/trace.go
@@ -8,7 +8,7 @@
 
 // Causes for closing an upstream connection, or for not opening one, where there is no system error.
 var (
-	errPoolExhausted     = errors.New("upstream connection limit reached and no connection is idle")
+	errPoolExhausted     = errors.New("all upstream connections in use")
 	errNoProgress        = errors.New("no progress of a request or response body")
 	errDeadlinePassed    = errors.New("request deadline passed before the connection was established")
 	errPossibleDuplicate = errors.New("response may be a duplicate of the previous one")
